--- a/bench/admission.py
+++ b/bench/admission.py
@@ -70,21 +70,29 @@
     names = ("offered", "let in", "served in aim", "served late", "refused")
     rates = {name: [some.slots[s][i] / SLOT_S for s in slots] for i, name in enumerate(names)}
     waits = {"longest wait to begin": [some.slots[s][5] * 1e3 for s in slots]}
-    over_time(path, [slot * SLOT_S for slot in slots], [
-        ("requests a second", rates, CAPACITY, "capacity"),
-        ("ms", waits, LANES[0].within_s * 1e3, "the shorter aim"),
-    ])
+    over_time(
+        path,
+        [slot * SLOT_S for slot in slots],
+        [
+            ("requests a second", rates, CAPACITY, "capacity"),
+            ("ms", waits, LANES[0].within_s * 1e3, "the shorter aim"),
+        ],
+    )
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--picture", type=Path, help="file to draw one overloaded run into (svg, png)")
+    parser.add_argument(
+        "--picture", type=Path, help="file to draw one overloaded run into (svg, png)"
+    )
     told = parser.parse_args()
     if told.picture:
         picture(told.picture)
         return 0
-    print("| way | 0.9x | 1x | 1.1x | 1.5x | 3x | 5x | step to 3x | square wave | aims 50 ms / 5 s"
-          " | 300 closed-loop: refused | refusals p99 ms |")
+    print(
+        "| way | 0.9x | 1x | 1.1x | 1.5x | 3x | 5x | step to 3x | square wave | aims 50 ms / 5 s"
+        " | 300 closed-loop: refused | refusals p99 ms |"
+    )
     print("| --- " * 12 + "|")
     for way in WAYS:
         print("| " + " | ".join(row(way)) + " |", flush=True)
--- a/bench/counts.py
+++ b/bench/counts.py
@@ -55,7 +55,9 @@
             writer.write(load.request()[1])
             head = (await reader.readuntil(b"\r\n\r\n")).lower()
             assert head.startswith(b"http/1.1 200"), head
-            await reader.readexactly(int(head.partition(b"content-length:")[2].split(b"\r\n", 1)[0]))
+            await reader.readexactly(
+                int(head.partition(b"content-length:")[2].split(b"\r\n", 1)[0])
+            )
         reads, writes = gateway.io()
         assert gateway.process is not None
         gateway.process.send_signal(signal.SIGTERM)
@@ -108,7 +110,9 @@
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true", help="end with 1 where a figure has grown")
-    parser.add_argument("--record", action="store_true", help="write the figures as those to compare with")
+    parser.add_argument(
+        "--record", action="store_true", help="write the figures as those to compare with"
+    )
     told = parser.parse_args()
     return uvloop.run(measure(told.record, told.check))
 
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -43,11 +43,29 @@
     Route("once", Effect.UNSAFE, None, 3_000_000, 1.0),
 )
 TOLD = Settings(
-    routes=ROUTES, balancers=2, number=1, tenant_quotas_per_s=(300.0, 40.0), over_quota_worth=0.05,
-    max_attempts=4, parallel_tries=True, cancelling=True, retry_after=True, max_retry_after_us=600_000,
-    cold_us=3_000_000, cold_from=0.2, fall_multiple=3.0, price_cross_zone=0.02,
+    routes=ROUTES,
+    balancers=2,
+    number=1,
+    tenant_quotas_per_s=(300.0, 40.0),
+    over_quota_worth=0.05,
+    max_attempts=4,
+    parallel_tries=True,
+    cancelling=True,
+    retry_after=True,
+    max_retry_after_us=600_000,
+    cold_us=3_000_000,
+    cold_from=0.2,
+    fall_multiple=3.0,
+    price_cross_zone=0.02,
+)
+BAD = (
+    Outcome.ERROR,
+    Outcome.FULL,
+    Outcome.CONNECT_FAILED,
+    Outcome.RESET,
+    Outcome.TIMEOUT,
+    Outcome.MOOT,
 )
-BAD = (Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.MOOT)
 
 
 def digest(seed: int, requests: int, servers: int = 12) -> tuple[str, int]:
@@ -73,8 +91,12 @@
             elif isinstance(action, Send):
                 attempt = tries.get(action.request, 0)
                 tries[action.request] = attempt + 1
-                wrong = chance.random() < (0.5 if action.server % 5 == (now // 4_000_000) % 5 else 0.02)
-                took = int(chance.expovariate(1 / 30_000)) + (chance.randrange(900_000) if wrong else 500)
+                wrong = chance.random() < (
+                    0.5 if action.server % 5 == (now // 4_000_000) % 5 else 0.02
+                )
+                took = int(chance.expovariate(1 / 30_000)) + (
+                    chance.randrange(900_000) if wrong else 500
+                )
                 outcome = chance.choice(BAD) if wrong else Outcome.SUCCESS
                 later(now + took, AttemptDone(action.request, attempt, outcome, took, not wrong))
             elif isinstance(action, Cancel):
@@ -90,7 +112,17 @@
         now = arrives
         route = chance.choices(range(4), (6, 3, 1, 1))[0]
         wait = ROUTES[route].deadline_us - chance.randrange(200_000)
-        feed(Arrived(request, route, now + wait, None, None, chance.randrange(-1, 3), chance.random() < 0.02))
+        feed(
+            Arrived(
+                request,
+                route,
+                now + wait,
+                None,
+                None,
+                chance.randrange(-1, 3),
+                chance.random() < 0.02,
+            )
+        )
         if chance.random() < 0.01:
             later(now + chance.randrange(50_000), Departed(request))
         if chance.random() < 0.005:
@@ -100,7 +132,9 @@
             lines[some] = lines[some]._replace(state=state, started_us=started)
             feed(ServerList(ListKind.CHANGES, (lines[some],)))
         if chance.random() < 0.002:
-            feed(Beside({chance.randrange(servers): (chance.randrange(3), 0)}, chance.random() < 0.7))
+            feed(
+                Beside({chance.randrange(servers): (chance.randrange(3), 0)}, chance.random() < 0.7)
+            )
     return told.hexdigest(), count
 
 
--- a/bench/disciplines.py
+++ b/bench/disciplines.py
@@ -40,7 +40,14 @@
         return True
 
     def join(
-        self, now: float, since: float, wait_s: float, route: int, tenant: int, held: int, item: object
+        self,
+        now: float,
+        since: float,
+        wait_s: float,
+        route: int,
+        tenant: int,
+        held: int,
+        item: object,
     ) -> Entry | None:
         if not self.admits(now, route):
             return None
@@ -141,7 +148,14 @@
         return sum(map(len, self.queues))
 
     def join(
-        self, now: float, since: float, wait_s: float, route: int, tenant: int, held: int, item: object
+        self,
+        now: float,
+        since: float,
+        wait_s: float,
+        route: int,
+        tenant: int,
+        held: int,
+        item: object,
     ) -> Entry | None:
         entry = Entry(cast(Item, item), now, since + self.lanes[route].within_s)
         self.queues[route].append(entry)
@@ -211,7 +225,14 @@
         self.credits, self.open, self.stepped = 64.0, 0, 0.0
 
     def join(
-        self, now: float, since: float, wait_s: float, route: int, tenant: int, held: int, item: object
+        self,
+        now: float,
+        since: float,
+        wait_s: float,
+        route: int,
+        tenant: int,
+        held: int,
+        item: object,
     ) -> Entry | None:
         if held > self.credits:
             return None
--- a/bench/discovery_calls.py
+++ b/bench/discovery_calls.py
@@ -26,7 +26,9 @@
                     for seed in SEEDS:
                         up_s = 8.0 if event == "down" else 0.0
                         service = Service(all_s / gateways, overbook, up_s)
-                        has = lists_after(gateways, service, seed, event == "silent", event == "start")
+                        has = lists_after(
+                            gateways, service, seed, event == "silent", event == "start"
+                        )
                         after = [at - up_s for at in has]
                         late += sum(at > GRACE_S for at in after) / gateways / len(SEEDS)
                         last, most = max(last, *after), max(most, most_calls(service.calls))
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -72,8 +72,12 @@
     mpl.use("Agg")
     from matplotlib import pyplot  # noqa: PLC0415
 
-    groups = (("success", "sent", "refused_share", "refused_queued"), ("connects", "copies", "full", "reset"),
-              ("answer_ms", "queued", "idle"), ("ejected", "cold", "width", "up"))
+    groups = (
+        ("success", "sent", "refused_share", "refused_queued"),
+        ("connects", "copies", "full", "reset"),
+        ("answer_ms", "queued", "idle"),
+        ("ejected", "cold", "width", "up"),
+    )
     figure, axes = pyplot.subplots(len(groups), 1, sharex=True, figsize=(10, 10))
     for axis, names in zip(axes, groups, strict=True):
         for name in names:
@@ -93,7 +97,9 @@
     rows = read(folder)
     if hosts:
         for second, counts in worst(folder).items():
-            click.echo(f"{second:4d}  " + "  ".join(f"{name} {n:g}" for name, n in counts.most_common(8)))
+            click.echo(
+                f"{second:4d}  " + "  ".join(f"{name} {n:g}" for name, n in counts.most_common(8))
+            )
         return
     names = sorted({name for row in rows.values() for name in row} - {"up"})
     table = Table("second", "up", *names)
--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -30,18 +30,26 @@
     text = '[use]\nhold = "5 s"' if view else ""
     with tempfile.TemporaryDirectory() as folder:
         # Reports are seldom, as in service: ten a second of twelve gateways cost more than the view does.
-        async with Stage(Path(folder), WORKS, 6, gateways=gateways, fleet=text, every="10 s") as stage:
+        async with Stage(
+            Path(folder), WORKS, 6, gateways=gateways, fleet=text, every="10 s"
+        ) as stage:
             await asyncio.sleep(SETTLE_S)
             before = [gateway.cpu_s() for gateway in stage.gateways]
             await asyncio.sleep(seconds)
-            rest_s = sum(g.cpu_s() - b for g, b in zip(stage.gateways, before, strict=True)) / gateways
+            rest_s = (
+                sum(g.cpu_s() - b for g, b in zip(stage.gateways, before, strict=True)) / gateways
+            )
             one, told = stage.gateway, {"connections": 24}
             await run_load(one.address, WORKS, [3, 1], [None], "closed", 1.0, prefix="w", **told)
             cpu_s = one.cpu_s()
             result = await run_load(one.address, WORKS, [3, 1], [None], "closed", seconds, **told)
             used_s = one.cpu_s() - cpu_s
             whole = total(result.rows.values())
-            return 1e3 * rest_s / seconds, 1e6 * used_s / max(1, whole.sent), whole.in_aim + whole.served
+            return (
+                1e3 * rest_s / seconds,
+                1e6 * used_s / max(1, whole.sent),
+                whole.in_aim + whole.served,
+            )
 
 
 async def run(told: argparse.Namespace) -> None:
@@ -51,11 +59,15 @@
     for i in range(told.repeats):
         for view in (False, True) if i % 2 else (True, False):
             rest, request, served = await play(view, told.gateways, told.seconds)
-            print(f"| {'on' if view else 'off'} | {rest:.2f} | {request:.1f} | {served} |", flush=True)
+            print(
+                f"| {'on' if view else 'off'} | {rest:.2f} | {request:.1f} | {served} |", flush=True
+            )
             before = best.get(view, (rest, request))
             best[view] = (min(rest, before[0]), min(request, before[1]))
     (off, off_us), (on, on_us) = best[False], best[True]
-    print(f"least: at rest {off:.2f} and {on:.2f} ms a second; a request {off_us:.1f} and {on_us:.1f} us")
+    print(
+        f"least: at rest {off:.2f} and {on:.2f} ms a second; a request {off_us:.1f} and {on_us:.1f} us"
+    )
 
 
 def main() -> int:
--- a/bench/fleet_processes.py
+++ b/bench/fleet_processes.py
@@ -77,13 +77,21 @@
     one, other = set(range(2 * count // 5)), set(range(2 * count // 5, count))
     with tempfile.TemporaryDirectory() as folder:
         stage = Stage(
-            Path(folder), WORKS, 6, delay=0.01, gateways=count, fleet='[use]\nhold = "5 s"', aloud=told.aloud
+            Path(folder),
+            WORKS,
+            6,
+            delay=0.01,
+            gateways=count,
+            fleet='[use]\nhold = "5 s"',
+            aloud=told.aloud,
         )
         began = time.monotonic()
         async with stage:
             await _row(stage, "all start", [everybody], began)
             loads = [stage.load(number) for number in sorted(left)[:LOADED]]
-            running = [asyncio.ensure_future(load.open_loop(steady(RATE, told.seconds))) for load in loads]
+            running = [
+                asyncio.ensure_future(load.open_loop(steady(RATE, told.seconds))) for load in loads
+            ]
             began = time.monotonic()
             for number in dead:
                 stage.gateways[number].kill()
@@ -105,8 +113,10 @@
             rows: list[Any] = [total(tally(load.records, WORKS).values()) for load in loads]
             sent, served = sum(r.sent for r in rows), sum(r.in_aim + r.served for r in rows)
             refused, failed = sum(r.refused for r in rows), sum(r.failed for r in rows)
-            print(f"sent {sent}, served {served}, refused {refused}, failed {failed}, "
-                  f"unanswered {sent - served - refused - failed}, rules broken {len(stage.broken(*loads))}")
+            print(
+                f"sent {sent}, served {served}, refused {refused}, failed {failed}, "
+                f"unanswered {sent - served - refused - failed}, rules broken {len(stage.broken(*loads))}"
+            )
 
 
 async def _row(
@@ -130,7 +140,9 @@
     parser.add_argument("--seconds", type=float, default=60.0, help="of load")
     parser.add_argument("--aloud", action="store_true")
     told = parser.parse_args()
-    print("| event | agreed after s | wrongly gone | bytes/s a gateway |\n| --- | --- | --- | --- |")
+    print(
+        "| event | agreed after s | wrongly gone | bytes/s a gateway |\n| --- | --- | --- | --- |"
+    )
     uvloop.run(play(told))
     return 0
 
--- a/bench/fleet_view.py
+++ b/bench/fleet_view.py
@@ -103,8 +103,14 @@
 
 
 EVENTS: dict[str, Callable[[Fleet], float | None]] = {
-    "all start in a second": start, "join": join, "crash": crash, "seven in ten gone": seven_in_ten,
-    "partition": partition, "heal": heal, "slow members": slow, "30% loss": loss,
+    "all start in a second": start,
+    "join": join,
+    "crash": crash,
+    "seven in ten gone": seven_in_ten,
+    "partition": partition,
+    "heal": heal,
+    "slow members": slow,
+    "30% loss": loss,
 }
 
 
@@ -122,20 +128,30 @@
     spent = max(0.1, fleet.world.now - began)
     rates = [
         ((m.bytes - b) / spent, (m.datagrams - d) / spent)
-        for m, (b, d) in zip(fleet.members, sent, strict=True) if m.core is not None
+        for m, (b, d) in zip(fleet.members, sent, strict=True)
+        if m.core is not None
     ]
     sound = {m.number for m in fleet.members if m.core is not None}
     apart = _halves(fleet) if event in ("partition", "heal") else (sound, sound)
     false_ends = {
-        (m.number, c.number) for m in fleet.members for c in m.history
-        if c.what == "gone" and c.incarnation and c.at > began and c.number in sound
+        (m.number, c.number)
+        for m in fleet.members
+        for c in m.history
+        if c.what == "gone"
+        and c.incarnation
+        and c.at > began
+        and c.number in sound
         and any(m.number in side and c.number in side for side in apart)
     }
     return {
-        "took": took, "false": len(false_ends),
-        "bytes": statistics.mean(b for b, _ in rates), "most": max(b for b, _ in rates),
+        "took": took,
+        "false": len(false_ends),
+        "bytes": statistics.mean(b for b, _ in rates),
+        "most": max(b for b, _ in rates),
         "datagrams": statistics.mean(d for _, d in rates),
-        "cpu_us": 1e6 * cpu / max(1, sum(m.datagrams for m in fleet.members) - sum(d for _, d in sent)),
+        "cpu_us": 1e6
+        * cpu
+        / max(1, sum(m.datagrams for m in fleet.members) - sum(d for _, d in sent)),
     }
 
 
@@ -165,10 +181,16 @@
     for axis, (size, by_way) in zip(axes[0], results.items(), strict=True):
         for i, (way, by_event) in enumerate(by_way.items()):
             values = [by_event[event]["median"] or 0.0 for event in events]
-            worst = [(by_event[e]["worst"] or 0.0) - value for e, value in zip(events, values, strict=True)]
+            worst = [
+                (by_event[e]["worst"] or 0.0) - value
+                for e, value in zip(events, values, strict=True)
+            ]
             axis.bar(
-                [x + 0.27 * i for x in range(len(events))], values, 0.25,
-                yerr=[[0.0] * len(events), worst], label=way,
+                [x + 0.27 * i for x in range(len(events))],
+                values,
+                0.25,
+                yerr=[[0.0] * len(events), worst],
+                label=way,
             )
         axis.set_title(f"{size} members, 5% loss: seconds until all agree (bar: worst seed)")
         axis.set_xticks(range(len(events)), events, rotation=30, ha="right")
@@ -189,13 +211,25 @@
     parser.add_argument("--plot", type=Path)
     told = parser.parse_args()
     results: dict[str, Any] = {}
-    names = ("members", "event", "way", "median s", "worst s", "never", "false ends", "B/s", "most B/s")
+    names = (
+        "members",
+        "event",
+        "way",
+        "median s",
+        "worst s",
+        "never",
+        "false ends",
+        "B/s",
+        "most B/s",
+    )
     print("| " + " | ".join((*names, "datagrams/s", "us a datagram")) + " |")
     print("| --- " * (len(names) + 2) + "|")
     rows = product(map(int, told.sizes.split(",")), told.events.split(","), told.ways.split(","))
     with ProcessPoolExecutor(told.jobs) as pool:
         for size, event, way in rows:
-            runs = pool.map(partial(play, way, event, size), range(told.first, told.first + told.seeds))
+            runs = pool.map(
+                partial(play, way, event, size), range(told.first, told.first + told.seeds)
+            )
             row = summed(list(runs))
             results.setdefault(str(size), {}).setdefault(way, {})[event] = row
             values = " | ".join(str(value) for value in row.values())
--- a/bench/fleet_walk.py
+++ b/bench/fleet_walk.py
@@ -27,11 +27,16 @@
         walk.walk(at, closing)
         walk.walk(at, depth, closing=False)
     except Broken as what:
-        path = [f"{s.act} {s.which[:2] if isinstance(s.which, Flight) else s.which}" for s in what.path]
+        path = [
+            f"{s.act} {s.which[:2] if isinstance(s.which, Flight) else s.which}" for s in what.path
+        ]
         broken = f"{what}, after {', '.join(path)}"
     took = time.process_time() - began
     way = "aloud" if aloud else "one by one"
-    return f"| {scene} | {way} | {walk.states} | {walk.closed} | {took:.0f} | {broken} |", broken == "nothing"
+    return (
+        f"| {scene} | {way} | {walk.states} | {walk.closed} | {took:.0f} | {broken} |",
+        broken == "nothing",
+    )
 
 
 def main() -> int:
--- a/bench/fleet_worth.py
+++ b/bench/fleet_worth.py
@@ -33,27 +33,35 @@
     text = f'[use]\nwindows = {"true" if used else "false"}\nhold = "1 s"'
     dead = 7 * gateways // 10
     with tempfile.TemporaryDirectory() as folder:
-        async with Stage(Path(folder), WORKS, 6, delay=delay_s, gateways=gateways, fleet=text) as stage:
+        async with Stage(
+            Path(folder), WORKS, 6, delay=delay_s, gateways=gateways, fleet=text
+        ) as stage:
             left = range(dead, gateways)
             calm = [stage.load(n, seed=seed, prefix=f"a{n}-") for n in left]
             share = rate / len(left)
-            await asyncio.gather(*(
-                load.open_loop(poisson(share, CALM_S, seed * 100 + n))
-                for n, load in zip(left, calm, strict=True)
-            ))
+            await asyncio.gather(
+                *(
+                    load.open_loop(poisson(share, CALM_S, seed * 100 + n))
+                    for n, load in zip(left, calm, strict=True)
+                )
+            )
             for gateway in stage.gateways[:dead]:
                 gateway.kill()
             loads = [stage.load(n, seed=seed, prefix=f"b{n}-") for n in left]
-            await asyncio.gather(*(
-                load.open_loop(poisson(gateways / len(left) * share, AFTER_S, seed * 200 + n))
-                for n, load in zip(left, loads, strict=True)
-            ))
+            await asyncio.gather(
+                *(
+                    load.open_loop(poisson(gateways / len(left) * share, AFTER_S, seed * 200 + n))
+                    for n, load in zip(left, loads, strict=True)
+                )
+            )
             for load in [*calm, *loads]:
                 await load.settle()
             rows = [total(tally(load.records, WORKS).values()) for load in loads]
             assert all(r.sent == r.in_aim + r.served + r.refused + r.failed for r in rows)
             return (
-                sum(r.worth for r in rows), sum(r.refused for r in rows), sum(r.sent for r in rows),
+                sum(r.worth for r in rows),
+                sum(r.refused for r in rows),
+                sum(r.sent for r in rows),
                 stage.broken(*calm, *loads),
             )
 
@@ -63,17 +71,25 @@
     print("| --- | --- | --- | --- | --- | --- |")
     for seed in range(1, told.seeds + 1):
         for used in (False, True) if seed % 2 else (True, False):
-            worth, refused, sent, broken = await play(used, told.gateways, told.rate, told.delay, seed)
+            worth, refused, sent, broken = await play(
+                used, told.gateways, told.rate, told.delay, seed
+            )
             by = "the live number" if used else "the told number"
-            print(f"| {seed} | {by} | {worth:.0f} | {refused} | {sent} | {len(broken)} |", flush=True)
+            print(
+                f"| {seed} | {by} | {worth:.0f} | {refused} | {sent} | {len(broken)} |", flush=True
+            )
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--gateways", type=int, default=12)
-    parser.add_argument("--rate", type=float, default=25.0, help="requests a second of those left, before")
-    parser.add_argument("--delay", type=float, default=0.1, help="seconds that a host takes for a request")
+    parser.add_argument(
+        "--rate", type=float, default=25.0, help="requests a second of those left, before"
+    )
+    parser.add_argument(
+        "--delay", type=float, default=0.1, help="seconds that a host takes for a request"
+    )
     uvloop.run(run(parser.parse_args()))
     return 0
 
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -27,7 +27,10 @@
 from rig.hosts import Host
 from rig.schedule import steady
 
-WORKS = [Work("status-check", 0.58, 1.4, 2.0), Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200)]
+WORKS = [
+    Work("status-check", 0.58, 1.4, 2.0),
+    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+]
 KINDS = ("service maintenance", "node maintenance", "critical", "weight 0", "deregister")
 SETTLE_S = 0.12  # between two changes: longer than any of them took to be heard
 FILE = """
@@ -77,7 +80,9 @@
         catalogue.register(one)
     for number in range(instances):  # they stand aside: on the list, and never sent to
         catalogue.register(
-            Registered(f"idle{number}", f"i{number}", "127.0.0.1", 20_000 + number, maintenance="node")
+            Registered(
+                f"idle{number}", f"i{number}", "127.0.0.1", 20_000 + number, maintenance="node"
+            )
         )
     agents = [await Agent(catalogue).start() for _ in range(2)]
     told, waits = defaultdict[str, list[float]](list), defaultdict[str, list[float]](list)
@@ -138,7 +143,9 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--changes", type=int, default=320)
     parser.add_argument("--rate", type=float, default=300.0, help="requests a second")
-    parser.add_argument("--instances", type=int, default=0, help="idle ones on the list besides the eight")
+    parser.add_argument(
+        "--instances", type=int, default=0, help="idle ones on the list besides the eight"
+    )
     parser.add_argument("--core", type=int, help="to pin the gateway to")
     told = parser.parse_args()
     return uvloop.run(measure(told.changes, told.rate, told.instances, told.core))
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -43,7 +43,9 @@
         await gateway.start()
         rationing = await hold(gateway.pid, share, host_core) if share < 1.0 else None
         try:
-            await run_load(gateway.address, WORKS, SHARES, client_cores, "closed", 2.0, connections=64)
+            await run_load(
+                gateway.address, WORKS, SHARES, client_cores, "closed", 2.0, connections=64
+            )
             before = gateway.cpu_s()
             closed = await run_load(
                 gateway.address, WORKS, SHARES, client_cores, "closed", seconds, connections=64
@@ -52,8 +54,10 @@
             capacity = whole.in_aim / seconds
             cpu_s = (gateway.cpu_s() - before) / max(1, whole.in_aim)
             print(f"capacity {capacity:.0f} requests/s, {cpu_s * 1e6:.0f} us of CPU a request\n")
-            print("| load | sent/s | worth/s | of offered | in aim | after it | late | refused | failed "
-                  "| none | p50 / p99 ms | refused p50 / p99 ms | CPU, part not for served |")
+            print(
+                "| load | sent/s | worth/s | of offered | in aim | after it | late | refused | failed "
+                "| none | p50 / p99 ms | refused p50 / p99 ms | CPU, part not for served |"
+            )
             print("| --- " * 13 + "|")
             worths = []
             cases: list[float | str] = [*loads, *SHAPES]
@@ -63,12 +67,25 @@
                     parts = [(rate * capacity, length) for rate, length in SHAPES[load]]
                     length = sum(part[1] for part in parts)
                     result = await run_load(
-                        gateway.address, WORKS, SHARES, client_cores, "steps", 0.0, parts=parts, most=1500
+                        gateway.address,
+                        WORKS,
+                        SHARES,
+                        client_cores,
+                        "steps",
+                        0.0,
+                        parts=parts,
+                        most=1500,
                     )
                 else:
                     length = seconds
                     result = await run_load(
-                        gateway.address, WORKS, SHARES, client_cores, "open", seconds, rate=load * capacity,
+                        gateway.address,
+                        WORKS,
+                        SHARES,
+                        client_cores,
+                        "open",
+                        seconds,
+                        rate=load * capacity,
                         most=1500,
                     )
                 whole = total(result.rows.values())
@@ -99,13 +116,23 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seconds", type=float, default=6.0, help="length of each load (default 6)")
+    parser.add_argument(
+        "--seconds", type=float, default=6.0, help="length of each load (default 6)"
+    )
     have = sorted(os.sched_getaffinity(0))
-    parser.add_argument("--cores", default=",".join(map(str, have[-4:])), help="gateway, hosts, clients ...")
-    parser.add_argument("--delay", type=float, default=0.0, help="of the hosts' answers, seconds (default 0)")
-    parser.add_argument("--loads", default=",".join(map(str, LOADS)), help="multiples of the capacity")
+    parser.add_argument(
+        "--cores", default=",".join(map(str, have[-4:])), help="gateway, hosts, clients ..."
+    )
+    parser.add_argument(
+        "--delay", type=float, default=0.0, help="of the hosts' answers, seconds (default 0)"
+    )
+    parser.add_argument(
+        "--loads", default=",".join(map(str, LOADS)), help="multiples of the capacity"
+    )
     parser.add_argument("--ration", type=float, default=1.0, help="part of the core (default 1)")
-    parser.add_argument("--sockets", type=int, default=8192, help="descriptors of the gateway (default 8192)")
+    parser.add_argument(
+        "--sockets", type=int, default=8192, help="descriptors of the gateway (default 8192)"
+    )
     parser.add_argument("--svg", help="file to draw the worth into")
     parser.add_argument("--name", default="now", help="of this run in the picture")
     told = parser.parse_args()
@@ -117,8 +144,12 @@
     worths = uvloop.run(measure(told.seconds, cores, told.delay, loads, told.ration, told.sockets))
     if told.svg:
         lines(
-            Path(told.svg), "Worth answered within the aim", "offered load, multiples of the capacity",
-            "worth a second", loads, {told.name: worths},
+            Path(told.svg),
+            "Worth answered within the aim",
+            "offered load, multiples of the capacity",
+            "worth a second",
+            loads,
+            {told.name: worths},
         )
     return 0
 
--- a/bench/path.py
+++ b/bench/path.py
@@ -59,7 +59,11 @@
 
 
 async def run(
-    form: str, case: tuple[list[Work], list[float]], cores: list[int], seconds: float, hosts: int = 12,
+    form: str,
+    case: tuple[list[Work], list[float]],
+    cores: list[int],
+    seconds: float,
+    hosts: int = 12,
     connections: int = 24,
 ) -> Cost:
     gateway_core, host_core, client_core = cores
@@ -73,27 +77,40 @@
         relay = ["-m", "bench.relay", *map(str, servers.ports)]
         await gateway.start(command=relay if form == "relay" else ("-m", "quillroad"))
         told = {"connections": connections}
-        await run_load(gateway.address, works, shares, [client_core], "closed", 1.0, prefix="w", **told)
+        await run_load(
+            gateway.address, works, shares, [client_core], "closed", 1.0, prefix="w", **told
+        )
         cpu_s, io = gateway.cpu_s(), gateway.io()
-        result = await run_load(gateway.address, works, shares, [client_core], "closed", seconds, **told)
+        result = await run_load(
+            gateway.address, works, shares, [client_core], "closed", seconds, **told
+        )
         used_s, (reads, writes) = gateway.cpu_s() - cpu_s, gateway.io()
         await gateway.stop()
     await servers.stop()
     whole = total(result.rows.values())
     count = max(1, whole.sent)
     return Cost(
-        used_s / count * 1e6, whole.sent / seconds, (reads - io[0]) / count, (writes - io[1]) / count,
-        percentile(whole.took, 0.5) * 1e3, percentile(whole.took, 0.99) * 1e3, whole.refused,
+        used_s / count * 1e6,
+        whole.sent / seconds,
+        (reads - io[0]) / count,
+        (writes - io[1]) / count,
+        percentile(whole.took, 0.5) * 1e3,
+        percentile(whole.took, 0.99) * 1e3,
+        whole.refused,
     )
 
 
 async def classes(cores: list[int], seconds: float, repeats: int) -> None:
-    print("| class | form | CPU us (least of all runs) | of the relay's | requests/s | reads | writes "
-          "| p50 / p99 ms | refused |")
+    print(
+        "| class | form | CPU us (least of all runs) | of the relay's | requests/s | reads | writes "
+        "| p50 / p99 ms | refused |"
+    )
     print("| --- " * 9 + "|")
     for name, case in CASES.items():
         best: dict[str, Cost] = {}
-        for _ in range(repeats):  # in turn, so that a change of the machine's speed meets all of them
+        for _ in range(
+            repeats
+        ):  # in turn, so that a change of the machine's speed meets all of them
             for form in FORMS:
                 cost = await run(form, case, cores, seconds)
                 if form not in best or cost.us < best[form].us:
@@ -102,7 +119,8 @@
             print(
                 f"| {name} | {form} | {cost.us:.1f} | {cost.us / best['relay'].us:.1f} | {cost.rate:.0f} "
                 f"| {cost.reads:.2f} | {cost.writes:.2f} | {cost.p50_ms:.2f} / {cost.p99_ms:.2f} "
-                f"| {cost.refused} |", flush=True,
+                f"| {cost.refused} |",
+                flush=True,
             )
 
 
@@ -115,8 +133,12 @@
             found[form].append(cost.us)
         print(f"| hosts | {hosts} | {costs[0].us:.1f} | {costs[1].us:.1f} |", flush=True)
     for connections in CONNECTIONS:
-        costs = [await run(form, MIX, cores, seconds, connections=connections) for form in FORMS[1:]]
-        print(f"| connections | {connections} | {costs[0].us:.1f} | {costs[1].us:.1f} |", flush=True)
+        costs = [
+            await run(form, MIX, cores, seconds, connections=connections) for form in FORMS[1:]
+        ]
+        print(
+            f"| connections | {connections} | {costs[0].us:.1f} | {costs[1].us:.1f} |", flush=True
+        )
     if svg is not None:
         lines(svg, "CPU time a request", "hosts", "microseconds", HOSTS, found)
 
@@ -135,7 +157,9 @@
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__)
     have = sorted(os.sched_getaffinity(0))
-    parser.add_argument("--cores", default=",".join(map(str, have[-3:])), help="gateway, hosts, clients")
+    parser.add_argument(
+        "--cores", default=",".join(map(str, have[-3:])), help="gateway, hosts, clients"
+    )
     parser.add_argument("--seconds", type=float, default=2.0, help="of each run (default 2)")
     parser.add_argument("--repeats", type=int, default=2, help="of each run (default 2)")
     parser.add_argument("--growth", action="store_true", help="vary hosts and connections")
--- a/bench/picture.py
+++ b/bench/picture.py
@@ -46,7 +46,9 @@
 ) -> None:
     """One panel under another over the same seconds. Each is (name of its axis, its lines, the height of a
     dotted line, what that stands for)."""
-    figure, rows = pyplot.subplots(len(panels), 1, sharex=True, figsize=(8, 3 * len(panels)), squeeze=False)
+    figure, rows = pyplot.subplots(
+        len(panels), 1, sharex=True, figsize=(8, 3 * len(panels)), squeeze=False
+    )
     for axes, (y_name, series, mark, mark_name) in zip(rows[:, 0], panels, strict=True):
         for name, values in series.items():
             axes.plot(times, values, label=name)
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -86,7 +86,10 @@
 
     def on_message_complete(self) -> None:
         method, url = self._parser.get_method(), self._url
-        lines = [b"%b %b HTTP/1.1" % (method, url), *(b"%b: %b" % header for header in self._headers)]
+        lines = [
+            b"%b %b HTTP/1.1" % (method, url),
+            *(b"%b: %b" % header for header in self._headers),
+        ]
         body = self._body
         self._begin()
         if url == b"/up":
--- a/bench/storm.py
+++ b/bench/storm.py
@@ -28,13 +28,19 @@
 
 async def measure(sizes: list[int], cores: list[int]) -> None:
     gateway_core, host_core, client_core = cores
-    print("clients  program  first answers  p50 ms  max ms  late 200s  in aim  refused  failed  none")
+    print(
+        "clients  program  first answers  p50 ms  max ms  late 200s  in aim  refused  failed  none"
+    )
     for size in sizes:
         for name in ("relay", "gateway"):
             hosts = await HostsProcess(12, core=host_core).start()
             with tempfile.TemporaryDirectory() as folder:
                 gateway = GatewayProcess(
-                    Path(folder), hosts.discovery_port, settings(WORKS), sockets=10_000, core=gateway_core
+                    Path(folder),
+                    hosts.discovery_port,
+                    settings(WORKS),
+                    sockets=10_000,
+                    core=gateway_core,
                 )
                 relay = ["-m", "bench.relay", *map(str, hosts.ports)]
                 await gateway.start(command=relay if name == "relay" else ("-m", "quillroad"))
@@ -57,7 +63,9 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sizes", default=",".join(map(str, SIZES)), help="numbers of clients")
     have = sorted(os.sched_getaffinity(0))
-    parser.add_argument("--cores", default=",".join(map(str, have[-3:])), help="gateway, hosts, clients")
+    parser.add_argument(
+        "--cores", default=",".join(map(str, have[-3:])), help="gateway, hosts, clients"
+    )
     told = parser.parse_args()
     cores = [int(core) for core in told.cores.split(",")]
     if len(cores) != 3:
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -4,7 +4,7 @@
 Printed: time in each step, p99 and what was not served in a window round each switch against the seconds
 before, connections kept, descriptors and memory of both processes, and the account of every request.
 `--cold` lets the new process begin with nothing, for the routing in the first seconds with and without what
-the old one knew: one host of six hangs. Needs three cores; about a minute. """
+the old one knew: one host of six hangs. Needs three cores; about a minute."""
 
 from __future__ import annotations
 
@@ -116,7 +116,12 @@
         folder = Path(text)
         builds = Builds(folder / "build")
         async with Stage(
-            folder, WORKS, hosts=6, delay=0.02, sockets=1024, upgrades=FILE.format(canary=canary),
+            folder,
+            WORKS,
+            hosts=6,
+            delay=0.02,
+            sockets=1024,
+            upgrades=FILE.format(canary=canary),
             path=builds.folder,
         ) as stage:
             seen, over = Seen(), asyncio.Event()
@@ -124,7 +129,9 @@
             sending = asyncio.ensure_future(load.open_loop(steady(rate, 3600.0)))
             watching = asyncio.ensure_future(watch(stage, seen, over))
             await asyncio.sleep(1.0)
-            connects = len(load.records) and sum(record.first_on_connection for record in load.records)
+            connects = len(load.records) and sum(
+                record.first_on_connection for record in load.records
+            )
             for number in range(count):
                 kind = broken[number % len(broken)]
                 builds.put(kind)
@@ -175,7 +182,12 @@
         folder = Path(text)
         builds = Builds(folder / "build")
         async with Stage(
-            folder, WORKS, hosts=6, delay=0.02, sockets=1024, upgrades=FILE.format(canary="500 ms"),
+            folder,
+            WORKS,
+            hosts=6,
+            delay=0.02,
+            sockets=1024,
+            upgrades=FILE.format(canary="500 ms"),
             path=builds.folder,
         ) as stage:
             load = stage.load(shares=(3, 1), most=400)
@@ -200,7 +212,8 @@
             took = [record.took for record in sent if record.status == 200]
             print(
                 f"| {told} | {len(sent)} | {len(wrong)} "
-                f"| {percentile(took, 0.5) * 1e3:.0f} / {percentile(took, 0.99) * 1e3:.0f} |", flush=True
+                f"| {percentile(took, 0.5) * 1e3:.0f} / {percentile(took, 0.99) * 1e3:.0f} |",
+                flush=True,
             )
 
 
@@ -256,7 +269,9 @@
             print(f"{name}: of {QUEUED} connects in the queue {accepted} accepted, {resets} reset")
         return 0
     if told.cold:
-        print(f"| told | requests in {told.seconds:g} s | sent to the host that hangs | p50 / p99 ms |")
+        print(
+            f"| told | requests in {told.seconds:g} s | sent to the host that hangs | p50 / p99 ms |"
+        )
         print("| --- " * 4 + "|")
         for name in ("no upgrade", "all", "nothing") * told.count:
             await learning(told.rate, told.seconds, name)
@@ -267,13 +282,23 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--count", type=int, default=20, help="upgrades (default 20); runs with --cold")
+    parser.add_argument(
+        "--count", type=int, default=20, help="upgrades (default 20); runs with --cold"
+    )
     parser.add_argument("--rate", type=float, default=300.0, help="requests a second (default 300)")
-    parser.add_argument("--canary", default="500 ms", help="time for which the old process stands by")
-    parser.add_argument("--broken", action="store_true", help="every kind of broken build among them")
-    parser.add_argument("--cold", action="store_true", help="compare with a new process that is told nothing")
+    parser.add_argument(
+        "--canary", default="500 ms", help="time for which the old process stands by"
+    )
+    parser.add_argument(
+        "--broken", action="store_true", help="every kind of broken build among them"
+    )
+    parser.add_argument(
+        "--cold", action="store_true", help="compare with a new process that is told nothing"
+    )
     parser.add_argument("--queues", action="store_true", help="what the kernel's queue loses")
-    parser.add_argument("--seconds", type=float, default=5.0, help="watched after a switch, with --cold")
+    parser.add_argument(
+        "--seconds", type=float, default=5.0, help="watched after a switch, with --cold"
+    )
     return uvloop.run(run(parser.parse_args()))
 
 
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -76,7 +76,9 @@
 
     began: float = 0.0
     records: list[list[Record]] = field(default_factory=list)  # by part
-    away: list[float] = field(default_factory=list)  # when a host of the other zone received something
+    away: list[float] = field(
+        default_factory=list
+    )  # when a host of the other zone received something
     broken: list[str] = field(default_factory=list)
     received: dict[str, int] = field(default_factory=dict)
     report: Report | None = None
@@ -115,7 +117,9 @@
         per = tally(records, WORKS)
         first, last = records[0].sent, records[-1].sent
         away = sum(1 for at in run.away if first <= at <= last)
-        cells = [f"{row.in_aim / row.sent:.3f} / {row.refused / row.sent:.3f}" for row in per.values()]
+        cells = [
+            f"{row.in_aim / row.sent:.3f} / {row.refused / row.sent:.3f}" for row in per.values()
+        ]
         took = total(per.values()).took
         lines.append(
             f"| {name} | {part} | {' | '.join(cells)} | {away / len(records):.3f} "
@@ -130,7 +134,9 @@
     lines = []
     for one in run.report.classes:
         reasons = " | ".join(str(count) for count in one.reasons.values())
-        lines.append(f"| {name} | {one.name} | {one.crossed} | {reasons} | {one.past} | {one.refused} |")
+        lines.append(
+            f"| {name} | {one.name} | {one.crossed} | {reasons} | {one.past} | {one.refused} |"
+        )
     for zone, received in run.received.items():
         cells = [cell for one in run.report.classes for cell in one.zones if cell.zone == zone]
         counted = sum(cell.received for cell in cells)
@@ -150,21 +156,30 @@
             if 0 <= (slot := int((at - run.began) / SLOT_S)) < slots:
                 away[slot] += 1 / SLOT_S
         for record in (record for part in run.records for record in part):
-            if 0 <= (slot := int((record.sent - run.began) / SLOT_S)) < slots and WORKS[record.work].keyed:
+            if (
+                0 <= (slot := int((record.sent - run.began) / SLOT_S)) < slots
+                and WORKS[record.work].keyed
+            ):
                 sent[slot] += 1
                 good[slot] += record.status == 200 and record.took <= WORKS[record.work].aim
         crossings[name] = away
         served[name] = [g / s if s else 1.0 for g, s in zip(good, sent, strict=True)]
-    over_time(path, times, [
-        ("sends to the other zone a second", crossings, 0.0, ""),
-        ("seat-checkouts in aim", served, 1.0, "all"),
-    ])
+    over_time(
+        path,
+        times,
+        [
+            ("sends to the other zone a second", crossings, 0.0, ""),
+            ("seat-checkouts in aim", served, 1.0, "all"),
+        ],
+    )
 
 
 async def measure(args: argparse.Namespace) -> int:
     runs = {name: await play(text, args.rate, args.seconds) for name, text in WAYS.items()}
-    print("| told | the own zone | status-checks in aim / refused | seat-checkouts in aim / refused "
-          "| crossed | p50 / p99 ms |")
+    print(
+        "| told | the own zone | status-checks in aim / refused | seat-checkouts in aim / refused "
+        "| crossed | p50 / p99 ms |"
+    )
     print("| --- " * 6 + "|")
     for name, run in runs.items():
         print("\n".join(rows(name, run)))
@@ -183,8 +198,10 @@
 def cost(hosts: int, on: bool, requests: int = 20_000) -> float:
     """Microseconds of CPU time that the module takes for a request, with `hosts` half of which are away."""
     told = Settings(
-        routes=(Route(name="r", effect=Effect.SAFE, aim_us=580_000, deadline_us=1_400_000),), max_attempts=4,
-        parallel_tries=True, cancelling=True,
+        routes=(Route(name="r", effect=Effect.SAFE, aim_us=580_000, deadline_us=1_400_000),),
+        max_attempts=4,
+        parallel_tries=True,
+        cancelling=True,
     )
     module = Balancer(told, 1, Crossing(Budget(0.05, (Allowance(),))) if on else None)
     servers = tuple(Server(i, zone=i % 2) for i in range(hosts))
--- a/lab/cuts.py
+++ b/lab/cuts.py
@@ -73,7 +73,8 @@
             there = self._there()
             rings = min(RINGS, len(there) - 1)
             self._rings = [
-                sorted(there, key=lambda n, ring=ring: _place(ring, n)) for ring in range(rings)  # type: ignore[misc]
+                sorted(there, key=lambda n, ring=ring: _place(ring, n))  # type: ignore[misc]
+                for ring in range(rings)
             ]
         return [ring[ring.index(number) - 1] for ring in self._rings if number in ring]
 
@@ -93,7 +94,9 @@
         away = [n for n, seen in self._members.items() if seen.standing is not Standing.ALIVE]
         self._asked += 1
         # All at the start, and then one of those that are not there.
-        for number in away if self._asked == 1 else away[self._asked % len(away):][:1] if away else []:
+        for number in (
+            away if self._asked == 1 else away[self._asked % len(away) :][:1] if away else []
+        ):
             self._send(number, Kind.PING)
         seen_silent = {n for n, periods in self._silent.items() if periods > MISSED}
         fresh = {n for n in seen_silent if own not in self._reports.get(n, ())}
@@ -116,7 +119,7 @@
             if to == self._roster.number:
                 continue
             for first in range(0, max(1, len(news)), MOST_NEWS):
-                self._send(to, Kind.GOSSIP, tuple(news[first:first + MOST_NEWS]), vote)
+                self._send(to, Kind.GOSSIP, tuple(news[first : first + MOST_NEWS]), vote)
 
     def receive(self, source: Address, data: bytes, now: float) -> None:
         datagram = decode(data)
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -14,7 +14,10 @@
 from quillroad.fleet.timing import Timing
 from quillroad.fleet.view import Change, View
 
-EVERYONE: Address = ("10.255.255.255", 7946)  # where a datagram reaches all, in a fleet that has such a place
+EVERYONE: Address = (
+    "10.255.255.255",
+    7946,
+)  # where a datagram reaches all, in a fleet that has such a place
 BUFFERED = 200  # datagrams that a stopped process's socket holds: the kernel drops what comes then
 
 
@@ -61,8 +64,11 @@
     def start(self, roster: Roster | None = None) -> None:
         world, fleet = self.fleet.world, self.fleet
         self.core = fleet.make(
-            roster or Roster(fleet.addresses, self.number, fleet.everyone), fleet.timing, world.now,
-            world.random.random, world.random.getrandbits(32),
+            roster or Roster(fleet.addresses, self.number, fleet.everyone),
+            fleet.timing,
+            world.now,
+            world.random.random,
+            world.random.getrandbits(32),
         )
         self.inbox.clear()
         self.stopped = False
@@ -116,7 +122,9 @@
         assert self.core is not None
         self._woken += 1
         woken = self._woken
-        self.fleet.world.at(self.core.arm(self.fleet.world.now) + self.lag(), lambda: self._tick(woken))
+        self.fleet.world.at(
+            self.core.arm(self.fleet.world.now) + self.lag(), lambda: self._tick(woken)
+        )
 
     def _flush(self, core: Part) -> None:
         sent, core.outbox = core.outbox, []
@@ -138,18 +146,31 @@
     """`size` members, none of them started; with `everyone` a datagram to it reaches all others."""
 
     def __init__(
-        self, world: World, size: int, timing: Timing | None = None, make: Callable[..., Part] = Core,
+        self,
+        world: World,
+        size: int,
+        timing: Timing | None = None,
+        make: Callable[..., Part] = Core,
         everyone: Address | None = None,
     ) -> None:
-        self.world, self.timing, self.make, self.everyone = world, timing or Timing(), make, everyone
+        self.world, self.timing, self.make, self.everyone = (
+            world,
+            timing or Timing(),
+            make,
+            everyone,
+        )
         self.addresses = [address(n) for n in range(size)]
         self.members = [Member(self, n) for n in range(size)]
         self._looked: dict[int, tuple[Part, int, frozenset[int], bool]] = {}
-        self.twins: dict[int, Member] = {}  # second processes under a number: either may get what comes
+        self.twins: dict[
+            int, Member
+        ] = {}  # second processes under a number: either may get what comes
 
     def start(self, numbers: Iterable[int] | None = None, within_s: float = 0.0) -> None:
         for n in range(len(self.members)) if numbers is None else numbers:
-            self.world.at(self.world.now + within_s * self.world.random.random(), self.members[n].start)
+            self.world.at(
+                self.world.now + within_s * self.world.random.random(), self.members[n].start
+            )
 
     def carry(self, source: int, target: int, data: bytes) -> None:
         if target == TO_ALL:
@@ -165,7 +186,9 @@
     def running(self) -> list[Member]:
         return [member for member in self.members if member.running]
 
-    def agreed(self, among: Iterable[int] | None = None, there: Iterable[int] | None = None) -> bool:
+    def agreed(
+        self, among: Iterable[int] | None = None, there: Iterable[int] | None = None
+    ) -> bool:
         """Whether each of `among`, the running ones as a rule, holds exactly `there`, as a rule these as
         well, for there: alive, and everyone else in the roster gone, left or never heard of."""
         numbers = [m.number for m in self.running()] if among is None else list(among)
@@ -188,7 +211,9 @@
         self._looked[number] = (core, view.version, expected, holds)
         return holds
 
-    def until(self, condition: Callable[[], bool], most_s: float, step_s: float = 0.1) -> float | None:
+    def until(
+        self, condition: Callable[[], bool], most_s: float, step_s: float = 0.1
+    ) -> float | None:
         """Seconds until something holds, looked at every `step_s`; None: not within `most_s`."""
         began = self.world.now
         while not condition():
--- a/lab/net.py
+++ b/lab/net.py
@@ -56,7 +56,9 @@
         key = (source, target)
         if key not in self._links:
             every = self.every
-            self._links[key] = Link(every.loss, every.doubled, every.delay_s, every.jitter_s, every.cut)
+            self._links[key] = Link(
+                every.loss, every.doubled, every.delay_s, every.jitter_s, every.cut
+            )
         return self._links[key]
 
     def cut(self, sources: set[int], targets: set[int], on: bool = True) -> None:
@@ -72,7 +74,11 @@
         copies = 1 + (self.random.random() < link.doubled if link.doubled else 0)
         for _ in range(copies):
             late = link.delay_s + link.jitter_s * self.random.random()
-            if link.cut or (link.loss and self.random.random() < link.loss) or (source, target) in self._cut:
+            if (
+                link.cut
+                or (link.loss and self.random.random() < link.loss)
+                or (source, target) in self._cut
+            ):
                 self.lost += 1
                 continue
             self.at(self.now + late, lambda: self._deliver(source, target, data, deliver))
@@ -104,5 +110,7 @@
             self.step()
             at, things = (at, things + 1) if self.now == at else (self.now, 0)
             if things > MOST_AT_ONCE:
-                raise RuntimeError(f"{at:.3f}: time stands still: something is due again at once, for ever")
+                raise RuntimeError(
+                    f"{at:.3f}: time stands still: something is due again at once, for ever"
+                )
         self.now = max(self.now, until)
--- a/lab/phi.py
+++ b/lab/phi.py
@@ -19,7 +19,9 @@
 KEPT = 100  # intervals of each
 THRESHOLD = 8.0  # the value that Cassandra and Akka began with
 LEAST_SPREAD_S = 0.1  # of a network that was quiet so far
-PAUSE_PERIODS = 3  # of silence that are accepted on top, as Akka does: without, a lost heartbeat is an end
+PAUSE_PERIODS = (
+    3  # of silence that are accepted on top, as Akka does: without, a lost heartbeat is an end
+)
 
 
 class Phi(Heartbeats):
@@ -30,7 +32,9 @@
     ) -> None:
         super().__init__(roster, timing, now, draw, life)
         self._intervals: dict[int, deque[float]] = {}
-        self._judged: dict[int, tuple[float, float]] = {}  # mean and spread, until the next heartbeat
+        self._judged: dict[
+            int, tuple[float, float]
+        ] = {}  # mean and spread, until the next heartbeat
 
     def receive(self, source: Address, data: bytes, now: float) -> None:
         number = decode(data).number
--- a/lab/schedule.py
+++ b/lab/schedule.py
@@ -23,9 +23,13 @@
 START_S, CALM_S, SETTLE_S = 15.0, 5.0, 60.0
 SLOW_S = 3.0  # by which each step of a slow member, and each datagram to it, is late at most
 LOOK_S = 0.25  # between two looks at what must hold
-LEAST_HELD = 2  # entries of passing state that a member at rest may have: a probe, an answer on its way
+LEAST_HELD = (
+    2  # entries of passing state that a member at rest may have: a probe, an answer on its way
+)
 
-Act = Literal["kill", "start", "stop", "go_on", "cut", "deaf", "apart", "whole", "loss", "slow", "quick"]
+Act = Literal[
+    "kill", "start", "stop", "go_on", "cut", "deaf", "apart", "whole", "loss", "slow", "quick"
+]
 LEAST_S, MOST_S = 0.2, 6.0  # between two steps
 
 
@@ -62,17 +66,32 @@
     """A schedule of so many steps by this seed."""
     random = Random(seed)
     acts: tuple[Act, ...] = (
-        "kill", "start", "stop", "go_on", "cut", "deaf", "apart", "whole", "whole", "loss", "slow", "quick",
+        "kill",
+        "start",
+        "stop",
+        "go_on",
+        "cut",
+        "deaf",
+        "apart",
+        "whole",
+        "whole",
+        "loss",
+        "slow",
+        "quick",
     )
     steps = []
     for _ in range(length):
         act = random.choice(acts)
         most = size // 2 if act in ("apart", "kill") else 1
         members = tuple(sorted(random.sample(range(size), random.randint(1, most))))
-        steps.append(Step(
-            round(random.uniform(LEAST_S, MOST_S), 2), act, members if act not in ("whole", "loss") else (),
-            random.choice((0.0, 0.05, 0.1)) if act == "loss" else 0.0,
-        ))
+        steps.append(
+            Step(
+                round(random.uniform(LEAST_S, MOST_S), 2),
+                act,
+                members if act not in ("whole", "loss") else (),
+                random.choice((0.0, 0.05, 0.1)) if act == "loss" else 0.0,
+            )
+        )
     return Schedule(seed, size, tuple(steps), aloud)
 
 
@@ -87,7 +106,9 @@
     def __init__(self, schedule: Schedule, timing: Timing | None = None) -> None:
         self._schedule = schedule
         self._fleet = Fleet(
-            World(schedule.seed, Link(loss=0.01)), schedule.size, timing,
+            World(schedule.seed, Link(loss=0.01)),
+            schedule.size,
+            timing,
             everyone=EVERYONE if schedule.aloud else None,
         )
         self._said = [0] * schedule.size  # the highest incarnation that each ever had
@@ -115,7 +136,9 @@
             raise Broken("views agreed, and not for long")
         for member in fleet.members:
             if member.core is not None and self._core(member).held > LEAST_HELD:
-                raise Broken(f"{member.number} keeps {self._core(member).held} entries with nothing going on")
+                raise Broken(
+                    f"{member.number} keeps {self._core(member).held} entries with nothing going on"
+                )
         return fleet.world.trace
 
     def _core(self, member: Member) -> Core:
@@ -174,21 +197,31 @@
         fleet = self._fleet
         now = fleet.world.now
         for member in fleet.members:
-            if member.core is not self._cores[member.number]:  # another process, that knows nothing yet
+            if (
+                member.core is not self._cores[member.number]
+            ):  # another process, that knows nothing yet
                 self._cores[member.number] = member.core
-                self._held = {key: value for key, value in self._held.items() if key[0] != member.number}
+                self._held = {
+                    key: value for key, value in self._held.items() if key[0] != member.number
+                }
             if member.core is not None:
-                self._said[member.number] = max(self._said[member.number], self._core(member).incarnation)
+                self._said[member.number] = max(
+                    self._said[member.number], self._core(member).incarnation
+                )
         for member in fleet.members:
             if member.peak_bytes > fleet.timing.most_bytes:
-                raise Broken(f"{now:.2f}: {member.number} sent {member.peak_bytes} bytes in a second")
+                raise Broken(
+                    f"{now:.2f}: {member.number} sent {member.peak_bytes} bytes in a second"
+                )
             if member.core is None:
                 continue
             core = self._core(member)
             for number in range(len(fleet.members)):
                 claim = core.claims[number]
                 if claim.incarnation > self._said[number]:
-                    raise Broken(f"{now:.2f}: {member.number} holds an incarnation that {number} never had")
+                    raise Broken(
+                        f"{now:.2f}: {member.number} holds an incarnation that {number} never had"
+                    )
                 key, value = (member.number, number), (claim.incarnation, int(claim.standing))
                 if value < self._held.get(key, (0, 0)):
                     raise Broken(f"{now:.2f}: what {member.number} holds of {number} went back")
@@ -205,7 +238,9 @@
             for change in member.history[since:]:
                 false = change.what == gone and change.number not in self._touched
                 if false and member.number not in self._parted:
-                    raise Broken(f"{now:.2f}: {member.number} held {change.number} for gone, a sound one")
+                    raise Broken(
+                        f"{now:.2f}: {member.number} held {change.number} for gone, a sound one"
+                    )
 
 
 def smaller(schedule: Schedule, breaks: Callable[[Schedule], bool]) -> Schedule:
@@ -225,7 +260,11 @@
         for number in step.members:
             left = tuple(n for n in steps[at].members if n != number)
             if left:
-                fewer = [*steps[:at], msgspec.structs.replace(steps[at], members=left), *steps[at + 1 :]]
+                fewer = [
+                    *steps[:at],
+                    msgspec.structs.replace(steps[at], members=left),
+                    *steps[at + 1 :],
+                ]
                 if breaks(msgspec.structs.replace(schedule, steps=tuple(fewer))):
                     steps = fewer
     return msgspec.structs.replace(schedule, steps=tuple(steps))
--- a/lab/walk.py
+++ b/lab/walk.py
@@ -79,7 +79,11 @@
     """`size` members, which reach all others at `everyone`, where that is told."""
 
     def __init__(
-        self, size: int, timing: Timing | None = None, crashes: int = 1, losses: int = 2,
+        self,
+        size: int,
+        timing: Timing | None = None,
+        crashes: int = 1,
+        losses: int = 2,
         everyone: Address | None = None,
     ) -> None:
         self._size, self._timing, self._everyone = size, timing or Timing(), everyone
@@ -90,7 +94,9 @@
     def begin(self) -> State:
         """All have just started."""
         empty = (None,) * self._size
-        state = State(0.0, empty, (float("inf"),) * self._size, (), (0,) * self._size, (0,) * self._size)
+        state = State(
+            0.0, empty, (float("inf"),) * self._size, (), (0,) * self._size, (0,) * self._size
+        )
         for number in range(self._size):
             state = self.step(state, Step("start", number))
         return state
@@ -116,7 +122,9 @@
             life = state.lives[number] + 1
             lives = (*state.lives[:number], life, *state.lives[number + 1 :])
             roster = Roster(self._addresses, number, self._everyone)
-            core = Core(roster, self._timing, state.now, Draws(100 * number + life), 100 * number + life)
+            core = Core(
+                roster, self._timing, state.now, Draws(100 * number + life), 100 * number + life
+            )
             return self._after(state._replace(lives=lives), number, None, core)
         state = state._replace(now=max(state.now, state.due[number]))
         blob = state.cores[number]
@@ -183,7 +191,9 @@
         losses; raises `Broken` with the path."""
         seen: dict[tuple[State, int, int], int] = {}
         ends: dict[State, tuple[Step, ...]] = {}
-        stack: list[tuple[State, int, int, tuple[Step, ...]]] = [(state, self._crashes, self._losses, ())]
+        stack: list[tuple[State, int, int, tuple[Step, ...]]] = [
+            (state, self._crashes, self._losses, ())
+        ]
         while stack:
             at, crashes, losses, path = stack.pop()
             left = depth - len(path)
@@ -228,13 +238,21 @@
         start = self.begin()
         settled = self.play(start, self._agreed, "never settled")
         crashed = self.step(settled, Step("crash", last))
-        suspected = self.play(crashed, lambda at: self._holds(at, Standing.SUSPECT, last), "never suspected")
+        suspected = self.play(
+            crashed, lambda at: self._holds(at, Standing.SUSPECT, last), "never suspected"
+        )
         gone = self.play(suspected, self._agreed, "never gone")
         cut = frozenset({(last, n) for n in others} | {(n, last) for n in others})
-        apart = self.play(settled, lambda at: self._holds(at, Standing.GONE, last), "never apart", cut)
+        apart = self.play(
+            settled, lambda at: self._holds(at, Standing.GONE, last), "never apart", cut
+        )
         return {
-            "all start": start, "settled": settled, "suspected": suspected, "gone": gone,
-            "back from nothing": self.step(gone, Step("start", last)), "apart, and whole again": apart,
+            "all start": start,
+            "settled": settled,
+            "suspected": suspected,
+            "gone": gone,
+            "back from nothing": self.step(gone, Step("start", last)),
+            "apart, and whole again": apart,
         }
 
     def _holds(self, state: State, standing: Standing, number: int) -> bool:
@@ -242,7 +260,10 @@
         return all(core.view.members[number].standing is standing for core in others)
 
     def play(
-        self, state: State, until: Callable[[State], bool], why: str,
+        self,
+        state: State,
+        until: Callable[[State], bool],
+        why: str,
         cut: frozenset[tuple[int, int]] = frozenset(),
     ) -> State:
         """Deliver all in order but what goes from one of a pair in `cut` to the other, and let timers run,
@@ -259,9 +280,13 @@
             if lost:
                 state = self.step(state, Step("lose", lost[0]))
             elif state.flights:
-                state = self.step(state._replace(now=state.now + DELAY_S), Step("deliver", state.flights[0]))
+                state = self.step(
+                    state._replace(now=state.now + DELAY_S), Step("deliver", state.flights[0])
+                )
             else:
-                state = self.step(state, next(step for step in self.next(state) if step.act == "tick"))
+                state = self.step(
+                    state, next(step for step in self.next(state) if step.act == "tick")
+                )
         raise Broken(why)
 
     def _running(self, state: State) -> list[Core]:
--- a/pinetrack/balance.py
+++ b/pinetrack/balance.py
@@ -12,9 +12,33 @@
 from typing import TYPE_CHECKING, Any
 
 from pinetrack.interface import (
-    NEVER_RAN, Action, Alarm, Arrived, AttemptDone, Beside, Cancel, Carried, Company, Departed, Effect, Event,
-    Fail, Group, ListKind, Log, Outcome, Refuse, Route, Send, Server, ServerList, SetAlarm, Settings, State,
-    StreamStarted, Watch,
+    NEVER_RAN,
+    Action,
+    Alarm,
+    Arrived,
+    AttemptDone,
+    Beside,
+    Cancel,
+    Carried,
+    Company,
+    Departed,
+    Effect,
+    Event,
+    Fail,
+    Group,
+    ListKind,
+    Log,
+    Outcome,
+    Refuse,
+    Route,
+    Send,
+    Server,
+    ServerList,
+    SetAlarm,
+    Settings,
+    State,
+    StreamStarted,
+    Watch,
 )
 
 if TYPE_CHECKING:
@@ -39,13 +63,20 @@
 ROOM = 0.001  # what the limit gains or loses by one answer: quick to learn against steady
 TARGET = 0.7  # share of attempts in time at which load shedding holds: use of the fleet against wasted work
 STEER = 4.0  # what a memory full of good or bad outcomes would move the share admitted by: speed against calm
-LEAST_ADMITTED = 0.1  # share still admitted at the worst: finding out that it is over against feeding a jam
+LEAST_ADMITTED = (
+    0.1  # share still admitted at the worst: finding out that it is over against feeding a jam
+)
 COLD_SAFETY = 0.5  # part of the told cold-start budget to use: a window can touch two turns in full
 LOCAL = 0.5  # local servers take all while one is filled under this part of its limit: crossings or waits
-MEMORY = 0.25  # part of the told ask-within time that a record lasts: fresh records against wide windows
+MEMORY = (
+    0.25  # part of the told ask-within time that a record lasts: fresh records against wide windows
+)
 FEWEST = 3  # servers in the smallest window: one bad server must leave a choice
 SLOW = 2.5  # an answer that took so many times the uncrowded latency tells of a crowd: calm against notice
-LESS, MORE = 0.1, 0.033  # part of the window given up by a slow answer and won by a quick one: 3 outweigh it
+LESS, MORE = (
+    0.1,
+    0.033,
+)  # part of the window given up by a slow answer and won by a quick one: 3 outweigh it
 # Attempts at a server at once by all that share it, however quick answers are: three servers to choose from
 # were three places, and 32 balancers held 8 at each of 12 before an answer told of it. With 6.0, 4.5, 3.5 and
 # 3.0 G was 0.33, 0.43, 0.46 and 0.47, with no bound 0.27 (throng+brink of kochi, four draws).
@@ -97,7 +128,10 @@
         self.samples, self.try_us = 0, 0.0  # answers learned from; how long clients wait, smoothed
         self.due: deque[tuple[int, Attempt]] = deque()  # attempts by the time they are overdue
         self.denied = False  # at the last pick only other zones had room, and their budget said no
-        self.queues: tuple[deque[Request], deque[Request]] = (deque(), deque())  # within quota, over it
+        self.queues: tuple[deque[Request], deque[Request]] = (
+            deque(),
+            deque(),
+        )  # within quota, over it
 
 
 class ServerState:
@@ -105,11 +139,17 @@
         self.spec, self.payoff = spec, UNKNOWN
         self.order = zlib.crc32(b"%d" % spec.id)  # its place in the order common to all balancers
         self.in_flight = self.overdue = 0  # own attempts out, and those of them past their aim
-        self.missed_us, self.answered_us = 0, -1  # when the newest overdue and the newest answered were sent
+        self.missed_us, self.answered_us = (
+            0,
+            -1,
+        )  # when the newest overdue and the newest answered were sent
         self.heard_us = 0  # when an outcome last told of it
         self.ejections = self.ejected_until_us = 0
         self.failures = 0  # quick ones since the last answer
-        self.turn, self.turn_us = -1, 0.0  # slow start: our last turn at it, and the work left in that turn
+        self.turn, self.turn_us = (
+            -1,
+            0.0,
+        )  # slow start: our last turn at it, and the work left in that turn
         self.beside = (0, 0)  # of the two counts above, what is another process's of this gateway
 
     def well(self, now_us: int) -> bool:
@@ -122,7 +162,9 @@
 
     def taken(self) -> int:
         """Places taken: what got lost holds none."""
-        return self.in_flight if not self.overdue or self.silent() else self.in_flight - self.overdue
+        return (
+            self.in_flight if not self.overdue or self.silent() else self.in_flight - self.overdue
+        )
 
 
 class Attempt:
@@ -153,7 +195,9 @@
 def may_refuse(request: Request) -> bool:
     """Rule 2: a refusal says that trying again is harmless, so nothing harmful may have run."""
     spec = request.route.spec
-    repeatable = spec.effect is Effect.SAFE or (spec.effect is Effect.KEYED and spec.group is Group.ALL)
+    repeatable = spec.effect is Effect.SAFE or (
+        spec.effect is Effect.KEYED and spec.group is Group.ALL
+    )
     return repeatable or not request.may_have_run()
 
 
@@ -172,25 +216,37 @@
         self.crossing = crossing
         self.routes = [RouteState(spec) for spec in settings.routes or (Route(),)]
         self.servers: dict[int, ServerState] = {}
-        self.candidates: list[ServerState] = []  # the ready ones, in the same order at every balancer
+        self.candidates: list[
+            ServerState
+        ] = []  # the ready ones, in the same order at every balancer
         self.cold: list[ServerState] = []  # those of them that are cold
         self.one_zone = True  # all servers are in the own zone
         # A turn holds one request of the dearest route at the coldest, and is no longer than the told window.
-        safe_us = COLD_SAFETY * settings.fall_multiple * settings.cold_from * settings.fall_window_us
+        safe_us = (
+            COLD_SAFETY * settings.fall_multiple * settings.cold_from * settings.fall_window_us
+        )
         turns = max(1, int(safe_us / max(r.cost_us for r in self.routes)))
-        self.turn_us = max(1, settings.fall_window_us // turns)  # a deadline of 1 us makes millions of turns
+        self.turn_us = max(
+            1, settings.fall_window_us // turns
+        )  # a deadline of 1 us makes millions of turns
         self.requests: dict[int, Request] = {}
         self.actions: list[Action] = []
         self.alarms: dict[int, tuple[Callable[[Any], None], Any]] = {}
         self.tags = self.queued = self.failed_calls = 0
         self.quotas = [TokenBucket(q) for q in settings.tenant_quotas_per_s]
         self.span_us, self.mean_payoff = MEMORY * settings.ask_within_us, UNKNOWN
-        self.recent, self.counted_us, self.admitted = 0.0, 0, 1.0  # requests of late; share not shed
+        self.recent, self.counted_us, self.admitted = (
+            0.0,
+            0,
+            1.0,
+        )  # requests of late; share not shed
         self.mean_cost_us = min(r.cost_us for r in self.routes)
         self.guess_us = max(r.cost_us for r in self.routes)  # before anything is learned
         self.shortest_us = min(r.patience_us for r in self.routes)
         self.blocking_share = 0.0  # part of the work asked for that comes in blocking requests
-        self.pace: dict[int, float] = {}  # of each kind of machine: mean log2 of latency over route cost
+        self.pace: dict[
+            int, float
+        ] = {}  # of each kind of machine: mean log2 of latency over route cost
         self.number, self.balancers = settings.number, settings.balancers  # as they are now
         # Own share of a server's concurrency limit.
         self.limit = (LIMIT if settings.balancers <= LIMIT else SHARED) / settings.balancers
@@ -201,9 +257,17 @@
         self.share = 0.0  # own part of the places at all servers of the window
         self.most = 0.0  # own attempts out at once, however quick answers are
         self.nerve = 1.0  # part of the window's width that answers allow to be out
-        self.placed_us, self.gap_us = 0, 0.0  # the last send from the queue; time between two, smoothed
-        self.full_in_row, self.paused_until_us = 0, 0  # servers that turned us away since the last answer
-        self.flying = self.beside = 0  # attempts out and not overdue: own, of this gateway's other process
+        self.placed_us, self.gap_us = (
+            0,
+            0.0,
+        )  # the last send from the queue; time between two, smoothed
+        self.full_in_row, self.paused_until_us = (
+            0,
+            0,
+        )  # servers that turned us away since the last answer
+        self.flying = self.beside = (
+            0  # attempts out and not overdue: own, of this gateway's other process
+        )
         self.tally: dict[str, int] = {}  # what was refused, and why; copies and ejections
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
@@ -306,7 +370,10 @@
         """Whether a tenant is past its share here: an even part of its quota. An unnamed tenant has none."""
         if not 0 <= tenant < len(self.quotas):
             return bool(self.quotas)
-        rate, quota = self.settings.tenant_quotas_per_s[tenant] / self.settings.balancers, self.quotas[tenant]
+        rate, quota = (
+            self.settings.tenant_quotas_per_s[tenant] / self.settings.balancers,
+            self.quotas[tenant],
+        )
         quota.earn(rate / 1e6 * (self.now - quota.filled_us), max(1.0, rate))
         quota.filled_us = self.now
         return not quota.spend()
@@ -331,7 +398,9 @@
         behind it. A guess would not do: with nothing learned it refused what could be served."""
         rank = self.rank(request.route, request.over)
         ahead = sum(
-            len(queue) for route in self.routes for over, queue in enumerate(route.queues)
+            len(queue)
+            for route in self.routes
+            for over, queue in enumerate(route.queues)
             if queue and self.rank(route, bool(over)) <= rank
         )
         return max(self.paused_until_us - self.now, (ahead + 1) * self.gap_us)
@@ -339,7 +408,9 @@
     def rank(self, route: RouteState, over: bool) -> float:
         """The order in which what waits is sent: worth for cost first; over-quota tenants, marked repeats
         last."""
-        return (-self.settings.over_quota_worth if over else -1.0) * route.spec.worth / route.cost_us
+        return (
+            (-self.settings.over_quota_worth if over else -1.0) * route.spec.worth / route.cost_us
+        )
 
     def out_of_reach(self, request: Request) -> bool:
         """Whether nobody at home is well, and no crossing comes free in its time: given up at once."""
@@ -370,13 +441,17 @@
         wait_us = self.settings.max_retry_after_us if self.settings.retry_after else 0
         if request.route.denied and self.crossing is not None and not request.attempts:
             self.crossing.refuse(request.number)
-        self.actions.append(Refuse(request.id, wait_us) if may_refuse(request) else Fail(request.id))
+        self.actions.append(
+            Refuse(request.id, wait_us) if may_refuse(request) else Fail(request.id)
+        )
         self.close(request)
 
     def close(self, request: Request) -> None:
         """Nothing is sent from here on. The first terminal outcome calls off the copies still out."""
         if not request.closed and self.settings.cancelling:
-            self.actions += [Cancel(request.id, i) for i, a in enumerate(request.attempts) if not a.outcome]
+            self.actions += [
+                Cancel(request.id, i) for i, a in enumerate(request.attempts) if not a.outcome
+            ]
         request.closed = True
         if not request.out:
             self.requests.pop(request.id, None)
@@ -403,13 +478,21 @@
             return False
         if spec.effect is not Effect.SAFE and (ran := request.may_have_run()):
             there, here = ran[0].server.spec, server.spec
-            same = {Group.ALL: True, Group.ZONE: there.zone == here.zone, Group.CELL: there.cell == here.cell}
+            same = {
+                Group.ALL: True,
+                Group.ZONE: there.zone == here.zone,
+                Group.CELL: there.cell == here.cell,
+            }
             known = same[spec.group] and self.now < ran[0].sent_us + spec.memory_span_us
             if spec.effect is Effect.UNSAFE or not known:
                 return False
         if server.spec.state is not State.READY or not self.may_warm(request, server):
             return False
-        return self.crossing is None or not self.abroad(server) or self.may_cross(request, self.crossing)
+        return (
+            self.crossing is None
+            or not self.abroad(server)
+            or self.may_cross(request, self.crossing)
+        )
 
     def abroad(self, s: ServerState) -> bool:
         return not self.one_zone and s.spec.zone != self.settings.zone
@@ -422,7 +505,11 @@
 
     def why_cross(self, request: Request, crossing: Crossing) -> Reason:
         spec = request.route.spec
-        ran = spec.effect is Effect.KEYED and spec.group is not Group.ALL and bool(request.may_have_run())
+        ran = (
+            spec.effect is Effect.KEYED
+            and spec.group is not Group.ALL
+            and bool(request.may_have_run())
+        )
         return crossing.why(ran, bool(request.out))
 
     def look_home(self, crossing: Crossing) -> None:
@@ -466,7 +553,9 @@
         crossing = self.crossing
         if crossing is not None and crossing.due(self.now):
             self.look_home(crossing)
-        for s in self.cold:  # a turn unused is lost to all: guards against a fleet left cold by a deploy
+        for s in (
+            self.cold
+        ):  # a turn unused is lost to all: guards against a fleet left cold by a deploy
             if crossing is not None and self.abroad(s) and not crossing.lost:
                 continue  # no work crosses for the sake of a server that its own zone can warm
             if self.is_cold(s) and s.well(self.now) and self.open(request, s):
@@ -479,7 +568,9 @@
             return None
         # In a window no lanes: only a full view tells their share of the work
         lane, part = (self.candidates, 1.0) if near else (self.lane(request.route), LOCAL)
-        part = part if crossing is None else 1.0  # a crossing is dearer than a wait at a server with room
+        part = (
+            part if crossing is None else 1.0
+        )  # a crossing is dearer than a wait at a server with room
         local = near or lane
         if not self.one_zone:
             local = [s for s in local if not self.abroad(s)]
@@ -554,13 +645,21 @@
         self.full_in_row += 1
         if self.full_in_row > 1:
             doubled = 2.0 ** min(self.full_in_row - 2, FULL_IN_ROW)
-            self.pause(min(self.mean_cost_us, self.guess_us) * doubled * (0.5 + self.random.random()))
+            self.pause(
+                min(self.mean_cost_us, self.guess_us) * doubled * (0.5 + self.random.random())
+            )
 
     def go_on(self, _: object) -> None:
         """A pause is over: what waits goes on with this event."""
 
-    def draw(self, request: Request, pool: list[ServerState], part: float = 1.0,
-             other: ServerState | None = None, panic: bool = False) -> ServerState | None:
+    def draw(
+        self,
+        request: Request,
+        pool: list[ServerState],
+        part: float = 1.0,
+        other: ServerState | None = None,
+        panic: bool = False,
+    ) -> ServerState | None:
         """The first server with room from a random place on; one tried before only if there is no other."""
         n, tried = len(pool), [a.server for a in request.attempts]
         start = int(self.random.random() * n)
@@ -589,7 +688,11 @@
     def lane(self, route: RouteState) -> list[ServerState]:
         """Blocking requests keep to a part of the common order in proportion to their part of the work."""
         n = len(self.candidates)
-        k = min(n - 1, max(1, round(n * self.blocking_share))) if n > 1 and self.blocking_share > 0.0 else 0
+        k = (
+            min(n - 1, max(1, round(n * self.blocking_share)))
+            if n > 1 and self.blocking_share > 0.0
+            else 0
+        )
         if not k:
             return self.candidates
         return self.candidates[:k] if self.blocks(route) else self.candidates[k:]
@@ -604,7 +707,9 @@
             if not request.attempts:
                 crossing.first(self.now)
             if self.abroad(server):
-                self.tell(crossing.spend(self.now, request.number, self.why_cross(request, crossing)))
+                self.tell(
+                    crossing.spend(self.now, request.number, self.why_cross(request, crossing))
+                )
         if not request.attempts:
             # None saves more than it earns of late: guards against many buckets that together hold a storm.
             route.budget.earn(EARN, max(1.0, min(TOKENS, SAVED * self.recent)))
@@ -620,7 +725,10 @@
         if request.long:
             return  # guards against a server that reads slowly counting as silent, and against a copy of all
         route.due.append((self.now + route.patience_us, attempt))
-        if self.parallel(route.spec) and (wait_us := route.latency.percentile(HEDGE_AT)) is not None:
+        if (
+            self.parallel(route.spec)
+            and (wait_us := route.latency.percentile(HEDGE_AT)) is not None
+        ):
             self.alarm(wait_us, self.hedge, request)
 
     def latest_us(self, request: Request, server: ServerState) -> int:
@@ -650,14 +758,18 @@
         self.learn(request, attempt, event)
         if event.closed or event.outcome is Outcome.SUCCESS or request.closed:
             self.close(request)
-        elif not request.out:  # a retry group ended without an answer: attempts, classifier and budget decide
+        elif (
+            not request.out
+        ):  # a retry group ended without an answer: attempts, classifier and budget decide
             left = len(request.attempts) < self.settings.max_attempts
             again = left and classify(request, event.outcome) and request.route.budget.spend()
             self.back_off(request) if again else self.finish(request, "refused_again")
 
     def back_off(self, request: Request) -> None:
         """Waits grow between retry groups; spent time ends the request."""
-        wait_us = request.route.patience_us * BACKOFF * 2.0**request.groups * (0.5 + self.random.random())
+        wait_us = (
+            request.route.patience_us * BACKOFF * 2.0**request.groups * (0.5 + self.random.random())
+        )
         request.groups += 1
         if self.now + wait_us + request.cost_us < request.useful_us:
             self.alarm(wait_us, self.send_again, request)
@@ -681,7 +793,9 @@
             self.flying -= 1
         if outcome is Outcome.CANCELLED or outcome is Outcome.MOOT:
             return
-        shared = self.limit < 1.0 and not self.is_cold(s)  # in a turn at a cold server nobody else sends
+        shared = self.limit < 1.0 and not self.is_cold(
+            s
+        )  # in a turn at a cold server nobody else sends
         if shared and outcome is not Outcome.FULL and (places := self.places()) < 1.0:
             self.pause(min(event.elapsed_us, route.patience_us) * (1.0 / places - 1.0))
         if request.long and outcome is Outcome.TIMEOUT:
@@ -696,7 +810,9 @@
             pace = math.log2(max(event.elapsed_us / route.cost_us, 0.01))
             self.pace[s.spec.kind] += (pace - self.pace[s.spec.kind]) * SMOOTH
             route.samples += 1
-            if attempt.alone or route.samples < 64:  # slower and slower, lest a jam become the yardstick
+            if (
+                attempt.alone or route.samples < 64
+            ):  # slower and slower, lest a jam become the yardstick
                 step = (event.elapsed_us - route.cost_us) / min(route.samples, 1024)
                 route.cost_us = max(1.0, route.cost_us + step)  # what it divides is never 0
             # In a window it is others that fill a server: own answers tell nothing of how many it bears.
@@ -706,7 +822,9 @@
             route.latency.append(event.elapsed_us)
             if event.elapsed_us <= aim_us or route.spec.aim_us is None:
                 # With no aim half of all answers are slower than the median: no sign of a jam or an outlier.
-                return self.credit(s, float(event.elapsed_us <= aim_us), route.spec.aim_us is not None)
+                return self.credit(
+                    s, float(event.elapsed_us <= aim_us), route.spec.aim_us is not None
+                )
         if self.limit < 1.0 and outcome is not Outcome.TIMEOUT:
             self.rest(s, REST_US)
             if outcome is Outcome.FULL and shared:
@@ -752,7 +870,9 @@
     def rest(self, s: ServerState, first_us: int) -> None:
         """A server in the window failed, and the next in the ring is as near: a rest that doubles costs less
         than to learn by a dozen failures, at each of many balancers, that it is gone, errs or hangs."""
-        s.ejected_until_us = max(s.ejected_until_us, self.now + int(first_us * 2.0 ** min(s.failures, 5)))
+        s.ejected_until_us = max(
+            s.ejected_until_us, self.now + int(first_us * 2.0 ** min(s.failures, 5))
+        )
         s.failures += 1
 
     def resize(self, crowding: float) -> None:
@@ -789,7 +909,9 @@
             return
         # Guards against the trials of all that share a server jamming what they test.
         sharing = self.balancers * min(1.0, self.recent / max(1, len(self.candidates)))
-        first_us = max(TRIALS * sharing * self.mean_cost_us, *(r.spec.deadline_us for r in self.routes))
+        first_us = max(
+            TRIALS * sharing * self.mean_cost_us, *(r.spec.deadline_us for r in self.routes)
+        )
         wait_us = int(first_us * min(4, 2**s.ejections))
         s.ejections += 1
         self.count("ejections")
@@ -799,7 +921,13 @@
 
 
 HANDLERS: dict[type, Callable[[Balancer, Any], None]] = {
-    ServerList: Balancer.on_list, Arrived: Balancer.on_arrived, Departed: Balancer.on_departed,
-    AttemptDone: Balancer.on_done, StreamStarted: Balancer.on_stream, Alarm: Balancer.on_alarm,
-    Beside: Balancer.on_beside, Carried: Balancer.on_carried, Company: Balancer.on_company,
+    ServerList: Balancer.on_list,
+    Arrived: Balancer.on_arrived,
+    Departed: Balancer.on_departed,
+    AttemptDone: Balancer.on_done,
+    StreamStarted: Balancer.on_stream,
+    Alarm: Balancer.on_alarm,
+    Beside: Balancer.on_beside,
+    Carried: Balancer.on_carried,
+    Company: Balancer.on_company,
 }
--- a/pinetrack/benchlink.py
+++ b/pinetrack/benchlink.py
@@ -83,7 +83,9 @@
     bits = _at(m, 4, 0)
     work = _at(m, 6) if bits & 1 else None
     tenant, repeat = _at(m, 7, 0), bool(bits & 2)
-    return Arrived(_whole(m[1]), _whole(_at(m, 2, 0)), _whole(m[3]), _at(m, 5), work, tenant, repeat)
+    return Arrived(
+        _whole(m[1]), _whole(_at(m, 2, 0)), _whole(m[3]), _at(m, 5), work, tenant, repeat
+    )
 
 
 READERS: dict[str, Callable[[list[Any]], Event]] = {
@@ -202,7 +204,9 @@
         balancer = self._started(number)
         try:
             actions: list[Action] = balancer.handle(now_us, events)
-        except Exception as error:  # one instance's fault is reported as its own; the wire stays whole
+        except (
+            Exception
+        ) as error:  # one instance's fault is reported as its own; the wire stays whole
             decisions.append(["bug", f"{type(error).__name__}: {error}"])
         else:
             decisions.extend([WRITERS[type(action)](action) for action in actions])
--- a/pinetrack/crossing.py
+++ b/pinetrack/crossing.py
@@ -121,7 +121,9 @@
             lines.append(f"zone {'lost' if self.lost else 'regained'}: well={well} of={known}")
         if self.past and now >= self._past_until:
             self.past = False
-            lines.append(f"zone budget kept again: past={sum(s.past for s in self.sent)} since the start")
+            lines.append(
+                f"zone budget kept again: past={sum(s.past for s in self.sent)} since the start"
+            )
         return "; ".join(lines)
 
     # What is decided.
@@ -150,7 +152,11 @@
             return ""
         sent.past += 1
         self.past, self._past_until = True, now + max(LOOK_US, self.budget.hold_us)
-        return "" if before else f"zone budget passed: {reason.name.lower()}, used={self.used(now):.2f}"
+        return (
+            ""
+            if before
+            else f"zone budget passed: {reason.name.lower()}, used={self.used(now):.2f}"
+        )
 
     def refuse(self, route: int) -> None:
         """A request was turned away since no crossing was left for it."""
@@ -163,7 +169,9 @@
         told, part = self.budget, 1.0 - self.budget.classes[route].keep
         waits = [self._fades_us(self._crossed, part * self._room() - 1.0)]
         if told.bytes_per_s:
-            waits.append(self._fades_us(self._bytes, part * told.bytes_per_s * told.window_us / 1e6))
+            waits.append(
+                self._fades_us(self._bytes, part * told.bytes_per_s * told.window_us / 1e6)
+            )
         return max(waits)
 
     def _fades_us(self, count: float, most: float) -> float:
@@ -190,14 +198,20 @@
 
     def resume(self, firsts: float, crossed: float, size: float, now: int) -> None:
         """Go on with the window of another process of this gateway."""
-        self._firsts, self._crossed, self._bytes = max(0.0, firsts), max(0.0, crossed), max(0.0, size)
+        self._firsts, self._crossed, self._bytes = (
+            max(0.0, firsts),
+            max(0.0, crossed),
+            max(0.0, size),
+        )
         self._now = now
 
     def _fade(self, now: int) -> None:
         if now > self._now:
             part = math.exp((self._now - now) / self.budget.window_us)
             self._firsts, self._crossed, self._bytes = (
-                self._firsts * part, self._crossed * part, self._bytes * part
+                self._firsts * part,
+                self._crossed * part,
+                self._bytes * part,
             )
             self._now = now
 
@@ -210,5 +224,8 @@
     def _within(self, now: int, keep: float) -> bool:
         self._fade(now)
         told = self.budget
-        full = told.bytes_per_s and self._bytes > (1.0 - keep) * told.bytes_per_s * told.window_us / 1e6
+        full = (
+            told.bytes_per_s
+            and self._bytes > (1.0 - keep) * told.bytes_per_s * told.window_us / 1e6
+        )
         return not full and self._crossed + 1.0 <= (1.0 - keep) * self._room()
--- a/pinetrack/interface.py
+++ b/pinetrack/interface.py
@@ -129,9 +129,19 @@
         _need(self.fall_multiple > 0, "fall_multiple", "must be above 0")
         _need(self.fall_window_us > 0, "fall_window_us", "must be above 0")
         _need(self.ask_within_us > 0, "ask_within_us", "must be above 0")
-        for field in ("zone", "over_quota_worth", "max_retry_after_us", "drain_grace_us", "cold_us"):
+        for field in (
+            "zone",
+            "over_quota_worth",
+            "max_retry_after_us",
+            "drain_grace_us",
+            "cold_us",
+        ):
             _need(getattr(self, field) >= 0, field, "must not be negative")
-        _need(all(q >= 0 for q in self.tenant_quotas_per_s), "tenant_quotas_per_s", "must not be negative")
+        _need(
+            all(q >= 0 for q in self.tenant_quotas_per_s),
+            "tenant_quotas_per_s",
+            "must not be negative",
+        )
 
 
 class Server(NamedTuple):
@@ -164,7 +174,9 @@
     work_us: int | None = None
     tenant: int = 0
     repeat: bool = False
-    long: bool = False  # its body is: the time of an attempt tells how fast that is taken, not of load
+    long: bool = (
+        False  # its body is: the time of an attempt tells how fast that is taken, not of load
+    )
 
 
 class StreamStarted(NamedTuple):
@@ -231,7 +243,15 @@
 
 
 Event = (
-    Carried | Company | ServerList | Arrived | StreamStarted | AttemptDone | Departed | Alarm | ProbeDone
+    Carried
+    | Company
+    | ServerList
+    | Arrived
+    | StreamStarted
+    | AttemptDone
+    | Departed
+    | Alarm
+    | ProbeDone
     | Beside
 )
 
--- a/pinetrack/told.py
+++ b/pinetrack/told.py
@@ -15,13 +15,22 @@
 MOST = 2**53  # of any number: up to it whole ones are exact in JSON, and a time fits every clock
 # Fields of `Settings` and `Route` by the names that the platform has for them, where these differ.
 NAMES = {
-    "number": "my_number", "max_attempts": "limits.attempts_cap", "cold_from": "guarantees.cold_from",
-    "fall_multiple": "guarantees.fall_multiple", "fall_window_us": "guarantees.tip_after",
-    "ask_within_us": "guarantees.ask_within", "over_quota_worth": "over_share_worth",
-    "max_retry_after_us": "limits.max_retry_after", "drain_grace_us": "guarantees.drain_grace",
-    "cold_us": "guarantees.cold", "tenant_quotas_per_s": "orgs[].quota_per_s",
-    "route.aim_us": "goal_time", "route.deadline_us": "deadline", "route.worth": "importance",
-    "route.late_worth": "late_worth", "route.memory_span_us": "memory_span",
+    "number": "my_number",
+    "max_attempts": "limits.attempts_cap",
+    "cold_from": "guarantees.cold_from",
+    "fall_multiple": "guarantees.fall_multiple",
+    "fall_window_us": "guarantees.tip_after",
+    "ask_within_us": "guarantees.ask_within",
+    "over_quota_worth": "over_share_worth",
+    "max_retry_after_us": "limits.max_retry_after",
+    "drain_grace_us": "guarantees.drain_grace",
+    "cold_us": "guarantees.cold",
+    "tenant_quotas_per_s": "orgs[].quota_per_s",
+    "route.aim_us": "goal_time",
+    "route.deadline_us": "deadline",
+    "route.worth": "importance",
+    "route.late_worth": "late_worth",
+    "route.memory_span_us": "memory_span",
     "route.aim_stretch": "aim_stretch",
 }
 
@@ -107,10 +116,15 @@
         raise ValueError(f"{lane.at('deadline')}: missing")
     effect = lane.choice("semantics", Effect, None)
     values: dict[str, Any] = {
-        "name": lane.text("name"), "effect": effect, "aim_us": lane.maybe_whole("goal_time"),
-        "deadline_us": deadline_us, "worth": lane.number("importance", 1.0),
-        "late_worth": lane.number("late_worth", 0.0), "group": lane.choice("group", Group, Group.ALL),
-        "memory_span_us": lane.whole("memory_span", 0), "stream": lane.flag("stream"),
+        "name": lane.text("name"),
+        "effect": effect,
+        "aim_us": lane.maybe_whole("goal_time"),
+        "deadline_us": deadline_us,
+        "worth": lane.number("importance", 1.0),
+        "late_worth": lane.number("late_worth", 0.0),
+        "group": lane.choice("group", Group, Group.ALL),
+        "memory_span_us": lane.whole("memory_span", 0),
+        "stream": lane.flag("stream"),
         "aim_stretch": lane.number("aim_stretch", 0.0),
     }
     try:
--- a/quillroad/admin/admin.py
+++ b/quillroad/admin/admin.py
@@ -20,7 +20,9 @@
 
 log = logging.getLogger("quillroad.admin")
 
-RESERVED = PLACES + 2  # descriptors that clients and hosts can't have: its places, its listener, an accept
+RESERVED = (
+    PLACES + 2
+)  # descriptors that clients and hosts can't have: its places, its listener, an accept
 
 
 class Admin:
@@ -36,7 +38,9 @@
         self.reloads = [0, 0]  # failed, ok
         # Told of a change by hand, for another process of this gateway.
         self.on_change: Callable[[], None] | None = None
-        self.serves: Callable[[], bool] | None = None  # whether this process serves, where another may
+        self.serves: Callable[[], bool] | None = (
+            None  # whether this process serves, where another may
+        )
 
     def start(self) -> None:
         """Take calls from now on. Raises OSError where the address cannot be used."""
@@ -52,7 +56,9 @@
     def stop(self) -> None:
         self.front.stop()
 
-    def told(self, servers: ServerList, names: dict[int, str], addresses: dict[int, Address]) -> None:
+    def told(
+        self, servers: ServerList, names: dict[int, str], addresses: dict[int, Address]
+    ) -> None:
         """A source tells of hosts."""
         self._update(self.hands.lay(servers, names, addresses))
 
--- a/quillroad/admin/figures.py
+++ b/quillroad/admin/figures.py
@@ -48,7 +48,8 @@
         """For the library: everything as it is now. The names are told without the suffixes that typed
         families would add, so these go out untyped."""
         requests = UnknownMetricFamily(
-            f"{PREFIX}_requests", "Requests ended since the start of the process.",
+            f"{PREFIX}_requests",
+            "Requests ended since the start of the process.",
             labels=("class", "outcome"),
         )
         for name, counts in zip(self._classes, self.counts, strict=True):
--- a/quillroad/admin/front.py
+++ b/quillroad/admin/front.py
@@ -28,8 +28,14 @@
 LONGEST = 16 * 1024  # bytes of a call
 BODY_MOST = 4 * 1024  # bytes of a body, which no call needs
 REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-    413: "Content Too Large", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
     503: "Service Unavailable",
 }
 
@@ -67,7 +73,9 @@
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._transport = self._parser = None  # the parser refers back: a cycle waits for the collector
+        self._transport = self._parser = (
+            None  # the parser refers back: a cycle waits for the collector
+        )
         self._timer.cancel()
         self._front.left(self)
 
@@ -136,8 +144,10 @@
         if transport is None:
             return
         lines = [
-            f"HTTP/1.1 {told.status} {REASONS[told.status]}", f"Content-Type: {told.content_type}",
-            f"Content-Length: {len(told.body)}", "Connection: close",
+            f"HTTP/1.1 {told.status} {REASONS[told.status]}",
+            f"Content-Type: {told.content_type}",
+            f"Content-Length: {len(told.body)}",
+            "Connection: close",
         ]
         if told.allow:
             lines.append(f"Allow: {told.allow}")
--- a/quillroad/admin/hands.py
+++ b/quillroad/admin/hands.py
@@ -66,7 +66,9 @@
         line = self._told.get(number)
         return None if line is None else line[0]
 
-    def lay(self, servers: ServerList, names: Mapping[int, str], addresses: Mapping[int, Address]) -> Told:
+    def lay(
+        self, servers: ServerList, names: Mapping[int, str], addresses: Mapping[int, Address]
+    ) -> Told:
         """What the engine is to take in place of what a source tells."""
         if servers.kind is not ListKind.CHANGES:
             self._told, self._numbers = {}, {}
@@ -78,7 +80,10 @@
                 shown.append(server)
                 continue
             name = names[server.id]
-            self._told[server.id], self._numbers[name] = (server, name, addresses[server.id]), server.id
+            self._told[server.id], self._numbers[name] = (
+                (server, name, addresses[server.id]),
+                server.id,
+            )
             shown.append(self._shown(server, name))
         self._version = servers.version
         return Told(servers._replace(servers=tuple(shown)), dict(names), dict(addresses))
@@ -133,7 +138,9 @@
     def _change(self, names: list[str]) -> Told:
         lines = [self._told[self._numbers[name]] for name in names]
         return Told(
-            ServerList(ListKind.CHANGES, tuple(self._shown(s, name) for s, name, _ in lines), self._version),
+            ServerList(
+                ListKind.CHANGES, tuple(self._shown(s, name) for s, name, _ in lines), self._version
+            ),
             {s.id: name for s, name, _ in lines},
             {s.id: address for s, _, address in lines},
         )
--- a/quillroad/arrivals/acceptor.py
+++ b/quillroad/arrivals/acceptor.py
@@ -71,7 +71,9 @@
         self._pause: asyncio.TimerHandle | None = None
         self._ended = 0.0  # when accepts ended last
         self.late = False  # those outside have waited for long
-        self.soon = False  # descriptors are about to be free: no rest where there is no room just now
+        self.soon = (
+            False  # descriptors are about to be free: no rest where there is no room just now
+        )
         self._starting: set[asyncio.Task[object]] = set()
 
     def listen(self, listener: socket.socket) -> None:
@@ -95,7 +97,11 @@
             return
         began = monotonic()
         part = LATE_PART if self.late else PART
-        end = began + max(LEAST_S, part * min(1.0, began - self._ended)) if most == BATCH else float("inf")
+        end = (
+            began + max(LEAST_S, part * min(1.0, began - self._ended))
+            if most == BATCH
+            else float("inf")
+        )
         self._accept(self._listener, most, end)
         self._ended = monotonic()
 
--- a/quillroad/arrivals/admission.py
+++ b/quillroad/arrivals/admission.py
@@ -32,22 +32,40 @@
     """The controller's constants. `docs/design/overload.md` says which were set by a measurement, and by
     which."""
 
-    use: float = 0.8  # part of an aim that the times predicted may take up: the rest is for their errors
-    hosts_most: float = 0.5  # part of an aim that hosts need at the most: slow ones are no reason to refuse
-    full: float = 0.8  # part of the time left that the queue may take: what waits at the end of one that took
+    use: float = (
+        0.8  # part of an aim that the times predicted may take up: the rest is for their errors
+    )
+    hosts_most: float = (
+        0.5  # part of an aim that hosts need at the most: slow ones are no reason to refuse
+    )
+    full: float = (
+        0.8  # part of the time left that the queue may take: what waits at the end of one that took
+    )
     # all of it would be due at once, and nobody with a shorter aim could pass
-    tight: float = 0.75  # part of what a level may take from which on it needs room of those with less worth
+    tight: float = (
+        0.75  # part of what a level may take from which on it needs room of those with less worth
+    )
     squeeze: float = 0.02  # that one such request takes from those with less
     relax_s: float = 2.0  # in which that is forgotten
-    slice_s: float = 0.002  # for which requests begin in a turn of the loop, before sockets are read again
-    slice_part: float = 0.25  # of the time since the last slice, for the next one: reading answers takes as
+    slice_s: float = (
+        0.002  # for which requests begin in a turn of the loop, before sockets are read again
+    )
+    slice_part: float = (
+        0.25  # of the time since the last slice, for the next one: reading answers takes as
+    )
     # long as beginning requests, so these have 40% of the core however many refusals want it
     known_s: float = 0.05  # of work until that time is known: nothing is refused for a wait before
-    memory_s: float = 0.5  # over which the time of a request is averaged: five periods of a usual ration
+    memory_s: float = (
+        0.5  # over which the time of a request is averaged: five periods of a usual ration
+    )
     busy_over_s: float = 0.1  # over which the share of the core in use is counted
     busy: float = 0.5  # share of what is allowed from which on answers are read late
-    longest_step_s: float = 0.1  # that one slice may count for: a process that was stopped tells nothing
-    least_left_s: float = 0.002  # of a client's time, for a request to be taken on: two turns of a calm loop
+    longest_step_s: float = (
+        0.1  # that one slice may count for: a process that was stopped tells nothing
+    )
+    least_left_s: float = (
+        0.002  # of a client's time, for a request to be taken on: two turns of a calm loop
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,7 +132,11 @@
         if not entries or by <= (first := entries[0].by):
             return 0.0
         last = entries[-1].by
-        return len(entries) * min(1.0, (by - first) / (last - first)) if last > first else float(len(entries))
+        return (
+            len(entries) * min(1.0, (by - first) / (last - first))
+            if last > first
+            else float(len(entries))
+        )
 
 
 class Admission:
@@ -148,7 +170,9 @@
         self._places = max(1, places)
         self._cost_s = 0.0  # wall time from one beginning to the next; 0: not known yet
         self._learned_s = 1e-9  # how much time that is the mean of
-        self._turned = -1.0  # the end of the last slice, or when the first request joined an empty queue
+        self._turned = (
+            -1.0
+        )  # the end of the last slice, or when the first request joined an empty queue
         self._sliced = -1.0  # the end of the last slice
         self._begun = 0  # in this slice
         self._cores, self._counted, self._cpu_s, self.busy = cores, 0.0, 0.0, False
@@ -167,7 +191,14 @@
         return route if within else route + len(self._queues)
 
     def join(
-        self, now: float, since: float, wait_s: float, route: int, tenant: int, held: int, item: object
+        self,
+        now: float,
+        since: float,
+        wait_s: float,
+        route: int,
+        tenant: int,
+        held: int,
+        item: object,
     ) -> Waiting | None:
         """Let a request in that came at `since` and waits `wait_s` for its answer, or None: it is to be
         refused.
@@ -201,7 +232,10 @@
         return self._cost_s, self._learned_s, hosts, quotas
 
     def learn(
-        self, cost_s: float, learned_s: float, hosts_s: Sequence[float],
+        self,
+        cost_s: float,
+        learned_s: float,
+        hosts_s: Sequence[float],
         quotas: Sequence[tuple[float, float] | None],
     ) -> None:
         """Go on with what another process has learned."""
@@ -264,7 +298,9 @@
         if passing and wait_s:
             longest_s = wait_s / (1.0 - min(0.9, load))
             for other in passing:
-                wait_s += other.rate * self._cost_s * min(longest_s, queue.patience_s - other.patience_s)
+                wait_s += (
+                    other.rate * self._cost_s * min(longest_s, queue.patience_s - other.patience_s)
+                )
         return wait_s
 
     def leave(self, waiting: Waiting) -> None:
@@ -326,7 +362,9 @@
             self._squeezed *= math.exp(-passed / self._tuning.relax_s)
             # A plain mean at first: a queue that began beginning and got no answers yet looks too quick.
             self._learned_s = min(self._tuning.memory_s, self._learned_s + passed)
-            weight = max(1.0 - math.exp(-passed / self._tuning.memory_s), min(1.0, passed / self._learned_s))
+            weight = max(
+                1.0 - math.exp(-passed / self._tuning.memory_s), min(1.0, passed / self._learned_s)
+            )
             rate = 1.0 / self._cost_s if self._cost_s else 0.0
             rate += weight * (self._begun / passed - rate)
             self._cost_s = 1.0 / rate
--- a/quillroad/arrivals/age.py
+++ b/quillroad/arrivals/age.py
@@ -12,7 +12,10 @@
 # struct tcp_info of Linux's tcp.h: eight bytes, then 32-bit fields, the twelfth `tcpi_last_data_recv`.
 LAST_DATA_RECV_AT, LAST_DATA_RECV_END = 52, 56
 STATE_AT = 0  # `tcpi_state`, its first byte
-CLOSED, CLOSE_WAIT = 7, 8  # reset; ended by the other side, whatever bytes of it are still to be read
+CLOSED, CLOSE_WAIT = (
+    7,
+    8,
+)  # reset; ended by the other side, whatever bytes of it are still to be read
 _FIELD = struct.Struct("I")
 _INT = struct.Struct("i")
 
--- a/quillroad/arrivals/glance.py
+++ b/quillroad/arrivals/glance.py
@@ -40,7 +40,10 @@
     size = 0
     if b"content" in lower:
         lengths = _LENGTH.findall(lower)
-        if len(lengths) != 1 or lower.count(b"content-length") + lower.count(b"content_length") != 1:
+        if (
+            len(lengths) != 1
+            or lower.count(b"content-length") + lower.count(b"content_length") != 1
+        ):
             return None
         size = int(lengths[0])
     if len(data) != end + 4 + size:
--- a/quillroad/arrivals/heart.py
+++ b/quillroad/arrivals/heart.py
@@ -52,7 +52,9 @@
         before = self.pulse.catching_up
         stalled = self.pulse.stalled(time.monotonic())
         if stalled and not before:
-            log.warning("the loop stood still: what was due meanwhile waits until all that came is read")
+            log.warning(
+                "the loop stood still: what was due meanwhile waits until all that came is read"
+            )
             # The next turn polls before it runs what a callback of this turn's asked for; the one behind that
             # has then read from every socket at least once.
             self._loop.call_soon(self._loop.call_soon, self._loop.call_soon, self._caught_up)
--- a/quillroad/arrivals/room.py
+++ b/quillroad/arrivals/room.py
@@ -15,7 +15,9 @@
 
 Connection = TypeVar("Connection")
 
-UNHEARD_S = 0.2  # after which a first request would have been read here, or a last answer by the client
+UNHEARD_S = (
+    0.2  # after which a first request would have been read here, or a last answer by the client
+)
 RESTED_S = 0.02  # before which none ends for resting long: with 0.2 s incident re32883 fell from 0.96 to 0.78
 RESTING_PART = 0.4  # of the places: past it those at rest for longest end, for new ones to come
 WRITTEN_S = 2.1  # after which one that still writes, with nothing new, ends for another: clients may take 2 s
@@ -46,7 +48,9 @@
         self.resize(places)
         self._unread = unread
         self._stages: dict[Connection, Stage] = {}
-        self._since: list[dict[Connection, float]] = [{} for _ in Stage]  # by stage, the oldest first
+        self._since: list[dict[Connection, float]] = [
+            {} for _ in Stage
+        ]  # by stage, the oldest first
         self._resting, self._busy = self._since[Stage.RESTING], self._since[Stage.BUSY]
         self._writing = self._since[Stage.WRITING]
 
--- a/quillroad/cli/demo.py
+++ b/quillroad/cli/demo.py
@@ -50,22 +50,44 @@
             await sending
             rows, broken = tally(load.records, WORKS), stage.broken(load)
             classes = Table(
-                "class", "sent", "in aim", "after it", "refused", "failed", "unanswered", "p50 ms", "p99 ms"
+                "class",
+                "sent",
+                "in aim",
+                "after it",
+                "refused",
+                "failed",
+                "unanswered",
+                "p50 ms",
+                "p99 ms",
             )
             for name, row in rows.items():
                 classes.add_row(
-                    name, *(str(n) for n in (row.sent, row.in_aim, row.served, row.refused, row.failed)),
-                    str(row.unanswered), f"{percentile(row.took, 0.5) * 1e3:.0f}",
+                    name,
+                    *(str(n) for n in (row.sent, row.in_aim, row.served, row.refused, row.failed)),
+                    str(row.unanswered),
+                    f"{percentile(row.took, 0.5) * 1e3:.0f}",
                     f"{percentile(row.took, 0.99) * 1e3:.0f}",
                 )
             hosts = Table("host", "does", "received", "after its drain")
-            does = {SLOW: "answers after 400 ms", HANGS: "answers nothing", DRAINS: "drains half way"}
+            does = {
+                SLOW: "answers after 400 ms",
+                HANGS: "answers nothing",
+                DRAINS: "drains half way",
+            }
             for number, host in enumerate(stage.hosts):
-                late = sum(1 for r in host.receipts if r.at > drained + 0.5) if number == DRAINS else 0
-                hosts.add_row(host.name, does.get(number, "answers after 20 ms"), str(len(host.receipts)),
-                              str(late) if number == DRAINS else "")
+                late = (
+                    sum(1 for r in host.receipts if r.at > drained + 0.5) if number == DRAINS else 0
+                )
+                hosts.add_row(
+                    host.name,
+                    does.get(number, "answers after 20 ms"),
+                    str(len(host.receipts)),
+                    str(late) if number == DRAINS else "",
+                )
             console.print(classes, hosts)
             for line in broken[:10]:
                 console.print(f"broken: {line}")
-            console.print("a rule was broken" if broken else "every request accounted for, no rule broken")
+            console.print(
+                "a rule was broken" if broken else "every request accounted for, no rule broken"
+            )
             return 1 if broken else 0
--- a/quillroad/cli/main.py
+++ b/quillroad/cli/main.py
@@ -16,23 +16,35 @@
 
 @click.group(invoke_without_command=True)
 @click.option(
-    "--config", type=click.Path(path_type=Path), envvar="QUILLROAD_CONFIG", help="file to run by (TOML)"
+    "--config",
+    type=click.Path(path_type=Path),
+    envvar="QUILLROAD_CONFIG",
+    help="file to run by (TOML)",
 )
 @click.option(
-    "--upgrades", type=click.Path(path_type=Path), envvar="QUILLROAD_UPGRADES",
+    "--upgrades",
+    type=click.Path(path_type=Path),
+    envvar="QUILLROAD_UPGRADES",
     help="file that turns upgrades without loss on (TOML)",
 )
 @click.option(
-    "--zones", type=click.Path(path_type=Path), envvar="QUILLROAD_ZONES",
+    "--zones",
+    type=click.Path(path_type=Path),
+    envvar="QUILLROAD_ZONES",
     help="file that holds traffic to other zones to a budget (TOML)",
 )
 @click.option(
-    "--fleet", type=click.Path(path_type=Path), envvar="QUILLROAD_FLEET",
+    "--fleet",
+    type=click.Path(path_type=Path),
+    envvar="QUILLROAD_FLEET",
     help="file that turns the view of which gateways are there on (TOML)",
 )
 @click.pass_context
 def commands(
-    context: click.Context, config: Path | None, upgrades: Path | None, zones: Path | None,
+    context: click.Context,
+    config: Path | None,
+    upgrades: Path | None,
+    zones: Path | None,
     fleet: Path | None,
 ) -> None:
     """A gateway that serves by a configuration file. Without arguments it is what the platform starts."""
--- a/quillroad/cli/upgrade.py
+++ b/quillroad/cli/upgrade.py
@@ -11,7 +11,9 @@
 from quillroad.config import ConfigError
 from quillroad.upgrade.settings import load_upgrades
 
-WAIT_S = 4200.0  # for an upgrade to hold or fail: the longest times that a file can tell, and some more
+WAIT_S = (
+    4200.0  # for an upgrade to hold or fail: the longest times that a file can tell, and some more
+)
 
 
 def say(control: Path, command: str) -> int:
@@ -41,11 +43,16 @@
 
 
 _file = click.option(
-    "--upgrades", type=click.Path(path_type=Path), envvar="QUILLROAD_UPGRADES", required=True,
+    "--upgrades",
+    type=click.Path(path_type=Path),
+    envvar="QUILLROAD_UPGRADES",
+    required=True,
     help="the file that the gateway was started with",
 )
 
-_name = click.option("--name", default="", help="of the gateway, where `control` in that file has {name}")
+_name = click.option(
+    "--name", default="", help="of the gateway, where `control` in that file has {name}"
+)
 
 
 @click.command()
--- a/quillroad/cli/zones.py
+++ b/quillroad/cli/zones.py
@@ -20,7 +20,9 @@
 @click.command()
 @click.argument("report", type=click.Path(path_type=Path))
 @click.option("--watch", is_flag=True, help="show it again every second, until interrupted")
-@click.option("--minutes", type=click.IntRange(0, 60), default=0, help="and so many minutes, one by one")
+@click.option(
+    "--minutes", type=click.IntRange(0, 60), default=0, help="and so many minutes, one by one"
+)
 def zones(report: Path, watch: bool, minutes: int) -> int:
     """What left the zone by class, and why, from the REPORT file of a gateway."""
     console = Console(width=max(110, Console().width))
@@ -50,28 +52,66 @@
         + (", crossings go PAST it" if told.past else "")
         + (f"; this is {age:.0f} s old" if age > STALE_S else "")
     ]
-    classes = Table("class", "crossed", "spill", "lost", "copy", "bound", "past budget", "refused for it",
-                    "when lost", "next in")
+    classes = Table(
+        "class",
+        "crossed",
+        "spill",
+        "lost",
+        "copy",
+        "bound",
+        "past budget",
+        "refused for it",
+        "when lost",
+        "next in",
+    )
     for line, wait in zip(told.classes, told.wait_s, strict=True):
         reasons = [str(line.reasons.get(name, 0)) for name in ("spill", "lost", "copy", "bound")]
         free = "never" if wait < 0 else f"{wait:.1f} s" if wait else "now"
         classes.add_row(
-            line.name, str(line.crossed), *reasons, str(line.past), str(line.refused), line.when_lost, free
+            line.name,
+            str(line.crossed),
+            *reasons,
+            str(line.past),
+            str(line.refused),
+            line.when_lost,
+            free,
         )
     cells = Table(
-        "class", "zone", "received", "answered", "turned away", "called off", "lost", "failed", "open",
-        "never left", "bytes out", "bytes in",
+        "class",
+        "zone",
+        "received",
+        "answered",
+        "turned away",
+        "called off",
+        "lost",
+        "failed",
+        "open",
+        "never left",
+        "bytes out",
+        "bytes in",
     )
     for line in told.classes:
         for one in line.zones:
             counts = (
-                one.received, one.answered, one.turned_away, one.cancelled, one.lost, one.failed, one.open,
-                one.unsent, one.bytes_out, one.bytes_in,
+                one.received,
+                one.answered,
+                one.turned_away,
+                one.cancelled,
+                one.lost,
+                one.failed,
+                one.open,
+                one.unsent,
+                one.bytes_out,
+                one.bytes_in,
+            )
+            cells.add_row(
+                line.name, f"{one.zone}{' (home)' if one.home else ''}", *map(str, counts)
             )
-            cells.add_row(line.name, f"{one.zone}{' (home)' if one.home else ''}", *map(str, counts))
     lines += [classes, cells]
     if minutes:
-        table = Table("minute", *(f"{line.name}: crossed / past / refused" for line in told.classes))
+        table = Table(
+            "minute", *(f"{line.name}: crossed / past / refused" for line in told.classes)
+        )
         for minute in told.minutes[-minutes:]:
             counts3 = zip(minute.crossed, minute.past, minute.refused, strict=True)
             at = time.strftime("%H:%M", time.localtime(minute.at))
--- a/quillroad/config/__init__.py
+++ b/quillroad/config/__init__.py
@@ -19,6 +19,20 @@
 from quillroad.config.platform import changed_fields, load, reload
 
 __all__ = [
-    "LONG_BODY", "RESERVED", "SHORT_BODY", "Address", "Config", "ConfigError", "ConsulHosts", "Descriptors",
-    "Peers", "Register", "StaticHost", "StaticHosts", "changed_fields", "load", "read_address", "reload",
+    "LONG_BODY",
+    "RESERVED",
+    "SHORT_BODY",
+    "Address",
+    "Config",
+    "ConfigError",
+    "ConsulHosts",
+    "Descriptors",
+    "Peers",
+    "Register",
+    "StaticHost",
+    "StaticHosts",
+    "changed_fields",
+    "load",
+    "read_address",
+    "reload",
 ]
--- a/quillroad/config/file.py
+++ b/quillroad/config/file.py
@@ -226,14 +226,26 @@
         if deadline_us <= 0:
             raise ConfigError(f"{at}.deadline: needs a time above 0, not {one.deadline!r}")
         if aim_us is not None and not 0 < aim_us <= deadline_us:
-            raise ConfigError(f"{at}.aim: needs a time above 0 and within the deadline, not {one.aim!r}")
+            raise ConfigError(
+                f"{at}.aim: needs a time above 0 and within the deadline, not {one.aim!r}"
+            )
         remembers_us = microseconds(one.remembers, f"{at}.remembers")
         if one.repeat == "keyed" and not remembers_us:
-            raise ConfigError(f"{at}.remembers: needs the time for which hosts drop a repeat, not '0 s'")
-        routes.append(Route(
-            name=one.name, effect=Effect(one.repeat), aim_us=aim_us, deadline_us=deadline_us, worth=one.worth,
-            late_worth=one.late_worth, group=Group(one.remembered_by), memory_span_us=remembers_us,
-        ))
+            raise ConfigError(
+                f"{at}.remembers: needs the time for which hosts drop a repeat, not '0 s'"
+            )
+        routes.append(
+            Route(
+                name=one.name,
+                effect=Effect(one.repeat),
+                aim_us=aim_us,
+                deadline_us=deadline_us,
+                worth=one.worth,
+                late_worth=one.late_worth,
+                group=Group(one.remembered_by),
+                memory_span_us=remembers_us,
+            )
+        )
     return tuple(routes)
 
 
@@ -242,21 +254,32 @@
         if not told.static:
             raise ConfigError("hosts.static: needs at least one host")
         _distinct([host.id for host in told.static], "hosts.static")
-        return StaticHosts(tuple(
-            StaticHost(
-                host.id, _address(host.address, f"hosts.static[{i}].address"), host.zone, host.machine_type,
-                host.cell, host.weight, host.state == "draining",
+        return StaticHosts(
+            tuple(
+                StaticHost(
+                    host.id,
+                    _address(host.address, f"hosts.static[{i}].address"),
+                    host.zone,
+                    host.machine_type,
+                    host.cell,
+                    host.weight,
+                    host.state == "draining",
+                )
+                for i, host in enumerate(told.static)
             )
-            for i, host in enumerate(told.static)
-        ))
+        )
     consul = told.consul
     if consul is None:
         raise ConfigError("hosts.consul: missing")
     _distinct(consul.agents, "hosts.consul.agents")
     return ConsulHosts(
         agents=tuple(_address(a, f"hosts.consul.agents[{i}]") for i, a in enumerate(consul.agents)),
-        service=consul.service, tag=consul.tag, datacenter=consul.datacenter, namespace=consul.namespace,
-        filter=consul.filter, consistency=consul.consistency,
+        service=consul.service,
+        tag=consul.tag,
+        datacenter=consul.datacenter,
+        namespace=consul.namespace,
+        filter=consul.filter,
+        consistency=consul.consistency,
         token_file=Path(consul.token_file) if consul.token_file else None,
         wait_s=within(consul.wait, "hosts.consul.wait", 0.1, 600.0),
         most_stale_s=within(consul.most_stale, "hosts.consul.most_stale", 0.0, 3600.0),
@@ -286,8 +309,11 @@
     if told is None:
         return None
     return Register(
-        _address(told.agent, "register.agent"), told.service, told.id,
-        within(told.ttl, "register.ttl", 0.5, 3600.0), Path(told.token_file) if told.token_file else None,
+        _address(told.agent, "register.agent"),
+        told.service,
+        told.id,
+        within(told.ttl, "register.ttl", 0.5, 3600.0),
+        Path(told.token_file) if told.token_file else None,
     )
 
 
@@ -301,11 +327,15 @@
     if told.gateway.zone and told.gateway.zone not in zones:
         raise ConfigError(f"gateway.zone: needs one of hosts.zones, not {told.gateway.zone!r}")
     if told.peers.number >= told.peers.gateways:
-        raise ConfigError(f"peers.number: needs a number below peers.gateways, not {told.peers.number}")
+        raise ConfigError(
+            f"peers.number: needs a number below peers.gateways, not {told.peers.number}"
+        )
     retry_after_us = microseconds(told.tries.retry_after, "tries.retry_after")
     window_us = microseconds(told.starts.fall_window, "starts.fall_window")
     if not window_us:
-        raise ConfigError(f"starts.fall_window: needs a time above 0, not {told.starts.fall_window!r}")
+        raise ConfigError(
+            f"starts.fall_window: needs a time above 0, not {told.starts.fall_window!r}"
+        )
     connect_s = microseconds(told.connections.connect, "connections.connect") / 1e6
     idle_s = microseconds(told.connections.idle, "connections.idle") / 1e6
     if not connect_s or not idle_s:
--- a/quillroad/config/model.py
+++ b/quillroad/config/model.py
@@ -11,7 +11,9 @@
 
 Address = tuple[str, int]
 
-SHORT_BODY = 64 * 1024  # bytes of a body that is kept whole; where longer ones are allowed they are streamed
+SHORT_BODY = (
+    64 * 1024
+)  # bytes of a body that is kept whole; where longer ones are allowed they are streamed
 LONG_BODY = 32 * 1024 * 1024  # bytes that operators' days allow
 BUFFERS = 24 * 1024 * 1024  # of long bodies, where nothing tells of memory
 # Descriptors for what is no connection. Counted: 15 of one process (standard streams, event loop and its
--- a/quillroad/config/platform.py
+++ b/quillroad/config/platform.py
@@ -13,12 +13,22 @@
 from typing import Any
 
 from pinetrack.told import read_settings
-from quillroad.config.model import BUFFERS, LONG_BODY, SHORT_BODY, Config, ConfigError, Peers, read_address
+from quillroad.config.model import (
+    BUFFERS,
+    LONG_BODY,
+    SHORT_BODY,
+    Config,
+    ConfigError,
+    Peers,
+    read_address,
+)
 
 PROCESSES_MB = 48  # two processes with nothing of bodies: 40 MB measured, and room
 
 
-def _part(data: Mapping[str, Any], key: str, kind: type[Any], field: str, default: Any = None) -> Any:
+def _part(
+    data: Mapping[str, Any], key: str, kind: type[Any], field: str, default: Any = None
+) -> Any:
     value = data.get(key)
     if value is None:
         value = default
@@ -38,7 +48,11 @@
 
 def _cores(limits: Mapping[str, Any]) -> float:
     value = limits.get("cores", 1.0)
-    if not isinstance(value, int | float) or isinstance(value, bool) or not 0 < value < float("inf"):
+    if (
+        not isinstance(value, int | float)
+        or isinstance(value, bool)
+        or not 0 < value < float("inf")
+    ):
         raise ConfigError(f"limits.cores: needs a number above 0, not {value!r}")
     return min(1.0, float(value))  # the loop is one thread
 
@@ -47,7 +61,11 @@
     """For long bodies, of the memory that is told: what the process itself, the kept connections and a second
     process during an upgrade leave of it."""
     value = limits.get("memory_mb", 192)
-    if not isinstance(value, int | float) or isinstance(value, bool) or not 0 < value < float("inf"):
+    if (
+        not isinstance(value, int | float)
+        or isinstance(value, bool)
+        or not 0 < value < float("inf")
+    ):
         raise ConfigError(f"limits.memory_mb: needs a number above 0, not {value!r}")
     return max(SHORT_BODY, min(BUFFERS, int((value - PROCESSES_MB) * 2**20)))
 
@@ -96,16 +114,22 @@
     return Config(
         name=str(environment.get("GW_NAME") or data.get("name") or "gateway"),
         listen=read_address(environment.get("GW_LISTEN") or data.get("listen"), "GW_LISTEN"),
-        discovery=read_address(environment.get("GW_DISCOVERY") or data.get("discovery"), "GW_DISCOVERY"),
+        discovery=read_address(
+            environment.get("GW_DISCOVERY") or data.get("discovery"), "GW_DISCOVERY"
+        ),
         seed=_seed(data.get("seed", 0)),
-        sockets=_above_zero(_part(data, "limits", dict, "limits", {}), "sockets", "limits.sockets", 1024),
+        sockets=_above_zero(
+            _part(data, "limits", dict, "limits", {}), "sockets", "limits.sockets", 1024
+        ),
         cores=_cores(_part(data, "limits", dict, "limits", {})),
         known=_part(data, "known", dict, "known", {}),
         settings=settings,
         tenants=_names(told, "orgs"),
         kinds=_names(told, "models"),
         zones=_names(told, "zones"),
-        connect_timeout_s=_above_zero(limits, "connect_timeout", "settings.limits.connect_timeout", 1_000_000)
+        connect_timeout_s=_above_zero(
+            limits, "connect_timeout", "settings.limits.connect_timeout", 1_000_000
+        )
         / 1e6,
         admin=read_address(admin, "admin_addr") if admin else None,
         longest_body=LONG_BODY if admin else SHORT_BODY,
--- a/quillroad/counts.py
+++ b/quillroad/counts.py
@@ -55,7 +55,13 @@
         return partial(self._ended, host, monotonic(), done)
 
     def _ended(
-        self, host: Host, began: float, done: Done, outcome: Outcome, answer: Answer | None, at: float
+        self,
+        host: Host,
+        began: float,
+        done: Done,
+        outcome: Outcome,
+        answer: Answer | None,
+        at: float,
     ) -> None:
         self._now[outcome.value] += 1
         if outcome is Outcome.SUCCESS:
@@ -67,7 +73,10 @@
     def _tell(self) -> None:
         self.start()
         grown = Counter(self._engine.grown)
-        grown["connects"], grown["no_connect"] = self._upstream.connects, self._upstream.failed_connects
+        grown["connects"], grown["no_connect"] = (
+            self._upstream.connects,
+            self._upstream.failed_connects,
+        )
         line: dict[str, Any] = dict(self._now + (grown - self._before)) | self._engine.stands
         line["idle"] = self._upstream.resting
         line["bad"] = dict(self._bad.most_common(WORST))
--- a/quillroad/engine.py
+++ b/quillroad/engine.py
@@ -48,7 +48,9 @@
 MARGIN_S = 0.040
 GUARD_S = 0.015  # and this much before it the engine answers by itself, if the module said nothing
 LEFT_S = 0.075  # since the loop's last beat: what left then may be unread, and counts as gone after 0.1 s
-MARGIN_PART = 0.25  # of the time that a client in a hurry gives: both margins shrink to fit into that
+MARGIN_PART = (
+    0.25  # of the time that a client in a hurry gives: both margins shrink to fit into that
+)
 
 
 class Reply(NamedTuple):
@@ -110,7 +112,9 @@
     """One module, one clock. `now_us` is Unix time that never goes back, so starts of hosts told in Unix
     time, also those before this process began, lie where they belong on it."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream
+    ) -> None:
         self._loop, self._balancer, self._upstream = loop, balancer, upstream
         self._heart, self._pulse = upstream.heart, upstream.heart.pulse
         self._epoch_us = time.time_ns() // 1000 - int(monotonic() * 1e6)
@@ -162,24 +166,33 @@
         """How the module stands at the moment."""
         module = self._balancer
         return {
-            "open": len(self._open), "queued": module.queued, "admitted": round(module.admitted, 3),
-            "width": module.width or len(module.candidates), "limit": round(module.limit, 2),
+            "open": len(self._open),
+            "queued": module.queued,
+            "admitted": round(module.admitted, 3),
+            "width": module.width or len(module.candidates),
+            "limit": round(module.limit, 2),
             "nerve": round(module.nerve, 2),
             "pace": round(module.recent, 1),
             "ejected": sum(not s.well(self._latest_us) for s in module.candidates),
-            "cold": len(module.cold), "hosts": len(module.candidates),
+            "cold": len(module.cold),
+            "hosts": len(module.candidates),
         }
 
     # From the client side.
 
     def accept(
-        self, request: ClientRequest, reply: Callable[[Reply], None], client: Requester | None = None
+        self,
+        request: ClientRequest,
+        reply: Callable[[Reply], None],
+        client: Requester | None = None,
     ) -> OpenRequest:
         """Take a request; `reply` is called once, before the client's deadline, unless it departs. Before
         each attempt `client` is asked whether it has, where that may have gone unread."""
         left_s = max(0.0, request.expires - monotonic())
         shrink = min(1.0, MARGIN_PART * left_s / MARGIN_S)
-        opened = OpenRequest(next(self._numbers), request, reply, request.expires - MARGIN_S * shrink, client)
+        opened = OpenRequest(
+            next(self._numbers), request, reply, request.expires - MARGIN_S * shrink, client
+        )
         self._open[opened.number] = opened
         self._ids.add(request.id)
         opened.guard = self._loop.call_at(request.expires - GUARD_S * shrink, self._overdue, opened)
@@ -201,8 +214,14 @@
         give_up_us = self._epoch_us + int(opened.give_up * 1e6)
         self.feed(
             Arrived(
-                opened.number, request.route, give_up_us, request.key, request.work_us, request.tenant,
-                request.repeat, len(request.body) > SHORT_BODY,
+                opened.number,
+                request.route,
+                give_up_us,
+                request.key,
+                request.work_us,
+                request.tenant,
+                request.repeat,
+                len(request.body) > SHORT_BODY,
             )
         )
 
@@ -225,7 +244,9 @@
 
     # From the list of hosts.
 
-    def update(self, servers: ServerList, names: dict[int, str], addresses: dict[int, Address]) -> None:
+    def update(
+        self, servers: ServerList, names: dict[int, str], addresses: dict[int, Address]
+    ) -> None:
         """A list takes effect on the sockets first: what it ends must not get a byte more."""
         whole = servers.kind is not ListKind.CHANGES
         named = {s.id for s in servers.servers}
@@ -327,28 +348,36 @@
         # The one place where any attempt begins. Guards against work for those who left while nobody read
         # from their connection: they had sent ahead, or the loop has not come round for a while.
         if (
-            client is not None and (client.blind or started - self._pulse.last > LEFT_S)
-            and opened.reply is not None and client.gone()
+            client is not None
+            and (client.blind or started - self._pulse.last > LEFT_S)
+            and opened.reply is not None
+            and client.gone()
         ):
             self.depart(opened)
         host = self.hosts.get(action.server)
         latest = (action.latest_us - self._epoch_us) / 1e6 if action.latest_us else math.inf
         if opened.reply is None or host is None or started > latest:
             opened.attempts.append(None)
-            self._events.append(AttemptDone(action.request, number, Outcome.MOOT, 0, opened.reply is None))
+            self._events.append(
+                AttemptDone(action.request, number, Outcome.MOOT, 0, opened.reply is None)
+            )
             return
         left_s = max(0.0, opened.give_up - started)
         timeout_s = min(left_s, action.timeout_us / 1e6) if action.timeout_us else left_s
         body, later = opened.request.body, len(opened.request.body) > SHORT_BODY
         request = b"%bRequest-Timeout-Ms: %d\r\n\r\n%b" % (
-            opened.request.head, max(1, int(timeout_s * 1000)), b"" if later else bytes(body),
+            opened.request.head,
+            max(1, int(timeout_s * 1000)),
+            b"" if later else bytes(body),
         )
         done: Done = partial(self._done, opened, number, started)
         if self.observe is not None:
             size = len(request) + (len(body) if later else 0)
             done = self.observe(opened.request.route, host, size, done)
         try:
-            attempt = self._upstream.start(host, request, timeout_s, done, body if later else b"", latest)
+            attempt = self._upstream.start(
+                host, request, timeout_s, done, body if later else b"", latest
+            )
         except Exception:
             # A fault of ours that may have come after the first byte: the module must not take it for unsent.
             log.exception("request %s could not be sent", opened.request.id)
--- a/quillroad/files.py
+++ b/quillroad/files.py
@@ -10,7 +10,9 @@
 
 log = logging.getLogger("quillroad.files")
 
-MOST_LINES = 10_000  # that wait for a disk that stands still; what comes then is left out and counted
+MOST_LINES = (
+    10_000  # that wait for a disk that stands still; what comes then is left out and counted
+)
 
 
 class Writer:
--- a/quillroad/fleet/budget.py
+++ b/quillroad/fleet/budget.py
@@ -28,7 +28,10 @@
         """Whether so many bytes may go now, within this part of the budget: what is less urgent leaves the
         rest to answers and probes. They are spent if so."""
         self._forget(now)
-        if self._bytes + size > part * self.most_bytes or len(self._spent) + 1 > part * self.most_datagrams:
+        if (
+            self._bytes + size > part * self.most_bytes
+            or len(self._spent) + 1 > part * self.most_datagrams
+        ):
             return False
         self._spent.append((now, size))
         self._bytes += size
--- a/quillroad/fleet/claims.py
+++ b/quillroad/fleet/claims.py
@@ -15,7 +15,9 @@
 MOST_INCARNATION = 2**32 - 1
 USUAL_INCARNATION = 2**31  # further than any member came that nobody lied about
 LEAP = 1024  # beyond that: a lie a tenth of a second would take 58 hours to the last one there is
-CHUNK = 32  # members in one part of the table: with incarnations of 5 bytes it still fits one datagram
+CHUNK = (
+    32  # members in one part of the table: with incarnations of 5 bytes it still fits one datagram
+)
 SLOTS = 3
 
 
@@ -129,7 +131,7 @@
     def packed(self, members: range) -> tuple[bytes, int, list[int]]:
         """Half a byte for each of these members, the incarnation that most of those have of whom
         anything is known, and for each of the others how far on it stands and its incarnation."""
-        claims = self._claims[members.start:members.stop]
+        claims = self._claims[members.start : members.stop]
         codes = bytearray(-(-len(claims) // 2))
         known = Counter(claim.incarnation for claim in claims if claim != NOTHING)
         base = known.most_common(1)[0][0] if known else 0
@@ -148,7 +150,8 @@
     if any(i >= 2 * len(codes) for i in exceptions):
         raise ValueError("an incarnation of nobody")
     return [
-        _claim(codes[i >> 1] >> 4 * (i & 1) & 15, exceptions.get(i, base)) for i in range(2 * len(codes))
+        _claim(codes[i >> 1] >> 4 * (i & 1) & 15, exceptions.get(i, base))
+        for i in range(2 * len(codes))
     ]
 
 
--- a/quillroad/fleet/core.py
+++ b/quillroad/fleet/core.py
@@ -56,17 +56,24 @@
 LATER = 0.8  # part of the budget for what can wait: with 0.6 seven in ten of 200 took 11.6 s, with 0.8 8.4
 MOST_SUMS = 40  # digests of parts in one datagram: 5 bytes each, and a header
 EVERYONE = -1  # in the outbox: the address at which all are reached
-ALOUD_S, ALOUD_FLEET_S = 0.1, 0.002  # between two datagrams to all, and of the whole fleet: 500 a second
+ALOUD_S, ALOUD_FLEET_S = (
+    0.1,
+    0.002,
+)  # between two datagrams to all, and of the whole fleet: 500 a second
 HAIL_S = 1.0  # between two tables of the whole fleet for those that are gone
 MOST_PROBES = 8  # on their way at once
 LIGHTS = 3  # questions of a light probe: with 2 one in 100 at 5% loss was wrong, and heals took 8 s
-LIGHT_LOSSY = 0.35  # lately, from where on a light probe says nothing: at 30% loss one in eight is wrong
+LIGHT_LOSSY = (
+    0.35  # lately, from where on a light probe says nothing: at 30% loss one in eight is wrong
+)
 MOST_LIGHT = 40  # light probes on their way at once
 TURNS, LATE_S = 4, 2.0  # changes of a life, over longer than a datagram is late: two processes
 WITNESSES = 2  # of these: one may lie
 HEARSAY, MISLED_S = 3.0, 10.0  # times the shortest wait, for so long after word that was wrong
 HASTE = 2.0  # times the shortest wait is the longest where many are suspected and others answer
-CERTAIN = 0.5  # part of the shortest wait that is left for one suspected before, and ended by another
+CERTAIN = (
+    0.5  # part of the shortest wait that is left for one suspected before, and ended by another
+)
 LOSSY = 0.25  # of answered probes: 0.1 at 5% loss, 0.5 at 30%
 MANY = 3  # suspects at once that are no accident of the network
 PROBERS = 2  # gateways that probe a suspect in each `gossip_s`
@@ -127,13 +134,18 @@
         self.claims = Claims(len(roster))
         self._members: Map[int, Seen] = Map(
             (n, Seen(Standing.UNKNOWN, 0, now, "roster", self.number))
-            for n in range(len(roster)) if n != self.number
+            for n in range(len(roster))
+            if n != self.number
         )
         self._version, self._changed, self._self = 0, now, Self.ALONE
         self._view: View | None = None
         self._present: list[int] | None = None  # the members that are there, until one changes
         self._condition = Condition(
-            timing.late_s, timing.alone_s, timing.steady_s, min(WITNESSES, len(roster) - 1), timing.lifeguard
+            timing.late_s,
+            timing.alone_s,
+            timing.steady_s,
+            min(WITNESSES, len(roster) - 1),
+            timing.lifeguard,
         )
         self._budget = Budget(timing.most_bytes, timing.most_datagrams)
         self._inward: dict[int, Budget] = {}
@@ -166,7 +178,12 @@
     def view(self) -> View:
         if self._view is None:
             self._view = View(
-                self._version, self.number, self.incarnation, self._self, self._changed, self._members
+                self._version,
+                self.number,
+                self.incarnation,
+                self._self,
+                self._changed,
+                self._members,
             )
         return self._view
 
@@ -238,7 +255,9 @@
             return
         inward = self._inward.get(number)
         if inward is None:
-            inward = self._inward[number] = Budget(self.timing.most_bytes, self.timing.most_datagrams)
+            inward = self._inward[number] = Budget(
+                self.timing.most_bytes, self.timing.most_datagrams
+            )
         if not inward.take(len(data), now):
             self.dropped["flood"] += 1
             return
@@ -331,7 +350,9 @@
             self._lives[number] = _Lives(life, last.began if last.turns else now, turns)
             if turns >= TURNS and now - last.began >= LATE_S:
                 if turns == TURNS:
-                    self._note(Change(now, number, "doubled", self._heads[number], "heard", number), now)
+                    self._note(
+                        Change(now, number, "doubled", self._heads[number], "heard", number), now
+                    )
                 self._send(number, Kind.TWIN, now, part=LATER)
 
     def _told(self, news: News, by: int, now: float) -> None:
@@ -394,7 +415,9 @@
         seen, held = self._members[number], self._suspicions.get(number)
         certain = claim.standing is Standing.GONE
         if held is None or held.incarnation != claim.incarnation:
-            shortest = shortest_s(len(self._there()) + 1, self.timing.period_s, self.timing.suspicion_rounds)
+            shortest = shortest_s(
+                len(self._there()) + 1, self.timing.period_s, self.timing.suspicion_rounds
+            )
             scale = self._condition.refuting  # a refutation takes as much longer
             shortest *= scale
             hearsay = certain and seen.standing is Standing.ALIVE
@@ -404,7 +427,13 @@
             if self._hurried and now - self._misled >= MISLED_S:
                 most = min(most, HASTE)
             held = Suspicion(
-                claim.incarnation, now, shortest, most * shortest, claim.slots, how != "silent", scale,
+                claim.incarnation,
+                now,
+                shortest,
+                most * shortest,
+                claim.slots,
+                how != "silent",
+                scale,
                 hearsay,
             )
             self._suspicions[number] = held
@@ -414,7 +443,11 @@
         held.slots |= claim.slots
         if certain:  # somebody has waited already: here it is only to have its time to refute
             # Not so after a partition: what the other side suspected when it ended is certain there soon.
-            if not held.hearsay and self._condition.lossy < LOSSY and now - self._misled >= MISLED_S:
+            if (
+                not held.hearsay
+                and self._condition.lossy < LOSSY
+                and now - self._misled >= MISLED_S
+            ):
                 held.shortest_s *= CERTAIN
             held.longest_s = held.shortest_s
         if seen.standing is not Standing.SUSPECT or seen.incarnation != claim.incarnation:
@@ -430,7 +463,9 @@
             self._acknowledged(datagram, now)
         elif datagram.kind is Kind.NACK:
             if datagram.sequence in self._probes:
-                self._probes[datagram.sequence] = self._probes[datagram.sequence]._replace(nacked=True)
+                self._probes[datagram.sequence] = self._probes[datagram.sequence]._replace(
+                    nacked=True
+                )
         elif datagram.kind is Kind.TWIN:
             self._condition.doubled(number, now)
         elif datagram.kind is Kind.SUMS:
@@ -463,7 +498,9 @@
                 return max(heard)[1]
         passed = {Standing.GONE, Standing.LEFT}
         if len(self._suspicions) >= MANY:
-            passed.add(Standing.SUSPECT)  # probed beside the turn, and what nobody has asked yet comes first
+            passed.add(
+                Standing.SUSPECT
+            )  # probed beside the turn, and what nobody has asked yet comes first
         for _ in range(2):
             while self._order:
                 number = self._order.pop()
@@ -491,8 +528,11 @@
             return  # what was not asked cannot be missed
         timing, stretch = self.timing, self._condition.stretch * self._condition.lossy_stretch
         self._probes[self._sequence] = _Probe(
-            number, now + timing.again_s, now + timing.answer_s * stretch,
-            now + 0.85 * timing.period_s * stretch, number in self._suspicions,
+            number,
+            now + timing.again_s,
+            now + timing.answer_s * stretch,
+            now + 0.85 * timing.period_s * stretch,
+            number in self._suspicions,
         )
 
     def _ask_lightly(self, now: float) -> None:
@@ -506,7 +546,9 @@
         own = slot(self.number)
         asked |= {n for n, held in self._suspicions.items() if held.slots & own}
         since = now - period_s
-        unheard = [n for n in self._there() if self._heard.get(n, since) <= since and n not in asked]
+        unheard = [
+            n for n in self._there() if self._heard.get(n, since) <= since and n not in asked
+        ]
         for number in self._some(int(share + self._draw()), unheard):
             if not self._begin_light(number, now, SWEEPING, doubted=True):
                 return
@@ -519,7 +561,9 @@
             return False
         light_s = self.timing.light_s
         ends = now + LIGHTS * light_s * self._condition.stretch
-        self._probes[self._sequence] = _Probe(number, now + light_s, ends, ends, doubted, light=True)
+        self._probes[self._sequence] = _Probe(
+            number, now + light_s, ends, ends, doubted, light=True
+        )
         return True
 
     def _probe_more(self, now: float) -> None:
@@ -544,7 +588,9 @@
                 continue
             if probe.help <= now:
                 probe = probe._replace(help=probe.ends)  # noqa: PLW2901
-                others = [n for n in self._there() if n != probe.number and n not in self._suspicions]
+                others = [
+                    n for n in self._there() if n != probe.number and n not in self._suspicions
+                ]
                 helpers = 1 if probe.doubted else self.timing.helpers
                 for number in self._some(helpers, self._lately(others, now)):
                     self._send(number, Kind.ASK, now, sequence=sequence, about=probe.number)
@@ -570,7 +616,9 @@
             self._begin_full(probe.number, now)
             return
         if not probe.doubted:
-            self._condition.probed(False, now, probe.nacked or probe.light)  # nobody was asked for help
+            self._condition.probed(
+                False, now, probe.nacked or probe.light
+            )  # nobody was asked for help
         self._judge_self(now)
         claim = self.claims[probe.number]
         if claim.standing in (Standing.GONE, Standing.LEFT) or not self._judging(now):
@@ -611,7 +659,10 @@
         if self._send(datagram.about, Kind.PING, now, sequence=self._sequence):
             timing = self.timing
             self._helps[self._sequence] = _Help(
-                datagram.number, datagram.sequence, datagram.about, now + timing.answer_s / 2,
+                datagram.number,
+                datagram.sequence,
+                datagram.about,
+                now + timing.answer_s / 2,
                 now + 2 * timing.period_s,
             )
 
@@ -632,10 +683,14 @@
         away = (Standing.GONE, Standing.LEFT)
         if self.roster.everyone is not None and self._draw() * there * HAIL_S < interval:
             # All who are gone read in it that they are said to be, and say otherwise.
-            for number in self._some(1, (n for n, seen in self._members.items() if seen.standing in away)):
+            for number in self._some(
+                1, (n for n, seen in self._members.items() if seen.standing in away)
+            ):
                 self._send_table(EVERYONE, number, now)
             return
-        for number in self._some(1, (n for n, seen in self._members.items() if seen.standing in away)):
+        for number in self._some(
+            1, (n for n, seen in self._members.items() if seen.standing in away)
+        ):
             self._ping(number, now)
 
     # Suspicions.
@@ -645,7 +700,9 @@
         if not ending:
             return
         # Where waits are short one that was just cut off has not had the time to notice.
-        answered = not self._hurried or self._condition.answered_since(now - 2 * self.timing.period_s)
+        answered = not self._hurried or self._condition.answered_since(
+            now - 2 * self.timing.period_s
+        )
         judging = answered and self._judging(now)
         for number in ending:
             held = self._suspicions[number]
@@ -697,7 +754,9 @@
         self._next_aloud = now + interval * (0.5 + self._draw())
         if len(self._aloud) <= BULK:
             told = list(self._aloud)
-            if self._send(EVERYONE, Kind.GOSSIP, now, part=LATER, news=tuple(self._news(n) for n in told)):
+            if self._send(
+                EVERYONE, Kind.GOSSIP, now, part=LATER, news=tuple(self._news(n) for n in told)
+            ):
                 self._aloud.clear()
             return
         first = min(self._aloud)
@@ -735,13 +794,22 @@
             return
         self._changed, self._view = now, None  # nothing is settled while two differ
         # While rumours run, tables differ without a fault; a newcomer's differs until somebody tells it all.
-        if self._next_sync <= now and not self._queue.fresh() and datagram.kind in (Kind.PING, Kind.ACK):
+        if (
+            self._next_sync <= now
+            and not self._queue.fresh()
+            and datagram.kind in (Kind.PING, Kind.ACK)
+        ):
             self._next_sync = now + self.timing.sync_s * (0.5 + self._draw())
             sums = self.claims.digests()
             first = int(self._draw() * (len(sums) // MOST_SUMS + 1)) * MOST_SUMS
             self._send(
-                datagram.number, Kind.SUMS, now, part=LATER, about=first,
-                sums=tuple(sums[first:first + MOST_SUMS]), news=(),
+                datagram.number,
+                Kind.SUMS,
+                now,
+                part=LATER,
+                about=first,
+                sums=tuple(sums[first : first + MOST_SUMS]),
+                news=(),
             )
 
     def _tell_table(self, datagram: Datagram, now: float) -> None:
@@ -766,7 +834,14 @@
             middle = first + max(CHUNK, (stop - first) // 2 // CHUNK * CHUNK)
             first, stop = (middle, stop) if about >= middle else (first, middle)
         sent = self._send(
-            number, Kind.TABLE, now, part=part, about=first, codes=codes, base=base, others=tuple(others),
+            number,
+            Kind.TABLE,
+            now,
+            part=part,
+            about=first,
+            codes=codes,
+            base=base,
+            others=tuple(others),
             news=(),
         )
         if not sent:
@@ -800,25 +875,53 @@
             self._send(datagram.number, Kind.GOSSIP, now, part=LATER, first=better)
 
     def _send(
-        self, number: int, kind: Kind, now: float, *, sequence: int = 0, about: int = 0, part: float = 1.0,
-        sums: tuple[int, ...] = (), codes: bytes = b"", base: int = 0, others: tuple[int, ...] = (),
-        first: Iterable[int] = (), news: tuple[News, ...] | None = None,
+        self,
+        number: int,
+        kind: Kind,
+        now: float,
+        *,
+        sequence: int = 0,
+        about: int = 0,
+        part: float = 1.0,
+        sums: tuple[int, ...] = (),
+        codes: bytes = b"",
+        base: int = 0,
+        others: tuple[int, ...] = (),
+        first: Iterable[int] = (),
+        news: tuple[News, ...] | None = None,
     ) -> bool:
         """Send with as much news as there is room for; False: the budget is spent."""
         told: list[int] = []
         if news is None:
             told = list(first)
-            if number != EVERYONE and self.claims[number] > Claim(self._heads.get(number, 0), Standing.ALIVE):
+            if number != EVERYONE and self.claims[number] > Claim(
+                self._heads.get(number, 0), Standing.ALIVE
+            ):
                 told.insert(0, number)  # what is said of it, which only it can refute
             # Answers and probes first: news that would crowd them out made sound members look silent.
             few = part == 1.0 and (self._budget.spent(now) > LATER / 2 or len(self._queue) > BULK)
-            told += [n for n in self._queue.pick(2 if few else MOST_NEWS - len(told)) if n not in told]
+            told += [
+                n for n in self._queue.pick(2 if few else MOST_NEWS - len(told)) if n not in told
+            ]
             news = tuple(self._news(n) for n in told)
         while True:
-            data = encode(Datagram(
-                VERSION, self.number, self._life, self.incarnation, kind, sequence, self.claims.digest,
-                news, about, sums, codes, base, others,
-            ))
+            data = encode(
+                Datagram(
+                    VERSION,
+                    self.number,
+                    self._life,
+                    self.incarnation,
+                    kind,
+                    sequence,
+                    self.claims.digest,
+                    news,
+                    about,
+                    sums,
+                    codes,
+                    base,
+                    others,
+                )
+            )
             if len(data) <= MOST_BYTES:
                 break
             # A rumour takes 5 to 11 bytes: off with as many as surely are too many.
@@ -863,4 +966,6 @@
         state = self._condition.state(now)
         if state is not self._self:
             self._self = state
-            self._note(Change(now, self.number, state.value, self.incarnation, "self", self.number), now)
+            self._note(
+                Change(now, self.number, state.value, self.incarnation, "self", self.number), now
+            )
--- a/quillroad/fleet/report.py
+++ b/quillroad/fleet/report.py
@@ -51,14 +51,32 @@
     lines = []
     for number, seen in sorted(view.members.items()):
         heard = core.heard(number)
-        lines.append(Line(
-            number, seen.standing.name.lower(), seen.incarnation, round(now - seen.since, 3),
-            -1.0 if heard is None else round(now - heard, 3), seen.how, seen.by,
-        ))
+        lines.append(
+            Line(
+                number,
+                seen.standing.name.lower(),
+                seen.incarnation,
+                round(now - seen.since, 3),
+                -1.0 if heard is None else round(now - heard, 3),
+                seen.how,
+                seen.by,
+            )
+        )
     return Report(
-        name, view.number, at, view.version, view.incarnation, view.self_state.value,
-        round(now - view.changed, 3) if view.certain else -1.0, view.there, (part.number, part.of), used,
-        lines, dict(core.dropped), core.unsent, core.held,
+        name,
+        view.number,
+        at,
+        view.version,
+        view.incarnation,
+        view.self_state.value,
+        round(now - view.changed, 3) if view.certain else -1.0,
+        view.there,
+        (part.number, part.of),
+        used,
+        lines,
+        dict(core.dropped),
+        core.unsent,
+        core.held,
     )
 
 
--- a/quillroad/fleet/settings.py
+++ b/quillroad/fleet/settings.py
@@ -73,7 +73,9 @@
     told = read_toml(path, _File)
     if told.members.listen or told.members.addresses:
         listen = read_address(told.members.listen, "members.listen")
-        addresses = [read_address(a, f"members.addresses[{i}]") for i, a in enumerate(told.members.addresses)]
+        addresses = [
+            read_address(a, f"members.addresses[{i}]") for i, a in enumerate(told.members.addresses)
+        ]
         everyone = None
         if told.members.everyone:
             everyone = read_address(told.members.everyone, "members.everyone")
@@ -112,15 +114,22 @@
         most_datagrams=talk.datagrams_per_second,
     )
     if timing.answer_s > 0.6 * timing.period_s:
-        raise ConfigError("talk.answer: needs six tenths of talk.period at most, for others to help")
+        raise ConfigError(
+            "talk.answer: needs six tenths of talk.period at most, for others to help"
+        )
     if talk.fleet_bytes_per_second:
         own = min(timing.most_bytes, talk.fleet_bytes_per_second // members)
         if own < 4 * MOST_BYTES:
-            raise ConfigError(f"talk.fleet_bytes_per_second: needs {4 * MOST_BYTES} for each of {members}")
+            raise ConfigError(
+                f"talk.fleet_bytes_per_second: needs {4 * MOST_BYTES} for each of {members}"
+            )
         timing = replace(timing, most_bytes=own)
     # A budget that is small has longer periods, not probes that cannot be sent.
     slower = max(1.0, NEEDED / timing.period_s / (0.4 * timing.most_bytes))
     return replace(
-        timing, period_s=timing.period_s * slower, answer_s=timing.answer_s * slower,
-        gossip_s=timing.period_s * slower * 0.4, again_s=timing.answer_s * slower * 0.75,
+        timing,
+        period_s=timing.period_s * slower,
+        answer_s=timing.answer_s * slower,
+        gossip_s=timing.period_s * slower * 0.4,
+        again_s=timing.answer_s * slower * 0.75,
     )
--- a/quillroad/fleet/socket.py
+++ b/quillroad/fleet/socket.py
@@ -64,7 +64,9 @@
         self._timer: asyncio.TimerHandle | None = None
         self._reporter: asyncio.TimerHandle | None = None
         self._complained = float("-inf")
-        self.serves: Callable[[], bool] = lambda: True  # of two processes only the one that serves takes part
+        self.serves: Callable[[], bool] = lambda: (
+            True
+        )  # of two processes only the one that serves takes part
         self._files = Writer(loop)
         self._events: Any = None  # structlog's logger; None: changes are written nowhere
         if self.settings is None:
@@ -101,7 +103,11 @@
             now = monotonic()
             if now - self._complained >= TOLD_S:
                 self._complained = now
-                why = "another process holds it" if error.errno == errno.EADDRINUSE else error.strerror
+                why = (
+                    "another process holds it"
+                    if error.errno == errno.EADDRINUSE
+                    else error.strerror
+                )
                 log.error("no part in the fleet's view: %s:%d: %s", *settings.listen, why)
             self._timer = self._loop.call_later(TAKEN_S, self._try)
             return
@@ -223,7 +229,11 @@
         out, core.outbox = core.outbox, []
         for number, data in out:
             everyone = core.roster.everyone
-            to = everyone if number == EVERYONE and everyone is not None else core.roster.addresses[number]
+            to = (
+                everyone
+                if number == EVERYONE and everyone is not None
+                else core.roster.addresses[number]
+            )
             try:
                 opened.sendto(data, to)
             except OSError:
@@ -261,7 +271,10 @@
         if settings.changes is not None:
             self._events = structlog.wrap_logger(
                 _Lines(self._files, settings.changes),
-                processors=[structlog.processors.TimeStamper(), structlog.processors.JSONRenderer()],
+                processors=[
+                    structlog.processors.TimeStamper(),
+                    structlog.processors.JSONRenderer(),
+                ],
             )
 
     def _note(self, event: str, **facts: object) -> None:
@@ -275,14 +288,24 @@
         changes, core.changes = core.changes, []
         for change in changes:
             self._note(
-                change.what, member=change.number, incarnation=change.incarnation, cause=change.cause,
-                by=change.by, clock=round(change.at, 3),
+                change.what,
+                member=change.number,
+                incarnation=change.incarnation,
+                cause=change.cause,
+                by=change.by,
+                clock=round(change.at, 3),
             )
             if change.number == core.number and change.what != "refuted":
                 say = log.error if change.what == "doubled" else log.info
                 say("this gateway is %s", change.what)
             elif change.what in ("gone", "doubled"):
-                log.info("gateway %d is %s (%s, by %d)", change.number, change.what, change.cause, change.by)
+                log.info(
+                    "gateway %d is %s (%s, by %d)",
+                    change.number,
+                    change.what,
+                    change.cause,
+                    change.by,
+                )
 
     def _report(self) -> None:
         settings, core = self.settings, self.core
--- a/quillroad/fleet/sweep.py
+++ b/quillroad/fleet/sweep.py
@@ -11,7 +11,9 @@
 STEP_S = 0.1  # between two steps
 SWEPT_S = 0.7  # how long a sweep takes; with 1.0 seven in ten of 200 took 0.4 s longer
 AFTER_S, AFTER = 1.0, 0.1  # then for so long that part of it, for what the first questions missed
-REST_S = 5.0  # how long none begins after it: with 2.0 those it suspected wrongly set off the next one
+REST_S = (
+    5.0  # how long none begins after it: with 2.0 those it suspected wrongly set off the next one
+)
 SWEPT = 8.0  # that one member gets from all others; with 4 it took 0.9 s longer, with 16 it was no quicker
 PART = 0.8  # of the budget, for its questions
 MEANWHILE = 0.4  # of the budget, for what is told while it lasts
--- a/quillroad/framing.py
+++ b/quillroad/framing.py
@@ -6,7 +6,9 @@
 
 from __future__ import annotations
 
-FRAMED = 8  # bytes of a message at most for each of its body: a chunk's extension reaches no callback
+FRAMED = (
+    8  # bytes of a message at most for each of its body: a chunk's extension reaches no callback
+)
 
 
 class BadRequestError(Exception):
@@ -20,7 +22,9 @@
 def check_framing(version: str, headers: list[tuple[bytes, bytes]]) -> int:
     """The length of the body that is told, in bytes; -1 for one in chunks. Raises `BadRequestError` unless it
     is beyond doubt where the request ends."""
-    framing = [(n.lower().replace(b"_", b"-").strip(), n, v) for n, v in headers if n[:1] in b"cCtT"]
+    framing = [
+        (n.lower().replace(b"_", b"-").strip(), n, v) for n, v in headers if n[:1] in b"cCtT"
+    ]
     lengths = [(n, v) for plain, n, v in framing if plain == b"content-length"]
     codings = [(n, v) for plain, n, v in framing if plain == b"transfer-encoding"]
     if any(b"_" in name or name != name.strip() for name, _ in lengths + codings):
--- a/quillroad/gateway.py
+++ b/quillroad/gateway.py
@@ -43,7 +43,10 @@
 # After SIGTERM and the longest deadline; SIGKILL comes 0.7 s after these at the earliest, and the process
 # needs some of that to end.
 END_S = 0.6
-LOG_LINES, LOG_S = 50, 1.0  # lines in a stretch of time: a storm of errors must not become a storm of lines
+LOG_LINES, LOG_S = (
+    50,
+    1.0,
+)  # lines in a stretch of time: a storm of errors must not become a storm of lines
 
 
 class LimitedLog(logging.Filter):
@@ -56,7 +59,10 @@
     def filter(self, record: logging.LogRecord) -> bool:
         if record.created - self._began >= LOG_S:
             if self._count > LOG_LINES:
-                record.msg, record.args = f"{record.getMessage()} ({self._count - LOG_LINES} left out)", ()
+                record.msg, record.args = (
+                    f"{record.getMessage()} ({self._count - LOG_LINES} left out)",
+                    (),
+                )
             self._began, self._count = record.created, 0
         self._count += 1
         return self._count <= LOG_LINES
@@ -65,7 +71,9 @@
 def start_log() -> None:
     handler = logging.StreamHandler(sys.stderr)
     handler.addFilter(LimitedLog())
-    handler.setFormatter(logging.Formatter("%(asctime)s.%(msecs)03d %(name)s: %(message)s", "%H:%M:%S"))
+    handler.setFormatter(
+        logging.Formatter("%(asctime)s.%(msecs)03d %(name)s: %(message)s", "%H:%M:%S")
+    )
     logging.basicConfig(level=logging.INFO, handlers=[handler])
 
 
@@ -113,7 +121,9 @@
             from quillroad.membership.consul.registrar import Registrar  # noqa: PLC0415
 
             self.registrar = Registrar(config.register, config, lambda: self.engine.ready)
-        self.server = server(loop, config, self.engine, descriptors, self.upstream.drop_oldest_idle, heart)
+        self.server = server(
+            loop, config, self.engine, descriptors, self.upstream.drop_oldest_idle, heart
+        )
         self.upstream.clients_yield = self.server.yields
         self.duty = Duty()
         self._resting: asyncio.Task[None] | None = None
@@ -175,7 +185,7 @@
         self._reloaded(True)
         if self.fleet is not None:
             self.fleet.take(members)
-        if (left := changed_fields(self.config, config)):
+        if left := changed_fields(self.config, config):
             log.warning("these fields change with a restart only: %s", ", ".join(left))
         hosts = (config.discovery, config.hosts)
         if hosts == self._hosts:
@@ -232,7 +242,9 @@
         """Answers say `Connection: close` at once; the listener and idle connections stay while the front
         may still send, for ending them first would lose what crosses the close."""
         began = monotonic()
-        longest_s = max((route.deadline_us for route in self.config.settings.routes), default=0) / 1e6
+        longest_s = (
+            max((route.deadline_us for route in self.config.settings.routes), default=0) / 1e6
+        )
         end = began + longest_s + END_S
         self.duty.end()
         self.server.draining = True
--- a/quillroad/membership/consul/health.py
+++ b/quillroad/membership/consul/health.py
@@ -120,7 +120,9 @@
 
     Maintenance, of the node or of the service, is a drain: somebody wants it empty, and its process runs. Any
     other check that is critical puts it out. A status that is not known is taken for critical."""
-    if any(c.CheckID == NODE_MAINTENANCE or c.CheckID.startswith(SERVICE_MAINTENANCE) for c in checks):
+    if any(
+        c.CheckID == NODE_MAINTENANCE or c.CheckID.startswith(SERVICE_MAINTENANCE) for c in checks
+    ):
         return Standing.DRAINING, False
     statuses = {check.Status for check in checks}
     if statuses - {"passing", "warning"}:
--- a/quillroad/membership/consul/index.py
+++ b/quillroad/membership/consul/index.py
@@ -21,7 +21,9 @@
     slack: float = 1 / 16
     grace_s: float = 1.0  # for the answer to come back after that
     burst: int = 10  # queries that may follow each other at once
-    rate: float = 20.0  # queries a second beyond that: an index that runs away must not become a storm
+    rate: float = (
+        20.0  # queries a second beyond that: an index that runs away must not become a storm
+    )
 
 
 class Index:
@@ -54,7 +56,9 @@
     def delay_s(self, now: float) -> float:
         """Seconds to wait before the next query; takes a place in the rate."""
         pace = self.pace
-        self._tokens = min(float(pace.burst), self._tokens + pace.rate * max(0.0, now - self._filled))
+        self._tokens = min(
+            float(pace.burst), self._tokens + pace.rate * max(0.0, now - self._filled)
+        )
         self._filled = now
         self._tokens -= 1.0
         return 0.0 if self._tokens >= 0.0 else -self._tokens / pace.rate
--- a/quillroad/membership/consul/register.py
+++ b/quillroad/membership/consul/register.py
@@ -65,7 +65,9 @@
         self._wait_s = FIRST_WAIT_S
         self._status, self._told = "critical", ""
         self._until = 0.0
-        self._said = False  # anything, so that the agent may have the entry though it has not answered
+        self._said = (
+            False  # anything, so that the agent may have the entry though it has not answered
+        )
 
     def serves(self, now: float, ready: bool) -> None:
         """Whether the gateway has hosts to serve by."""
@@ -88,14 +90,25 @@
         """What to say now."""
         one, self._said = self._entry, True
         if self.where is Where.OUT:
-            return Call("/v1/agent/service/register?replace-existing-checks=true", json.dumps({
-                "ID": one.id, "Name": one.service, "Address": one.address, "Port": one.port,
-                "Meta": dict(one.meta),
-                "Check": {
-                    "CheckID": one.check, "Name": "quillroad serves", "TTL": f"{one.ttl_s:g}s",
-                    "Status": self._status, "DeregisterCriticalServiceAfter": f"{LEFT_AFTER * one.ttl_s:g}s",
-                },
-            }).encode())
+            return Call(
+                "/v1/agent/service/register?replace-existing-checks=true",
+                json.dumps(
+                    {
+                        "ID": one.id,
+                        "Name": one.service,
+                        "Address": one.address,
+                        "Port": one.port,
+                        "Meta": dict(one.meta),
+                        "Check": {
+                            "CheckID": one.check,
+                            "Name": "quillroad serves",
+                            "TTL": f"{one.ttl_s:g}s",
+                            "Status": self._status,
+                            "DeregisterCriticalServiceAfter": f"{LEFT_AFTER * one.ttl_s:g}s",
+                        },
+                    }
+                ).encode(),
+            )
         if self.where is Where.IN:
             why = "has hosts" if self._status == "passing" else "has no hosts to serve by"
             return Call(
@@ -109,17 +122,26 @@
         good = status == 200
         leaves = "/deregister/" in asked.target
         if self.where is Where.LEAVING and not leaves:
-            self.due = now  # it drained while something else was on its way: that may have registered it
+            self.due = (
+                now  # it drained while something else was on its way: that may have registered it
+            )
             return ""
         if self.where is Where.LEAVING:
             if good or status == 404 or now >= self._until:
                 self.where = Where.GONE
-                return "deregistered" if good else f"could not deregister: {self._why(status)}; the TTL will"
+                return (
+                    "deregistered"
+                    if good
+                    else f"could not deregister: {self._why(status)}; the TTL will"
+                )
             self.due = now + LEAVE_AGAIN_S
             return ""
         if good:
             before, self.where = self.where, Where.IN
-            self._wait_s, self._told = FIRST_WAIT_S, json.loads(asked.body).get("Status", self._status)
+            self._wait_s, self._told = (
+                FIRST_WAIT_S,
+                json.loads(asked.body).get("Status", self._status),
+            )
             self.due = now if self._told != self._status else now + PART * self._entry.ttl_s
             return "registered" if before is Where.OUT else ""
         if self.where is Where.IN and status in (404, 500):
--- a/quillroad/membership/consul/registrar.py
+++ b/quillroad/membership/consul/registrar.py
@@ -25,8 +25,12 @@
     def __init__(self, told: Register, config: Config, ready: Callable[[], bool]) -> None:
         self._told, self._ready = told, ready
         entry = Entry(
-            told.id or f"{told.service}-{config.name}", told.service, config.listen[0], config.listen[1],
-            told.ttl_s, (("gateway", config.name),),
+            told.id or f"{told.service}-{config.name}",
+            told.service,
+            config.listen[0],
+            config.listen[1],
+            told.ttl_s,
+            (("gateway", config.name),),
         )
         self.registration = Registration(entry, monotonic())
         self.serves: Callable[[], bool] = lambda: True
@@ -51,7 +55,7 @@
                 continue
             call = machine.call()
             status = await self._say(call)
-            if (line := machine.answered(monotonic(), call, status)):
+            if line := machine.answered(monotonic(), call, status):
                 log.info("own entry: %s", line)
 
     async def _say(self, call: Call) -> int:
@@ -60,7 +64,13 @@
             token = self._told.token_file
             headers = {"X-Consul-Token": token.read_text().strip()} if token else {}
             answer = await fetch(
-                self._told.agent, call.target, headers, ANSWER_S, ANSWER_BYTES, method="PUT", body=call.body
+                self._told.agent,
+                call.target,
+                headers,
+                ANSWER_S,
+                ANSWER_BYTES,
+                method="PUT",
+                body=call.body,
             )
         except (FetchError, OSError):
             return 0
--- a/quillroad/membership/consul/source.py
+++ b/quillroad/membership/consul/source.py
@@ -39,7 +39,12 @@
     def target(self, index: int) -> str:
         """Path and query of a health query that blocks past `index`; 0 answers at once."""
         hosts = self.hosts
-        asked = {"dc": hosts.datacenter, "ns": hosts.namespace, "tag": hosts.tag, "filter": hosts.filter}
+        asked = {
+            "dc": hosts.datacenter,
+            "ns": hosts.namespace,
+            "tag": hosts.tag,
+            "filter": hosts.filter,
+        }
         query = [(name, value) for name, value in asked.items() if value]
         if index:
             query += [("index", str(index)), ("wait", f"{round(self.pace.wait_s * 1000)}ms")]
@@ -134,7 +139,9 @@
         except FetchError as error:
             raise _Unusable(f"{where}: {error}") from None
         except OSError as error:
-            raise _Unusable(f"token: cannot read {told.hosts.token_file}: {error.strerror}") from None
+            raise _Unusable(
+                f"token: cannot read {told.hosts.token_file}: {error.strerror}"
+            ) from None
         verdict, why = judge(response.status, response.headers, told.limits)
         if verdict is not Verdict.USE:
             raise _Unusable(f"{where}: {why}", verdict is Verdict.DENIED)
@@ -142,7 +149,7 @@
             reading = read_health(response.body, told.mapping)
         except ConsulError as error:
             raise _Unusable(f"{where}: {error}") from None
-        if (odd := index.told(response.headers.get("x-consul-index"))):
+        if odd := index.told(response.headers.get("x-consul-index")):
             log.info("consul: %s: %s", where, odd)
         for line in reading.unread[:5]:
             log.warning("consul: %s: %s", where, line)
--- a/quillroad/membership/currency.py
+++ b/quillroad/membership/currency.py
@@ -23,7 +23,9 @@
 # Of a new call to an agent of one's own, which answers at once: one that has fallen silent swallows calls,
 # and when it is back it counts as heard, so it is asked often.
 AGENT_S = 0.4
-AGENT_CALLS = 20  # so many in vain, and each waits twice as long: an agent that has got slow is heard, too
+AGENT_CALLS = (
+    20  # so many in vain, and each waits twice as long: an agent that has got slow is heard, too
+)
 
 
 class Currency:
--- a/quillroad/membership/feed.py
+++ b/quillroad/membership/feed.py
@@ -42,7 +42,9 @@
         reduced = self._reducer.reduce(snapshot, time.time_ns() // 1000)
         for line in reduced.refused[:5]:
             log.warning("list %d: %s", snapshot.version, line)
-        shown = ", ".join(f"{reduced.names[s.id]} {s.state.name.lower()}" for s in reduced.servers.servers)
+        shown = ", ".join(
+            f"{reduced.names[s.id]} {s.state.name.lower()}" for s in reduced.servers.servers
+        )
         log.info("list %d: %s", snapshot.version, shown[:2000] or "nothing")
         self._update(*reduced[:3])
 
--- a/quillroad/membership/fetch.py
+++ b/quillroad/membership/fetch.py
@@ -87,7 +87,9 @@
         raise FetchError(f"broken off: {error}") from None
     except httptools.HttpParserError as error:
         context = error.__context__
-        raise FetchError(str(context) if isinstance(context, FetchError) else f"not HTTP: {error}") from None
+        raise FetchError(
+            str(context) if isinstance(context, FetchError) else f"not HTTP: {error}"
+        ) from None
     finally:
         sink.close()
     return Response(parser.get_status_code(), reader.headers, b"".join(reader.body))
--- a/quillroad/membership/pacing.py
+++ b/quillroad/membership/pacing.py
@@ -25,7 +25,9 @@
 AGENT_MOST_S = 0.1
 RATE = 4.0  # calls a second of few gateways together; where they are more the round is
 ROUND_S, LEAST_ROUND_S = 4.0, 3.0
-MOST_ROUND_S = 10.0  # however long the queue: discovery is told to take one call from each in 2 to 8 s
+MOST_ROUND_S = (
+    10.0  # however long the queue: discovery is told to take one call from each in 2 to 8 s
+)
 QUEUED_S = 1.5  # a call that took so long to fail had waited in a queue
 FEW = 3  # so many gateways need no rounds: they have no part in a crowd
 JITTER = 0.1  # part of a round, lest those who met in one meet in all
@@ -40,7 +42,9 @@
     1.
     """
 
-    def __init__(self, balancers: int, number: int, draw: Callable[[], float], own: bool = False) -> None:
+    def __init__(
+        self, balancers: int, number: int, draw: Callable[[], float], own: bool = False
+    ) -> None:
         self._draw, self._broken_s, self._grown = draw, BROKEN_S, 0
         self._in_round = False  # the last call was one of a round, and failed
         self._most_s = AGENT_MOST_S if own else MOST_S
--- a/quillroad/membership/platform.py
+++ b/quillroad/membership/platform.py
@@ -70,14 +70,18 @@
         self._body = b""  # of an answer, and not looked at yet
         self._status = 0
         self._ended = False
-        self._heard = self._unread = False  # of the last call: a list has come; part of one has, or one amiss
+        self._heard = self._unread = (
+            False  # of the last call: a list has come; part of one has, or one amiss
+        )
         self._parser: httptools.HttpResponseParser | None = None
         self._task: asyncio.Task[None] | None = None
         told = config.settings
         # Where lists are pushed each gateway has an agent of its own, and company with nobody.
         self._shared = told.discovery_asks
         self._pacing = Pacing(
-            told.balancers if self._shared else 1, told.number, random.Random(config.seed).random,
+            told.balancers if self._shared else 1,
+            told.number,
+            random.Random(config.seed).random,
             own=not self._shared,
         )
         self._currency = Currency(monotonic(), own=not self._shared)
@@ -96,7 +100,11 @@
 
     @property
     def position(self) -> tuple[str, int]:
-        return ("", 0) if self._whole_due else (f"{self.address[0]}:{self.address[1]}", self._generation)
+        return (
+            ("", 0)
+            if self._whole_due
+            else (f"{self.address[0]}:{self.address[1]}", self._generation)
+        )
 
     def resume(self, position: int) -> None:
         if position > self._generation and not self._whole_due:
@@ -141,8 +149,16 @@
             try:
                 await self._watch()
                 reason = "ended"
-            except (OSError, TimeoutError, Malformed, BrokenDocument, httptools.HttpParserError) as error:
-                reason = str(error) or (SILENT if isinstance(error, TimeoutError) else type(error).__name__)
+            except (
+                OSError,
+                TimeoutError,
+                Malformed,
+                BrokenDocument,
+                httptools.HttpParserError,
+            ) as error:
+                reason = str(error) or (
+                    SILENT if isinstance(error, TimeoutError) else type(error).__name__
+                )
             except Exception:
                 # With no watch a drain would go unheard while all else seems well: no fault may end it.
                 log.exception("the watch of hosts failed")
@@ -284,14 +300,17 @@
         self._held.update({names[s.id]: s for s in servers})
         told = {s.id: names[s.id] for s in servers}
         self._update(
-            ServerList(ListKind.CHANGES, tuple(servers), self._generation), told,
+            ServerList(ListKind.CHANGES, tuple(servers), self._generation),
+            told,
             {number: self._addresses[name] for number, name in told.items()},
         )
 
     def _entry(self, entry: Any) -> tuple[Server, str, Address | None]:
         try:
             name, state = str(entry["instanceId"]), STATES[entry["lifecycle"]]
-            address = None if state is State.GONE else read_address(entry.get("hostPort"), "hostPort")
+            address = (
+                None if state is State.GONE else read_address(entry.get("hostPort"), "hostPort")
+            )
             server = Server(
                 id=server_number(name),
                 state=state,
--- a/quillroad/membership/reduce.py
+++ b/quillroad/membership/reduce.py
@@ -68,21 +68,25 @@
                 continue  # for the module it is gone: nothing new, and what it holds may still be answered
             number = server_number(instance.id)
             names[number], addresses[number] = instance.id, instance.address
-            servers.append(Server(
-                id=number,
-                state=State.READY if instance.standing is Standing.UP else State.DRAINING,
-                zone=self._zones.get(instance.zone, -1),
-                cell=instance.cell,
-                kind=self._kinds.get(instance.kind, -1),
-                hint=instance.weight,
-                started_us=started_us,
-            ))
+            servers.append(
+                Server(
+                    id=number,
+                    state=State.READY if instance.standing is Standing.UP else State.DRAINING,
+                    zone=self._zones.get(instance.zone, -1),
+                    cell=instance.cell,
+                    kind=self._kinds.get(instance.kind, -1),
+                    hint=instance.weight,
+                    started_us=started_us,
+                )
+            )
         for name, known in self._known.items():
             if name not in believed:
                 known.out = True
         self._forget(believed)
         self._first = False
-        return Reduced(ServerList(kind, tuple(servers), snapshot.version), names, addresses, tuple(refused))
+        return Reduced(
+            ServerList(kind, tuple(servers), snapshot.version), names, addresses, tuple(refused)
+        )
 
     def _believed(self, instances: Sequence[Instance]) -> tuple[dict[str, Instance], list[str]]:
         """One entry an id and one id an address. Of two with one id the one in service counts, then the
@@ -104,7 +108,9 @@
             if first is not instance and instance.standing is not Standing.OUT:
                 refused.append(f"{instance.id}: at the address of {first.id}")
         chosen = {instance.id for instance in by_address.values()}
-        return {i.id: i for i in by_id.values() if i.id in chosen or i.standing is Standing.OUT}, refused
+        return {
+            i.id: i for i in by_id.values() if i.id in chosen or i.standing is Standing.OUT
+        }, refused
 
     def _rank(self, instance: Instance) -> tuple[bool, bool, str]:
         known = self._known.get(instance.id)
@@ -116,7 +122,11 @@
         if known is None:
             # On the first list all that is there was there before: a gateway that starts is no fleet that
             # does.
-            started_us = instance.started_us if tells_starts or instance.started_us or self._first else now_us
+            started_us = (
+                instance.started_us
+                if tells_starts or instance.started_us or self._first
+                else now_us
+            )
             self._known[instance.id] = _Known(started_us, out)
             return started_us
         if tells_starts:
--- a/quillroad/membership/salvage.py
+++ b/quillroad/membership/salvage.py
@@ -38,7 +38,9 @@
             if named and not _up.search(part):
                 names.append(named[1])
         else:
-            if entry.get("lifecycle") in ("draining", "removed") and isinstance(entry.get("instanceId"), str):
+            if entry.get("lifecycle") in ("draining", "removed") and isinstance(
+                entry.get("instanceId"), str
+            ):
                 names.append(entry["instanceId"])
         at = text.find("{", end)
     return names
--- a/quillroad/membership/static.py
+++ b/quillroad/membership/static.py
@@ -5,7 +5,14 @@
 from time import monotonic
 
 from quillroad.config import Config, StaticHosts
-from quillroad.membership.instance import Health, Instance, Listener, Snapshot, SourceState, Standing
+from quillroad.membership.instance import (
+    Health,
+    Instance,
+    Listener,
+    Snapshot,
+    SourceState,
+    Standing,
+)
 
 
 class StaticSource:
@@ -18,16 +25,23 @@
         assert isinstance(config.hosts, StaticHosts)
         self._version += 1
         self._listener.on_state(SourceState(Health.FRESH, monotonic()))
-        self._listener.on_snapshot(Snapshot(
-            tuple(
-                Instance(
-                    host.id, host.address, Standing.DRAINING if host.draining else Standing.UP, host.zone,
-                    host.kind, host.cell, host.weight,
-                )
-                for host in config.hosts.hosts
-            ),
-            self._version,
-        ))
+        self._listener.on_snapshot(
+            Snapshot(
+                tuple(
+                    Instance(
+                        host.id,
+                        host.address,
+                        Standing.DRAINING if host.draining else Standing.UP,
+                        host.zone,
+                        host.kind,
+                        host.cell,
+                        host.weight,
+                    )
+                    for host in config.hosts.hosts
+                ),
+                self._version,
+            )
+        )
 
     @property
     def position(self) -> tuple[str, int]:
