--- a/quillroad/server.py
+++ b/quillroad/server.py
@@ -39,11 +39,20 @@
 log = logging.getLogger("quillroad.server")
 
 REASONS = {
-    200: b"OK", 400: b"Bad Request", 404: b"Not Found", 408: b"Request Timeout", 413: b"Content Too Large",
-    431: b"Request Header Fields Too Large", 500: b"Internal Server Error", 502: b"Bad Gateway",
-    503: b"Service Unavailable", 504: b"Gateway Timeout",
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
 }
-SINGLE = frozenset((b"request-id", b"idempotency-key", b"request-timeout-ms"))  # at most one of each
+SINGLE = frozenset(
+    (b"request-id", b"idempotency-key", b"request-timeout-ms")
+)  # at most one of each
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect content-length "
     b"request-timeout-ms proxy-authorization proxy-authenticate".split()
@@ -51,7 +60,9 @@
 AHEAD = 2  # requests parsed ahead on one connection: clients send one at a time
 SLICE = 2048  # bytes parsed at a time, a few requests: one read can hold hundreds
 BODY_SLICE = 64 * 1024  # of a body, which holds no other request
-RECEIVE_S = 2.0  # for a request to come in whole, from its first byte, and for a first one to begin at all
+RECEIVE_S = (
+    2.0  # for a request to come in whole, from its first byte, and for a first one to begin at all
+)
 HEAD_S = 2.4  # in place of it for a head, where bodies may be long: clients may take 2 s
 RATE = 32 * 1024  # bytes of a body a second at the least, half of what slow clients send
 UNREAD_S = 5.0  # for a client to take some bytes of its answer
@@ -59,8 +70,13 @@
 # Connections past the descriptors' limit at the most, for those that end others or are turned away. With what
 # is no connection (15 of one process) and the accept at hand they are within RESERVED.
 EXCESS = RESERVED // 4
-FREED, FREED_S = 64, 0.05  # connections to hosts that make room in a turn at most; after which one does again
-OVERSTAYED = 2  # connections that end with an answer at the most: with one, their number would never fall
+FREED, FREED_S = (
+    64,
+    0.05,
+)  # connections to hosts that make room in a turn at most; after which one does again
+OVERSTAYED = (
+    2  # connections that end with an answer at the most: with one, their number would never fall
+)
 HOLD_S = 0.02  # between two looks at whether the core is still too busy for more than it has begun
 IDLE_S = 60.0  # connections are worth keeping, and the longest idle make room when room is needed
 IDLE_ONCE_S = 2.0  # for one that has asked once only: most such clients never come back
@@ -68,16 +84,27 @@
 AWAY_PART, LATE_AWAY_PART = 0.05, 0.15  # of the process's CPU time, for turning away those outside
 AWAY_S, AWAY_MOST_S = 80e-6, 0.005  # that one is taken to need, a guess; that may be saved up
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close by RST, with nothing more sent
-AGED_S = 0.05  # bytes that waited so long: their client may have left since, which counts after 0.1 s
-LINGER_S, LINGER_BYTES = 1.0, 1024 * 1024  # after an error, so that a client still sending can read why
+AGED_S = (
+    0.05  # bytes that waited so long: their client may have left since, which counts after 0.1 s
+)
+LINGER_S, LINGER_BYTES = (
+    1.0,
+    1024 * 1024,
+)  # after an error, so that a client still sending can read why
 
 
 class _Pending:
     """A request that is complete, or the error that it got, waiting for its turn on the connection."""
 
     def __init__(
-        self, request: ClientRequest | None, status: int, keep: bool, why: str = "", version: str = "1.1",
-        route: int = -1, held: int = 0,
+        self,
+        request: ClientRequest | None,
+        status: int,
+        keep: bool,
+        why: str = "",
+        version: str = "1.1",
+        route: int = -1,
+        held: int = 0,
     ) -> None:
         self.request, self.status, self.keep, self.why = request, status, keep, why
         self.version = version
@@ -93,7 +120,9 @@
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._unfed, self._fed = b"", 0  # read, and how much of it is parsed
-        self._read_at = monotonic()  # when what is unfed came in, which a client's deadline counts from
+        self._read_at = (
+            monotonic()
+        )  # when what is unfed came in, which a client's deadline counts from
         self._heard = False
         self._waiting: Waiting | None = None  # its place in the queue for the core
         self._began = 0.0  # when the core got round to its request
@@ -105,9 +134,13 @@
         self._chunked = False  # how that is framed
         self._route = -1  # class of the request that is owed an answer; -1: it has none
         self._advancing = self._paused = self._unread = self._ended = self._partial = False
-        self.blind = False  # nothing was read since reading paused: not even that the client has closed
+        self.blind = (
+            False  # nothing was read since reading paused: not even that the client has closed
+        )
         self._discarded = self._complete = 0
-        self._taking = self._held = 0  # of such bytes: of the request that comes in, of the one being served
+        self._taking = self._held = (
+            0  # of such bytes: of the request that comes in, of the one being served
+        )
         self._left = 0  # bytes of an answer that its client has not taken, at the last look
         self._bad: BadRequestError | None = None
         self.last_change = monotonic()  # what the limits on time count from
@@ -139,7 +172,10 @@
             rest, self._rest = self._rest, None
             self._server.streams -= 1
             rest.abandon()
-        self._unfed, self._parser = b"", None  # the parser refers back: a cycle would wait for the collector
+        self._unfed, self._parser = (
+            b"",
+            None,
+        )  # the parser refers back: a cycle would wait for the collector
         self._server.left(self)
         if self._waiting is not None:
             self._server.admission.leave(self._waiting)
@@ -197,12 +233,16 @@
                 route = None if seen is None else self._server.route(seen.kind)
                 if seen is not None and route is not None:
                     wait_s = self._server.wait_s(route, seen.wait_ms)
-                    if not self._line_up(self._read_at, wait_s, route, self._server.tenant(seen.tenant)):
+                    if not self._line_up(
+                        self._read_at, wait_s, route, self._server.tenant(seen.tenant)
+                    ):
                         self._unfed = b""
                         self._shed(route)
                     return
         if self._waiting is not None:
-            self._pause(True)  # it asks for more while it waits for its turn: that can wait in the kernel
+            self._pause(
+                True
+            )  # it asks for more while it waits for its turn: that can wait in the kernel
         else:
             self._advance()
 
@@ -219,7 +259,12 @@
 
     def _feed(self) -> None:
         """Parse what was read, no further ahead than a client needs; the rest waits, as the client must."""
-        while self._unfed and len(self._backlog) < AHEAD and not self._ended and self._parser is not None:
+        while (
+            self._unfed
+            and len(self._backlog) < AHEAD
+            and not self._ended
+            and self._parser is not None
+        ):
             step = BODY_SLICE if self._partial and not self._head else SLICE
             data = self._unfed[self._fed : self._fed + step]
             self._fed += step
@@ -243,8 +288,12 @@
                 bad = bad or BadRequestError(400, f"not HTTP: {error}")
                 self._ended = True
                 parts = self._url.partition(b"?")[0].split(b"/")
-                route = self._server.route(parts[1]) if bad.status == 503 and len(parts) > 1 else None
-                self._backlog.append(self._unfit(bad.status, str(bad), -1 if route is None else route))
+                route = (
+                    self._server.route(parts[1]) if bad.status == 503 and len(parts) > 1 else None
+                )
+                self._backlog.append(
+                    self._unfit(bad.status, str(bad), -1 if route is None else route)
+                )
         if self._ended:
             self._unfed, self._fed = b"", 0
         elif self._partial and not self._serving:
@@ -344,7 +393,9 @@
             if path == b"/up" and method == b"GET":
                 pending = _Pending(None, self._server.up_status(), keep)
             else:
-                request = self._server.check(method, self._url, self._headers, self._body, self._read_at)
+                request = self._server.check(
+                    method, self._url, self._headers, self._body, self._read_at
+                )
                 pending = _Pending(request, 200, keep, version=self._parser.get_http_version())
         except BadRequestError as bad:
             pending = _Pending(None, bad.status, keep, str(bad))
@@ -415,7 +466,11 @@
             if pending.status >= 400 and pending.status != 503:
                 log.info("%d: %s", pending.status, pending.why)
             self._route = pending.route
-            self.answer(Reply(pending.status, None, self._server.retry_after_us if pending.route >= 0 else 0))
+            self.answer(
+                Reply(
+                    pending.status, None, self._server.retry_after_us if pending.route >= 0 else 0
+                )
+            )
             return
         self._route = pending.route
         engine = self._server.engine
@@ -470,7 +525,9 @@
             if reply.answer.content_type is not None:
                 lines.append(b"Content-Type: " + reply.answer.content_type)
         if reply.retry_after_us:
-            lines.append(b"Retry-After: %.3f" % (self._server.spread.over(reply.retry_after_us) / 1e6))
+            lines.append(
+                b"Retry-After: %.3f" % (self._server.spread.over(reply.retry_after_us) / 1e6)
+            )
         lines.append(b"Content-Length: %d" % len(body))
         lines.append(b"Connection: keep-alive" if keep else b"Connection: close")
         self._transport.write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
@@ -571,7 +628,9 @@
     def _linger(self) -> None:
         """The client had its time to read why; not so while its answer has not even left this process."""
         if self._unread and self._transport is not None:
-            self._server.loop.call_later(LINGER_S, self._linger)  # `sweep` ends one that takes nothing
+            self._server.loop.call_later(
+                LINGER_S, self._linger
+            )  # `sweep` ends one that takes nothing
         else:
             self.abort()
 
@@ -632,7 +691,13 @@
     def idle(self, unfed: bool = True) -> bool:
         """Whether it is between two requests; `unfed` says whether bytes that were read and not parsed
         count."""
-        busy = self._serving or self._waiting is not None or self._backlog or self._partial or self._ended
+        busy = (
+            self._serving
+            or self._waiting is not None
+            or self._backlog
+            or self._partial
+            or self._ended
+        )
         return not (busy or (unfed and self._unfed))
 
     def gone(self) -> bool:
@@ -678,7 +743,9 @@
         elif self.idle():
             limits = (RECEIVE_S, IDLE_ONCE_S)  # by the requests that it has brought
             limit = limits[self._complete] if self._complete < len(limits) else IDLE_S
-            if waited > limit and not self.unread():  # a loop that runs late may not have read it yet
+            if (
+                waited > limit and not self.unread()
+            ):  # a loop that runs late may not have read it yet
                 self.abort()
 
 
@@ -718,7 +785,9 @@
         self._routes = {route.name: i for i, route in enumerate(config.settings.routes)}
         self._effects = [route.effect for route in config.settings.routes]
         self._deadlines = [route.deadline_us / 1e6 for route in config.settings.routes]
-        self.retry_after_us = config.settings.max_retry_after_us if config.settings.retry_after else 0
+        self.retry_after_us = (
+            config.settings.max_retry_after_us if config.settings.retry_after else 0
+        )
         self.longest_body = config.longest_body
         self.buffers = Buffers(config.buffers)
         self._tenants = {name: i for i, name in enumerate(config.tenants)}
@@ -739,7 +808,9 @@
         self.room: Room[ClientConnection] = Room(places, ClientConnection.unread)
         engine.on_room = self._places
         self._turning = False
-        self._hold: asyncio.TimerHandle | None = None  # the one timer of the turns that begin nothing
+        self._hold: asyncio.TimerHandle | None = (
+            None  # the one timer of the turns that begin nothing
+        )
         self._refused = 0  # of the refusals, those that the log knows of
         self._refusing = False
         self.draining = False
@@ -924,11 +995,17 @@
 
     def route(self, kind: bytes) -> int | None:
         """The class that the first part of a path names."""
-        return self._routes.get(unquote(kind.decode("latin-1")) if b"%" in kind else kind.decode("latin-1"))
+        return self._routes.get(
+            unquote(kind.decode("latin-1")) if b"%" in kind else kind.decode("latin-1")
+        )
 
     def wait_s(self, route: int, told_ms: int | None) -> float:
         """For how long a client waits: what it told, and its class's deadline at the most."""
-        return self._deadlines[route] if told_ms is None else min(told_ms / 1000, self._deadlines[route])
+        return (
+            self._deadlines[route]
+            if told_ms is None
+            else min(told_ms / 1000, self._deadlines[route])
+        )
 
     def tenant(self, name: bytes) -> int:
         return self._tenants.get(name.decode("latin-1"), -1)
@@ -941,7 +1018,9 @@
         waiting = self.admission.join(now, since, wait_s, route, tenant, held, connection)
         if waiting is not None:
             self.awake(connection)
-            if self._hold is None:  # else it is looked at soon, and by `_places` as soon as there is room
+            if (
+                self._hold is None
+            ):  # else it is looked at soon, and by `_places` as soon as there is room
                 self._places()
         return waiting
 
@@ -956,7 +1035,11 @@
         self.admission.used(now, process_time())
         self.heart.busy = self.admission.busy
         end = now + self.admission.slice_s(now)
-        while now < end and (held := self._holds()) is False and (one := self.admission.take()) is not None:
+        while (
+            now < end
+            and (held := self._holds()) is False
+            and (one := self.admission.take()) is not None
+        ):
             self._begin(one)
             now = monotonic()
         self.admission.sliced(now)
@@ -998,7 +1081,8 @@
             self._refusing = refused > 0
             if self._refusing:
                 log.warning(
-                    "refusing: %d requests wait, at %.2f ms each", self.admission.waiting,
+                    "refusing: %d requests wait, at %.2f ms each",
+                    self.admission.waiting,
                     self.admission.cost_s * 1000,
                 )
             else:
@@ -1012,7 +1096,12 @@
         return self._refusals[self._next_refusal]
 
     def check(
-        self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytearray, since: float
+        self,
+        method: bytes,
+        url: bytes,
+        headers: list[tuple[bytes, bytes]],
+        body: bytearray,
+        since: float,
     ) -> ClientRequest:
         """A request that may go on, or `BadRequestError`."""
         parts = url.partition(b"?")[0].split(b"/")
--- a/quillroad/start.py
+++ b/quillroad/start.py
@@ -39,7 +39,9 @@
         from quillroad.upgrade.process import run as run_keeper  # noqa: PLC0415
 
         return run_keeper(first, Path(named), arguments)
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a gateway that can reload, it would kill
+    signal.signal(
+        signal.SIGHUP, signal.SIG_IGN
+    )  # until there is a gateway that can reload, it would kill
     try:
         config = first()
     except ConfigError as error:
--- a/quillroad/upgrade/beside.py
+++ b/quillroad/upgrade/beside.py
@@ -97,7 +97,6 @@
             os.umask(before)
         return sock
 
-
     def close(self) -> None:
         """Be found no more; a file that is another's by now stays."""
         with contextlib.suppress(OSError), self._path(self._name) as path:
@@ -109,8 +108,12 @@
     """One process, from its start on."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, config: Config, again: Callable[[], Config],
-        zones: Path | None, folder: str | None,
+        self,
+        loop: asyncio.AbstractEventLoop,
+        config: Config,
+        again: Callable[[], Config],
+        zones: Path | None,
+        folder: str | None,
     ) -> None:
         super().__init__(loop, again, zones)
         self._config = config
@@ -209,7 +212,11 @@
         match act:
             case Say():
                 if self._other is not None:
-                    fds = [self._listener.fileno()] if act.listener and self._listener is not None else []
+                    fds = (
+                        [self._listener.fileno()]
+                        if act.listener and self._listener is not None
+                        else []
+                    )
                     self._other.send(act.message, fds)
             case Tell():
                 if isinstance(act.message, Room) and self._gateway is None:
@@ -238,7 +245,9 @@
             assert self._gateway is not None
             assert self._gateway.admin is not None
             self._gateway.admin.start()
-            self._gateway.admin.serves = lambda: self._seat.accepts or self._pair.stage is Stage.STANDS_BY
+            self._gateway.admin.serves = lambda: (
+                self._seat.accepts or self._pair.stage is Stage.STANDS_BY
+            )
         except (ConfigError, SelfTestError, OSError) as error:
             print(f"quillroad: {error}", file=sys.stderr)
             self._fail(2 if isinstance(error, ConfigError) else 1)
@@ -299,7 +308,9 @@
 
     def _end(self) -> None:
         if self._gateway is not None and not self._seat.accepts and self._other is not None:
-            self._do([SeatDo.FINISH])  # the link stays: connections move for as long as there are some
+            self._do(
+                [SeatDo.FINISH]
+            )  # the link stays: connections move for as long as there are some
         else:
             super()._end()
 
--- a/quillroad/upgrade/canary.py
+++ b/quillroad/upgrade/canary.py
@@ -19,7 +19,9 @@
 
     sure: float = 3.0  # standard deviations
     failed: float = 0.02  # part of requests by which failures may be more
-    unserved: float = 0.25  # by which refusals and failures may: load differs from one second to the next
+    unserved: float = (
+        0.25  # by which refusals and failures may: load differs from one second to the next
+    )
     least: int = 40  # requests of the new process before it is judged
     memory_s: float = 10.0  # of the old process's service that it is held against
     silent: float = 40.0  # requests that the old one would have had, without one at the new
--- a/quillroad/upgrade/channel.py
+++ b/quillroad/upgrade/channel.py
@@ -98,7 +98,9 @@
         while not self._closed:
             try:
                 packet, told, flags, _ = self._sock.recvmsg(
-                    CHUNK + 64, socket.CMSG_SPACE(BATCH * array.array("i").itemsize), socket.MSG_CMSG_CLOEXEC
+                    CHUNK + 64,
+                    socket.CMSG_SPACE(BATCH * array.array("i").itemsize),
+                    socket.MSG_CMSG_CLOEXEC,
                 )
             except (BlockingIOError, InterruptedError):
                 return
--- a/quillroad/upgrade/keeper.py
+++ b/quillroad/upgrade/keeper.py
@@ -59,7 +59,9 @@
     STOPPING = "stopping"
 
 
-UPGRADING = frozenset({Phase.PROBING, Phase.PREPARING, Phase.SWITCHING, Phase.CANARY, Phase.RETURNING})
+UPGRADING = frozenset(
+    {Phase.PROBING, Phase.PREPARING, Phase.SWITCHING, Phase.CANARY, Phase.RETURNING}
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -178,7 +180,9 @@
     leaving: dict[int, float] = field(default_factory=dict)  # and when they are killed
     due: float | None = None  # of the phase
     last: str = ""  # what became of the last upgrade
-    reloaded: bool = False  # there was a reload: workers that start read their configuration as it read it
+    reloaded: bool = (
+        False  # there was a reload: workers that start read their configuration as it read it
+    )
     _acts: list[Act] = field(default_factory=list)
     _numbers: int = 0
     _grant: int = 0
@@ -206,7 +210,9 @@
         match message:
             case Hello():
                 if message.version != VERSION:
-                    self._unfit(now, number, f"it speaks version {message.version}, this is {VERSION}")
+                    self._unfit(
+                        now, number, f"it speaks version {message.version}, this is {VERSION}"
+                    )
                 else:
                     alone = self.phase is Phase.STARTING
                     count = self.limits.descriptors if alone else self.limits.base
@@ -320,7 +326,7 @@
         if self.phase is Phase.CANARY and owner is not None:
             if now - owner.heard > self.limits.silence_s:
                 self._go_back(now, "it hangs")
-            elif (why := self.canary.worse(now)):
+            elif why := self.canary.worse(now):
                 self._go_back(now, why)
         if self.due is not None and now >= self.due:
             self.due = None
@@ -347,7 +353,8 @@
         elif self.phase is Phase.PROBING:
             if self.limits.memory_mb and together > self.limits.memory_mb:
                 self._abort(
-                    now, f"both processes take {together:.0f} MB, {self.limits.memory_mb:.0f} are allowed"
+                    now,
+                    f"both processes take {together:.0f} MB, {self.limits.memory_mb:.0f} are allowed",
                 )
                 return
             if self._checking:
@@ -372,7 +379,12 @@
 
     def _handed(self, now: float) -> None:
         candidate = self.workers.get(self.candidate)
-        if self.phase is Phase.SWITCHING and not self.granted and candidate is not None and candidate.held:
+        if (
+            self.phase is Phase.SWITCHING
+            and not self.granted
+            and candidate is not None
+            and candidate.held
+        ):
             self._give(now, self.candidate)
 
     def _give(self, now: float, number: int) -> None:
@@ -447,7 +459,9 @@
         if self.phase is Phase.STARTING:
             self._say("did not start", number, why)
             if status == 2 and not self._served:
-                self._acts.append(Exit(2))  # its configuration can't work: nobody is served by trying again
+                self._acts.append(
+                    Exit(2)
+                )  # its configuration can't work: nobody is served by trying again
                 return
             self._again(now)
         else:  # granted or not, it accepts no more
@@ -518,7 +532,9 @@
             self._abort(now, f"{self.phase}: not in time")
         elif self.phase is Phase.SWITCHING:
             if self.candidate in self.granted:
-                self._kill(self.candidate)  # it may accept: its end has to be seen before another may
+                self._kill(
+                    self.candidate
+                )  # it may accept: its end has to be seen before another may
             else:
                 self._abort(now, "switching: not in time")
         elif self.phase is Phase.CANARY:
@@ -557,7 +573,9 @@
         self._settle("the gateway ends")
         self._acts.append(Unlisten())
         if not self.granted and (self.standby or self.owner) in self.workers:
-            self._give(now, self.standby or self.owner)  # what the kernel has accepted is to be answered
+            self._give(
+                now, self.standby or self.owner
+            )  # what the kernel has accepted is to be answered
         self._enter(Phase.STOPPING, now + self.limits.retire_s)
         for number, worker in self.workers.items():
             if number == self.candidate and not (worker.ready and number in self.granted):
@@ -620,8 +638,10 @@
             roles = [
                 name
                 for name, held in (
-                    ("serves", number in self.granted), ("candidate", number == self.candidate),
-                    ("stands by", number == self.standby), ("leaves", number in self.leaving),
+                    ("serves", number in self.granted),
+                    ("candidate", number == self.candidate),
+                    ("stands by", number == self.standby),
+                    ("leaves", number in self.leaving),
                 )
                 if held
             ]
--- a/quillroad/upgrade/knowledge.py
+++ b/quillroad/upgrade/knowledge.py
@@ -121,7 +121,9 @@
     failed_calls: int = 0
     chance: tuple[int, tuple[int, ...], float | None] | None = None  # Python's random.Random
     work: Work | None = None
-    born_us: int | None = None  # turns at cold servers are this gateway's from then on, over all processes
+    born_us: int | None = (
+        None  # turns at cold servers are this gateway's from then on, over all processes
+    )
 
 
 class Names(Struct):
@@ -172,7 +174,9 @@
         left.append(f"knowledge of version {told.version}: read as version {VERSION}")
     fresh = not balancer.servers
     states = [_server(balancer, one, fresh, bool(told.work)) for one in told.servers]
-    unknown = sum(1 for one, state in zip(told.servers, states, strict=True) if one.listed and state is None)
+    unknown = sum(
+        1 for one, state in zip(told.servers, states, strict=True) if one.listed and state is None
+    )
     if unknown:
         left.append(f"{unknown} servers: not in the list held")
     if fresh:
@@ -247,7 +251,9 @@
 
     def __init__(self, balancer: Balancer) -> None:
         self.known: list[ServerKnown] = []
-        self._places: dict[int, int] = {}  # by the identity of the state: a gone server's has no other name
+        self._places: dict[
+            int, int
+        ] = {}  # by the identity of the state: a gone server's has no other name
         for state in balancer.servers.values():
             self.of(state, True)
 
@@ -255,18 +261,40 @@
         if id(s) not in self._places:
             self._places[id(s)] = len(self.known)
             spec = s.spec
-            self.known.append(ServerKnown(
-                spec.id, spec.state.value, spec.zone, spec.cell, spec.kind, spec.hint, spec.started_us,
-                s.payoff, s.heard_us, s.in_flight - s.beside[0], s.overdue - s.beside[1], s.missed_us,
-                s.answered_us, s.ejections, s.ejected_until_us, s.turn, s.turn_us, listed, s.failures,
-            ))
+            self.known.append(
+                ServerKnown(
+                    spec.id,
+                    spec.state.value,
+                    spec.zone,
+                    spec.cell,
+                    spec.kind,
+                    spec.hint,
+                    spec.started_us,
+                    s.payoff,
+                    s.heard_us,
+                    s.in_flight - s.beside[0],
+                    s.overdue - s.beside[1],
+                    s.missed_us,
+                    s.answered_us,
+                    s.ejections,
+                    s.ejected_until_us,
+                    s.turn,
+                    s.turn_us,
+                    listed,
+                    s.failures,
+                )
+            )
         return self._places[id(s)]
 
 
 def _route(state: Any) -> RouteKnown:
     return RouteKnown(
-        state.spec.name, state.budget.tokens, state.cost_us, state.samples, state.try_us,
-        list(state.latency.latest)
+        state.spec.name,
+        state.budget.tokens,
+        state.cost_us,
+        state.samples,
+        state.try_us,
+        list(state.latency.latest),
     )
 
 
@@ -278,9 +306,17 @@
     if state is None:
         if not (fresh and told.listed) and not work:
             return None
-        state = ServerState(Server(
-            told.id, State(told.state), told.zone, told.cell, told.kind, told.hint, told.started_us
-        ))
+        state = ServerState(
+            Server(
+                told.id,
+                State(told.state),
+                told.zone,
+                told.cell,
+                told.kind,
+                told.hint,
+                told.started_us,
+            )
+        )
         if told.listed:
             balancer.servers[told.id] = state
             balancer.pace.setdefault(told.kind, 0.0)
@@ -301,19 +337,31 @@
     def place(request: Request) -> int:
         if id(request) not in places:
             places[id(request)] = len(requests)
-            requests.append(RequestKnown(
-                request.id, balancer.routes.index(request.route), request.cost_us, request.useful_us,
-                request.over, request.out, request.groups, request.closed,
-                balancer.requests.get(request.id) is request,
-                [
-                    AttemptKnown(
-                        servers.of(a.server), a.sent_us, a.outcome.value if a.outcome else None, a.alone,
-                        a.late, a.full,
-                    )
-                    for a in request.attempts
-                ],
-                request.long,
-            ))
+            requests.append(
+                RequestKnown(
+                    request.id,
+                    balancer.routes.index(request.route),
+                    request.cost_us,
+                    request.useful_us,
+                    request.over,
+                    request.out,
+                    request.groups,
+                    request.closed,
+                    balancer.requests.get(request.id) is request,
+                    [
+                        AttemptKnown(
+                            servers.of(a.server),
+                            a.sent_us,
+                            a.outcome.value if a.outcome else None,
+                            a.alone,
+                            a.late,
+                            a.full,
+                        )
+                        for a in request.attempts
+                    ],
+                    request.long,
+                )
+            )
         return places[id(request)]
 
     owners = {
@@ -341,7 +389,9 @@
     requests = []
     for told in work.requests:
         route = balancer.routes[told.route]
-        request = Request(Arrived(told.id, told.route, told.useful_us, long=told.long), route, 0, told.over)
+        request = Request(
+            Arrived(told.id, told.route, told.useful_us, long=told.long), route, 0, told.over
+        )
         request.cost_us, request.useful_us = told.cost_us, told.useful_us
         request.out, request.groups, request.closed = told.out, told.groups, told.closed
         for one in told.attempts:
--- a/quillroad/upgrade/messages.py
+++ b/quillroad/upgrade/messages.py
@@ -216,8 +216,31 @@
 
 
 Message = (
-    Hello | Welcome | Ready | Unfit | Give | Take | Ended | Prepared | Yield | Yielded | Held | Own | Owning
-    | Retire | Report | State | Taken | Connections | Kept | Release | Out | Room | Lend | Come | ByHand
+    Hello
+    | Welcome
+    | Ready
+    | Unfit
+    | Give
+    | Take
+    | Ended
+    | Prepared
+    | Yield
+    | Yielded
+    | Held
+    | Own
+    | Owning
+    | Retire
+    | Report
+    | State
+    | Taken
+    | Connections
+    | Kept
+    | Release
+    | Out
+    | Room
+    | Lend
+    | Come
+    | ByHand
     | Unknown
 )
 
--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -51,8 +51,11 @@
     """One gateway. `command` starts a worker, whose seat is told by the environment."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, upgrades: Upgrades, listener: socket.socket, command:
-        Sequence[str]
+        self,
+        loop: asyncio.AbstractEventLoop,
+        upgrades: Upgrades,
+        listener: socket.socket,
+        command: Sequence[str],
     ) -> None:
         self._loop, self._upgrades, self._command = loop, upgrades, command
         self._listener: socket.socket | None = listener
@@ -171,7 +174,9 @@
         ours, theirs = pair()
         try:
             process = await asyncio.create_subprocess_exec(
-                *self._command, env=os.environ | {SEAT: str(theirs.fileno())}, pass_fds=[theirs.fileno()]
+                *self._command,
+                env=os.environ | {SEAT: str(theirs.fileno())},
+                pass_fds=[theirs.fileno()],
             )
         except OSError as error:
             log.error("cannot start %s: %s", self._command[0], error)
@@ -182,8 +187,10 @@
             theirs.close()
         self._processes[number] = process
         self._channels[number] = Channel(
-            self._loop, ours,
-            lambda message, fds: self._heard(number, message, fds), lambda why: self._lost(number, why),
+            self._loop,
+            ours,
+            lambda message, fds: self._heard(number, message, fds),
+            lambda why: self._lost(number, why),
         )
         await self._watch(number, process)
 
@@ -252,7 +259,9 @@
         if self._control is not None:
             self._control.close()
             path = self._upgrades.control
-            if path.exists() and path.stat().st_ino == self._inode:  # not another's that came after us
+            if (
+                path.exists() and path.stat().st_ino == self._inode
+            ):  # not another's that came after us
                 path.unlink()
         if self._timer is not None:
             self._timer.cancel()
@@ -294,7 +303,9 @@
         upgrades = load_upgrades(file, config.sockets, config.name)
         # Workers are found where this process was: without -P the folder it runs in would come first.
         path = ("-P",) if sys.flags.safe_path else ()
-        return asyncio.run(keep(config, upgrades, [sys.executable, *path, "-m", "quillroad", *arguments]))
+        return asyncio.run(
+            keep(config, upgrades, [sys.executable, *path, "-m", "quillroad", *arguments])
+        )
     except ConfigError as error:
         print(f"quillroad: {error}", file=sys.stderr)
         return 2
--- a/quillroad/upgrade/seat.py
+++ b/quillroad/upgrade/seat.py
@@ -169,7 +169,9 @@
     lent: int = 0  # descriptors that the other may hold of ours
     other: int = 0  # the other worker's number
     dead: bool = False  # its end was seen
-    offered: dict[int, int] = field(default_factory=dict)  # batches not released yet, and their sizes
+    offered: dict[int, int] = field(
+        default_factory=dict
+    )  # batches not released yet, and their sizes
     held: set[int] = field(default_factory=set)
     _next: int = 0
 
@@ -223,7 +225,9 @@
                     # In this order: a giver that ends in between has not closed what nobody owns yet. One
                     # whose link is cut by the first act still offers the batch, and takes it back.
                     return [
-                        ToOther(Release(message.batch, size)), Limit(-size, True), Gone(message.batch),
+                        ToOther(Release(message.batch, size)),
+                        Limit(-size, True),
+                        Gone(message.batch),
                     ]
             case Release():
                 if message.batch in self.held:
--- a/quillroad/upgrade/seated.py
+++ b/quillroad/upgrade/seated.py
@@ -50,7 +50,10 @@
     """One process. `again` reads the configuration for a reload."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, again: Callable[[], Config], zones: Path | None = None
+        self,
+        loop: asyncio.AbstractEventLoop,
+        again: Callable[[], Config],
+        zones: Path | None = None,
     ) -> None:
         self._loop, self._again, self._zones = loop, again, zones
         self._other: Channel | None = None
@@ -186,7 +189,9 @@
                 self._act(act)
             except Exception:
                 log.exception("could not carry out %s", act)
-                if act is Do.ACCEPT:  # nobody would accept, and the keeper would take this for the owner
+                if (
+                    act is Do.ACCEPT
+                ):  # nobody would accept, and the keeper would take this for the owner
                     self.status = 1
                     self.end.set()
                     return
@@ -213,7 +218,9 @@
             case Learn():
                 self.engine.learn(act.out, self._warms())
             case Limit():
-                self._limit(act.descriptors + (self.gateway.descriptors.limit if act.more else -RESERVED))
+                self._limit(
+                    act.descriptors + (self.gateway.descriptors.limit if act.more else -RESERVED)
+                )
             case Keep():
                 self.moves.keep(act.batch, act.brought, self._fds)
                 self._fds = []
@@ -222,7 +229,9 @@
             case Drop():
                 self.moves.drop()
             case Gone():
-                self._seat.gone(act.batch)  # first: it was released, and never comes back whatever fails
+                self._seat.gone(
+                    act.batch
+                )  # first: it was released, and never comes back whatever fails
                 self.moves.gone(act.batch)
                 self._offer()
             case Back():
@@ -329,7 +338,9 @@
         return False
 
     def _longest_s(self) -> float:
-        longest = max((route.deadline_us for route in self.gateway.config.settings.routes), default=0)
+        longest = max(
+            (route.deadline_us for route in self.gateway.config.settings.routes), default=0
+        )
         return longest / 1e6 + FLUSH_S
 
     def _close_listener(self) -> None:
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -62,7 +62,9 @@
     cost_s: float
     learned_s: float
     hosts_s: dict[str, float] = {}
-    quotas: dict[str, tuple[float, float]] = {}  # a tenant's tokens, and when they were counted (monotonic)
+    quotas: dict[
+        str, tuple[float, float]
+    ] = {}  # a tenant's tokens, and when they were counted (monotonic)
 
 
 class Crossed(Struct):
@@ -96,12 +98,16 @@
                 for number, host in engine.hosts.items()
                 if number in engine.balancer.servers
             ],
-            source, position, gateway.feed.starts() if gateway.feed is not None else {},
+            source,
+            position,
+            gateway.feed.starts() if gateway.feed is not None else {},
         ),
         "module": export(engine.balancer, _names(config)),
-        "admission": Lanes(*gateway.server.admission.learned(
-            [route.name for route in config.settings.routes], config.tenants
-        )),
+        "admission": Lanes(
+            *gateway.server.admission.learned(
+                [route.name for route in config.settings.routes], config.tenants
+            )
+        ),
     }
     if (done := by_hand(gateway)) is not None:
         told["by-hand"] = done
@@ -116,7 +122,11 @@
     believed."""
     left = [f"section {name!r}: not known" for name in sections if name not in KNOWN + OPTIONAL]
     readers = {
-        "by-hand": _by_hand, "clock": _clock, "hosts": _hosts, "module": _module, "admission": _admission,
+        "by-hand": _by_hand,
+        "clock": _clock,
+        "hosts": _hosts,
+        "module": _module,
+        "admission": _admission,
         "zones": _zones,
     }
     for name in ORDER:
@@ -171,11 +181,13 @@
     if told.source and told.source == source:
         gateway.source.resume(told.position)
     servers = tuple(
-        Server(h.id, State(h.state), h.zone, h.cell, h.kind, h.hint, h.started_us) for h in told.lines
+        Server(h.id, State(h.state), h.zone, h.cell, h.kind, h.hint, h.started_us)
+        for h in told.lines
     )
     gateway.update(
         ServerList(ListKind.FULL, servers, told.position),
-        {h.id: h.name for h in told.lines}, {h.id: h.address for h in told.lines},
+        {h.id: h.name for h in told.lines},
+        {h.id: h.address for h in told.lines},
     )
     return ()
 
@@ -193,7 +205,9 @@
     if not trial:
         routes = [route.name for route in gateway.config.settings.routes]
         gateway.server.admission.learn(
-            told.cost_s, told.learned_s, [told.hosts_s.get(name, 0.0) for name in routes],
+            told.cost_s,
+            told.learned_s,
+            [told.hosts_s.get(name, 0.0) for name in routes],
             [told.quotas.get(name) for name in gateway.config.tenants],
         )
     return ()
--- a/quillroad/upgrade/selftest.py
+++ b/quillroad/upgrade/selftest.py
@@ -49,7 +49,12 @@
     address = host.sockets[0].getsockname()
     gateway = Gateway(
         dataclasses.replace(
-            config, listen=("127.0.0.1", 0), admin=None, discovery=None, known={}, sockets=RESERVED + 32,
+            config,
+            listen=("127.0.0.1", 0),
+            admin=None,
+            discovery=None,
+            known={},
+            sockets=RESERVED + 32,
             hosts=StaticHosts((StaticHost("self-test", (address[0], address[1])),)),
         ),
         asyncio.get_running_loop(),
@@ -63,7 +68,9 @@
             except (TimeoutError, OSError, asyncio.IncompleteReadError, ValueError) as error:
                 raise SelfTestError(f"self-test: {route.name}: {error or 'no answer'}") from None
             if status != 200:
-                raise SelfTestError(f"self-test: {route.name}: answered with {status}, 200 was wanted")
+                raise SelfTestError(
+                    f"self-test: {route.name}: answered with {status}, 200 was wanted"
+                )
     finally:
         gateway.stop()
         for one in gateway.engine.hosts.values():
@@ -78,8 +85,11 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     safe = effect is Effect.SAFE
     lines = [
-        f"{'GET' if safe else 'POST'} /{name}/self-test HTTP/1.1", "Host: self-test",
-        f"Request-Id: self-test-{name}", "Request-Timeout-Ms: 5000", "Connection: close",
+        f"{'GET' if safe else 'POST'} /{name}/self-test HTTP/1.1",
+        "Host: self-test",
+        f"Request-Id: self-test-{name}",
+        "Request-Timeout-Ms: 5000",
+        "Connection: close",
     ]
     if effect is Effect.KEYED:
         lines.append("Idempotency-Key: self-test")
--- a/quillroad/upgrade/settings.py
+++ b/quillroad/upgrade/settings.py
@@ -72,7 +72,9 @@
             f"{told.limits.first_descriptors}"
         )
     if "{name}" in told.control and not NAME.fullmatch(name):
-        raise ConfigError(f"control: {{name}} needs a name of letters, digits, '-' and '.', not {name!r}")
+        raise ConfigError(
+            f"control: {{name}} needs a name of letters, digits, '-' and '.', not {name!r}"
+        )
     times, canary, crashes = told.times, told.canary, told.crashes
     return Upgrades(
         Path(told.control.replace("{name}", name)),
--- a/quillroad/upgrade/shared.py
+++ b/quillroad/upgrade/shared.py
@@ -29,11 +29,15 @@
 class SharedEngine(Engine):
     """An engine that may have a second one beside it, in another process of the same gateway."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream
+    ) -> None:
         super().__init__(loop, balancer, upstream)
         self.counts = Counts()
         self.elsewhere: set[str] = set()  # ids of requests that the other has open
-        self.on_change: Callable[[], None] | None = None  # called when what `out` tells may have changed
+        self.on_change: Callable[[], None] | None = (
+            None  # called when what `out` tells may have changed
+        )
         self._told: dict[int, tuple[int, int]] = {}
         self._known: set[str] = set()  # ids that the other was told of
         self._beside: dict[int, tuple[int, int]] = {}
@@ -96,7 +100,10 @@
         super()._answer(opened, reply)
 
     def accept(
-        self, request: ClientRequest, reply: Callable[[Reply], None], client: Requester | None = None
+        self,
+        request: ClientRequest,
+        reply: Callable[[Reply], None],
+        client: Requester | None = None,
     ) -> OpenRequest:
         opened = super().accept(request, reply, client)
         if self.on_change is not None:
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -16,7 +16,17 @@
 from quillroad.config import RESERVED, Config, ConfigError
 from quillroad.gateway import start_log
 from quillroad.upgrade.channel import Channel
-from quillroad.upgrade.messages import VERSION, Give, Hello, Message, Ready, Report, Take, Unfit, Welcome
+from quillroad.upgrade.messages import (
+    VERSION,
+    Give,
+    Hello,
+    Message,
+    Ready,
+    Report,
+    Take,
+    Unfit,
+    Welcome,
+)
 from quillroad.upgrade.seated import Seated
 from quillroad.upgrade.selftest import SelfTestError, selftest
 
@@ -36,8 +46,12 @@
     """One process. `first` reads the configuration, `again` reads it for a reload."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, sock: socket.socket, first: Callable[[], Config],
-        again: Callable[[], Config], zones: Path | None = None,
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sock: socket.socket,
+        first: Callable[[], Config],
+        again: Callable[[], Config],
+        zones: Path | None = None,
     ) -> None:
         super().__init__(loop, again, zones)
         self._first = first
@@ -92,12 +106,22 @@
             await asyncio.sleep(REPORT_S)
             engine, server = self.engine, self.gateway.server
             counts, engine.counts = engine.counts, type(engine.counts)()
-            refused, self._refused = server.admission.refused - self._refused, server.admission.refused
+            refused, self._refused = (
+                server.admission.refused - self._refused,
+                server.admission.refused,
+            )
             moved, self._moved = self.moves.moved - self._moved, self.moves.moved
-            self._keeper.send(Report(
-                counts.served, counts.refused + refused, counts.failed, engine.open, len(server.room), moved,
-                memory_mb(),
-            ))
+            self._keeper.send(
+                Report(
+                    counts.served,
+                    counts.refused + refused,
+                    counts.failed,
+                    engine.open,
+                    len(server.room),
+                    moved,
+                    memory_mb(),
+                )
+            )
             if self._seat.yielded:
                 self._tell()
 
--- a/quillroad/upstream.py
+++ b/quillroad/upstream.py
@@ -101,7 +101,9 @@
             connection.drop()
 
 
-Done = Callable[[Outcome, Answer | None, float], None]  # with the monotonic time at which it came about
+Done = Callable[
+    [Outcome, Answer | None, float], None
+]  # with the monotonic time at which it came about
 
 
 class Attempt:
@@ -165,11 +167,13 @@
             task.cancel()
 
     def withdraw(self) -> None:
-        """The host has left service, or the client has, while the connection was coming up: nothing was sent.
-        """
+        """The host has left service, or the client has, while the connection was coming up:
+        nothing was sent."""
         self._end(Outcome.MOOT)
 
-    def finish(self, outcome: Outcome, answer: Answer | None = None, at: float | None = None) -> None:
+    def finish(
+        self, outcome: Outcome, answer: Answer | None = None, at: float | None = None
+    ) -> None:
         done, self._done = self._done, None
         if done is None:
             return
@@ -330,7 +334,10 @@
         told = self._headers
         if self._status != 200 or b"transfer-encoding" in told or self._parser is None:
             return False
-        return told.get(b"connection", b"").lower() == b"close" or self._parser.get_http_version() == "1.0"
+        return (
+            told.get(b"connection", b"").lower() == b"close"
+            or self._parser.get_http_version() == "1.0"
+        )
 
     # A long answer: the attempt is over with its first bytes, and the rest goes through as it comes.
 
@@ -481,7 +488,9 @@
         self.rests: set[HostConnection] = set()  # that bring long answers
         self._idle: dict[HostConnection, None] = {}  # all hosts' idle ones, the longest idle first
         self._closing: set[HostConnection] = set()  # dropped, and not closed yet
-        self.clients_yield: Callable[[], bool] = lambda: False  # ends a client's connection past their part
+        self.clients_yield: Callable[[], bool] = lambda: (
+            False
+        )  # ends a client's connection past their part
         self.connects = self.failed_connects = 0  # since the start
         self.written = 0  # attempts whose last byte the kernel has, since the start
 
@@ -497,7 +506,9 @@
         """Begin an attempt, of a head and a body, on the connection used last that has settled, which is the
         least likely to be closing and brings nothing that belongs to the answer before. On a new one that
         comes up after the monotonic time `latest` nothing is sent."""
-        attempt = Attempt(self._loop, self.heart, host, timeout_s, done, self._connect_timeout_s, latest)
+        attempt = Attempt(
+            self._loop, self.heart, host, timeout_s, done, self._connect_timeout_s, latest
+        )
         settled = attempt.began - SETTLE_S
         for connection in reversed(host.idle.copy()):
             if connection.idle_since > settled:
--- a/quillroad/zones/ledger.py
+++ b/quillroad/zones/ledger.py
@@ -28,7 +28,14 @@
 
     @property
     def open(self) -> int:
-        ended = self.unsent + self.answered + self.turned_away + self.cancelled + self.lost + self.failed
+        ended = (
+            self.unsent
+            + self.answered
+            + self.turned_away
+            + self.cancelled
+            + self.lost
+            + self.failed
+        )
         return self.sent - ended
 
     @property
@@ -38,9 +45,14 @@
 
 
 ENDS = {
-    Outcome.SUCCESS: "answered", Outcome.FULL: "turned_away", Outcome.CANCELLED: "cancelled",
-    Outcome.CONNECT_FAILED: "unsent", Outcome.MOOT: "unsent", Outcome.RESET: "lost",
-    Outcome.TIMEOUT: "lost", Outcome.ERROR: "failed",
+    Outcome.SUCCESS: "answered",
+    Outcome.FULL: "turned_away",
+    Outcome.CANCELLED: "cancelled",
+    Outcome.CONNECT_FAILED: "unsent",
+    Outcome.MOOT: "unsent",
+    Outcome.RESET: "lost",
+    Outcome.TIMEOUT: "lost",
+    Outcome.ERROR: "failed",
 }
 
 
@@ -48,7 +60,9 @@
     """Cells by class and zone. Zones are places in a list; -1 is one that is not in it."""
 
     def __init__(self, classes: int, zones: int) -> None:
-        self._cells = [[Cell() for _ in range(zones + 1)] for _ in range(classes)]  # the last is zone -1
+        self._cells = [
+            [Cell() for _ in range(zones + 1)] for _ in range(classes)
+        ]  # the last is zone -1
 
     def cell(self, route: int, zone: int) -> Cell:
         return self._cells[route][zone]
--- a/quillroad/zones/report.py
+++ b/quillroad/zones/report.py
@@ -115,17 +115,33 @@
     told = crossing.budget
     waits = [crossing.wait_us(now_us, route) / 1e6 for route in range(len(names))]
     return Report(
-        gateway=gateway, at=round(at, 3), since=round(since, 3), home=zones[home], lost=crossing.lost,
-        past=crossing.past, used=round(crossing.used(now_us), 4), share=told.share, per_second=told.per_s,
-        bytes_per_second=told.bytes_per_s, window_s=told.window_us / 1e6,
+        gateway=gateway,
+        at=round(at, 3),
+        since=round(since, 3),
+        home=zones[home],
+        lost=crossing.lost,
+        past=crossing.past,
+        used=round(crossing.used(now_us), 4),
+        share=told.share,
+        per_second=told.per_s,
+        bytes_per_second=told.bytes_per_s,
+        window_s=told.window_us / 1e6,
         wait_s=[round(wait, 3) if wait < 1e9 else -1.0 for wait in waits],
         classes=[
             ClassLine(
-                name, sent.crossed, {reason.name.lower(): sent.by_reason[reason] for reason in Reason},
-                sent.past, sent.refused, "spend" if told.classes[route].spends else "refuse",
+                name,
+                sent.crossed,
+                {reason.name.lower(): sent.by_reason[reason] for reason in Reason},
+                sent.past,
+                sent.refused,
+                "spend" if told.classes[route].spends else "refuse",
                 told.classes[route].keep,
                 [
-                    _line(ledger.cell(route, zone), zones[zone] if zone >= 0 else UNKNOWN, zone == home)
+                    _line(
+                        ledger.cell(route, zone),
+                        zones[zone] if zone >= 0 else UNKNOWN,
+                        zone == home,
+                    )
                     for zone in (*range(len(zones)), -1)
                     if zone >= 0 or ledger.cell(route, zone).sent
                 ],
@@ -138,8 +154,19 @@
 
 def _line(cell: Cell, zone: str, home: bool) -> ZoneLine:
     return ZoneLine(
-        zone, home, cell.sent, cell.unsent, cell.received, cell.answered, cell.turned_away, cell.cancelled,
-        cell.lost, cell.failed, cell.open, cell.bytes_out, cell.bytes_in,
+        zone,
+        home,
+        cell.sent,
+        cell.unsent,
+        cell.received,
+        cell.answered,
+        cell.turned_away,
+        cell.cancelled,
+        cell.lost,
+        cell.failed,
+        cell.open,
+        cell.bytes_out,
+        cell.bytes_in,
     )
 
 
--- a/quillroad/zones/settings.py
+++ b/quillroad/zones/settings.py
@@ -64,11 +64,15 @@
     by_name: dict[str, _Class] = {}
     for i, one in enumerate(told.classes):
         if one.name not in names:
-            raise ConfigError(f"classes[{i}].name: needs one of {', '.join(names)}, not {one.name!r}")
+            raise ConfigError(
+                f"classes[{i}].name: needs one of {', '.join(names)}, not {one.name!r}"
+            )
         if by_name.setdefault(one.name, one) is not one:
             raise ConfigError(f"classes[{i}].name: {one.name!r} is there twice")
     if len(config.zones) <= config.settings.zone:
-        raise ConfigError("gateway.zone: the gateway's own zone is not among the zones that it is told")
+        raise ConfigError(
+            "gateway.zone: the gateway's own zone is not among the zones that it is told"
+        )
     classes = [by_name.get(name, _Class(name)) for name in names]
     gateways = config.settings.balancers
     budget = Budget(
--- a/quillroad/zones/zones.py
+++ b/quillroad/zones/zones.py
@@ -39,7 +39,9 @@
         self._writer: asyncio.Task[None] | None = None
         self._writing = False
         self._failing = False
-        self.serves: Callable[[], bool] = lambda: True  # with two processes only the one that serves reports
+        self.serves: Callable[[], bool] = lambda: (
+            True
+        )  # with two processes only the one that serves reports
 
     def attach(self, engine: Engine) -> None:
         """Watch an engine's attempts."""
@@ -51,9 +53,18 @@
         return partial(self._ended, route, host.zone, size, done)
 
     def _ended(
-        self, route: int, zone: int, size: int, done: Done, outcome: Outcome, answer: Answer | None, at: float
+        self,
+        route: int,
+        zone: int,
+        size: int,
+        done: Done,
+        outcome: Outcome,
+        answer: Answer | None,
+        at: float,
     ) -> None:
-        carried = self.ledger.ended(route, zone, outcome, size, 0 if answer is None else len(answer.body))
+        carried = self.ledger.ended(
+            route, zone, outcome, size, 0 if answer is None else len(answer.body)
+        )
         if carried and zone != self._config.settings.zone and self._engine is not None:
             self._engine.feed(Carried(carried))
         done(outcome, answer, at)
@@ -64,8 +75,16 @@
         now = time.time()
         self._minutes.told(now, self.crossing.sent)
         return make_report(
-            self.crossing, self.ledger, self._minutes, self.names, self._config.zones,
-            self._config.settings.zone, self._config.name, self._since, now, self._engine.now_us(),
+            self.crossing,
+            self.ledger,
+            self._minutes,
+            self.names,
+            self._config.zones,
+            self._config.settings.zone,
+            self._config.name,
+            self._since,
+            now,
+            self._engine.now_us(),
         )
 
     def reload(self) -> None:
@@ -107,7 +126,9 @@
         self._writer.cancel()
         self._writer = None
         for name, sent in zip(self.names, self.crossing.sent, strict=True):
-            log.info("%s: crossed=%d past=%d refused=%d", name, sent.crossed, sent.past, sent.refused)
+            log.info(
+                "%s: crossed=%d past=%d refused=%d", name, sent.crossed, sent.past, sent.refused
+            )
         if self._told.report is not None and not self._writing and self.serves():
             try:
                 put(self._told.report, msgspec.json.encode(self.report()))
--- a/rig/__main__.py
+++ b/rig/__main__.py
@@ -28,7 +28,10 @@
 async def run_hosts(told: dict[str, Any]) -> None:
     hosts = [await Host(f"s-{i}", told.get("delay", 0.0)).start() for i in range(told["count"])]
     discovery = await Discovery(hosts).start()
-    print(json.dumps({"discovery": discovery.port, "hosts": [host.port for host in hosts]}), flush=True)
+    print(
+        json.dumps({"discovery": discovery.port, "hosts": [host.port for host in hosts]}),
+        flush=True,
+    )
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
     print(json.dumps({host.name: len(host.receipts) for host in hosts}), flush=True)
 
@@ -36,8 +39,13 @@
 async def run_load(told: dict[str, Any]) -> None:
     works = [Work(**work) for work in told["works"]]
     load = Load(
-        (told["host"], told["port"]), works, told["shares"], tenants=told.get("tenants", ["acme"]),
-        most=told.get("most", 1000), seed=told.get("seed", 1), prefix=told.get("prefix", "c"),
+        (told["host"], told["port"]),
+        works,
+        told["shares"],
+        tenants=told.get("tenants", ["acme"]),
+        most=told.get("most", 1000),
+        seed=told.get("seed", 1),
+        prefix=told.get("prefix", "c"),
     )
     kind, seconds = told["kind"], told["seconds"]
     if kind == "closed":
@@ -57,10 +65,17 @@
         if record.status == 200 and record.took <= works[record.work].aim:
             slot[1] += works[record.work].worth
     firsts = [r.took for r in load.records if r.first_on_connection and r.done]
-    print(json.dumps({
-        "rows": rows, "unsent": load.unsent, "lag": load.lag, "slots": sorted(slots.items()),
-        "firsts": firsts,
-    }))
+    print(
+        json.dumps(
+            {
+                "rows": rows,
+                "unsent": load.unsent,
+                "lag": load.lag,
+                "slots": sorted(slots.items()),
+                "firsts": firsts,
+            }
+        )
+    )
 
 
 def main() -> int:
--- a/rig/account.py
+++ b/rig/account.py
@@ -92,7 +92,16 @@
     """All classes in one row."""
     whole = Tally()
     for row in rows:
-        for name in ("sent", "in_aim", "served", "late", "refused", "failed", "unanswered", "worth"):
+        for name in (
+            "sent",
+            "in_aim",
+            "served",
+            "late",
+            "refused",
+            "failed",
+            "unanswered",
+            "worth",
+        ):
             setattr(whole, name, getattr(whole, name) + getattr(row, name))
         whole.took += row.took
         whole.refusal_took += row.refusal_took
@@ -149,12 +158,20 @@
             if first != receipt.id:
                 broken.append(f"key {receipt.key}: of {first}, sent with {receipt.id} too")
             if receipt.at > at + window:
-                broken.append(f"key {receipt.key}: sent {receipt.at - at:.1f} s after it was sent first")
+                broken.append(
+                    f"key {receipt.key}: sent {receipt.at - at:.1f} s after it was sent first"
+                )
         for drain in drains:
             heard = receipt.by not in drain.deaf
-            if heard and drain.host == receipt.host and drain.told + GRACE_S < receipt.at < drain.until:
+            if (
+                heard
+                and drain.host == receipt.host
+                and drain.told + GRACE_S < receipt.at < drain.until
+            ):
                 late = receipt.at - drain.told
-                broken.append(f"{receipt.id}: sent to {drain.host} {late:.3f} s after it was told to drain")
+                broken.append(
+                    f"{receipt.id}: sent to {drain.host} {late:.3f} s after it was told to drain"
+                )
     asked = {record.id for record in records}
     if len(asked) != len(records):
         broken.append("a client used an id twice")
@@ -164,8 +181,14 @@
         if record.status == 200 and not sends[record.id]:
             broken.append(f"{record.id}: served, received by no host")
         if record.status == 200 and record.took > record.wait + SLACK_S:
-            broken.append(f"{record.id}: served {record.took - record.wait:.3f} s after its deadline")
+            broken.append(
+                f"{record.id}: served {record.took - record.wait:.3f} s after its deadline"
+            )
         if sends[record.id] > most_sends:
             broken.append(f"{record.id}: sent {sends[record.id]} times")
-    broken += [f"{name}: does not add up" for name, row in tally(records, works).items() if not row.adds_up()]
+    broken += [
+        f"{name}: does not add up"
+        for name, row in tally(records, works).items()
+        if not row.adds_up()
+    ]
     return broken
--- a/rig/beside.py
+++ b/rig/beside.py
@@ -19,11 +19,15 @@
 class BesideGateway(GatewayProcess):
     """`process` is the one that serves."""
 
-    def __init__(self, folder: Path, discovery_port: int, told: dict[str, Any], sockets: int = 4096) -> None:
+    def __init__(
+        self, folder: Path, discovery_port: int, told: dict[str, Any], sockets: int = 4096
+    ) -> None:
         super().__init__(folder, discovery_port, told, sockets)
         self.folder = folder / "tmp"
         self.folder.mkdir()
-        self.ended: list[int | None] = []  # statuses of the processes that were told to end; None: killed
+        self.ended: list[
+            int | None
+        ] = []  # statuses of the processes that were told to end; None: killed
 
     async def start(self, log: bool = False, command: Sequence[str] = ("-m", "quillroad")) -> Self:
         self.admin = free_port()
@@ -31,7 +35,11 @@
 
     def _told(self, admin: int) -> dict[str, str]:
         path = self.reconfigure()
-        return {"GW_CONFIG": str(path), "GW_ADMIN_ADDR": f"127.0.0.1:{admin}", "TMPDIR": str(self.folder)}
+        return {
+            "GW_CONFIG": str(path),
+            "GW_ADMIN_ADDR": f"127.0.0.1:{admin}",
+            "TMPDIR": str(self.folder),
+        }
 
     async def newcomer(self) -> tuple[asyncio.subprocess.Process, int]:
         """Start another process beside; returns it with its operators' port."""
--- a/rig/builds.py
+++ b/rig/builds.py
@@ -71,8 +71,12 @@
     def put(self, broken: str) -> None:
         """From now on processes start as a build that is broken like this; empty: a good one."""
         text = BROKEN[broken].strip("\n")
-        body = "\n".join(line if line.startswith("    ") else f"    {line}" for line in text.split("\n"))
-        (self.folder / "sitecustomize.py").write_text(HEAD.format(folder=str(self.folder)) + body + "\n")
+        body = "\n".join(
+            line if line.startswith("    ") else f"    {line}" for line in text.split("\n")
+        )
+        (self.folder / "sitecustomize.py").write_text(
+            HEAD.format(folder=str(self.folder)) + body + "\n"
+        )
 
     def mark_new(self) -> None:
         """Processes that start from now on are meant by `new` in a fault."""
--- a/rig/clients.py
+++ b/rig/clients.py
@@ -118,8 +118,14 @@
             b"%b /%b/w%d HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: %b\r\nTenant: %b\r\n"
             b"Request-Timeout-Ms: %d\r\n%b\r\n%b"
         ) % (
-            b"POST" if told.keyed else b"GET", told.name.encode(), key, number.encode(), tenant.encode(),
-            round(told.deadline * 1000), more, b"x" * told.body if told.keyed else b"",
+            b"POST" if told.keyed else b"GET",
+            told.name.encode(),
+            key,
+            number.encode(),
+            tenant.encode(),
+            round(told.deadline * 1000),
+            more,
+            b"x" * told.body if told.keyed else b"",
         )
         return record, data
 
--- a/rig/consul.py
+++ b/rig/consul.py
@@ -44,18 +44,33 @@
         """Its entry in an answer of `/v1/health/service/:name`."""
         checks = [
             {"Node": self.node, "CheckID": "serfHealth", "Status": "passing", "ServiceID": ""},
-            {"Node": self.node, "CheckID": f"service:{self.service_id}", "Status": self.status,
-             "ServiceID": self.service_id},
+            {
+                "Node": self.node,
+                "CheckID": f"service:{self.service_id}",
+                "Status": self.status,
+                "ServiceID": self.service_id,
+            },
         ]
         if self.maintenance:
             of_node = self.maintenance == "node"
             name = "_node_maintenance" if of_node else f"_service_maintenance:{self.service_id}"
-            checks.append({"Node": self.node, "CheckID": name, "Status": "critical", "ServiceID": ""})
+            checks.append(
+                {"Node": self.node, "CheckID": name, "Status": "critical", "ServiceID": ""}
+            )
         return {
-            "Node": {"ID": f"id-{self.node}", "Node": self.node, "Address": self.host, "Datacenter": "dc1"},
+            "Node": {
+                "ID": f"id-{self.node}",
+                "Node": self.node,
+                "Address": self.host,
+                "Datacenter": "dc1",
+            },
             "Service": {
-                "ID": self.service_id, "Service": SERVICE, "Tags": ["v1"], "Port": self.port,
-                "Address": self.host if self.service_address else "", "Meta": self.meta,
+                "ID": self.service_id,
+                "Service": SERVICE,
+                "Tags": ["v1"],
+                "Port": self.port,
+                "Address": self.host if self.service_address else "",
+                "Meta": self.meta,
                 "Weights": {"Passing": self.weights[0], "Warning": self.weights[1]},
             },
             "Checks": checks,
@@ -154,8 +169,8 @@
         task.add_done_callback(self._tasks.discard)
 
     def put(self, path: str, body: bytes) -> int:
-        """A word about this agent's own services; returns the status (api-docs/agent/service, agent/check).
-        """
+        """A word about this agent's own services; returns the status
+        (api-docs/agent/service, agent/check)."""
         self.words.append(path)
         del self.words[:-100]
         what, _, name = path.removeprefix("/v1/agent/").rpartition("/")
@@ -163,9 +178,16 @@
             told = json.loads(body)
             one = told["ID"]
             self.own[one] = seconds(told["Check"]["TTL"])
-            self.catalogue.register(Registered(
-                self.node, one, told["Address"], told["Port"], told["Check"]["Status"], meta=told["Meta"]
-            ))
+            self.catalogue.register(
+                Registered(
+                    self.node,
+                    one,
+                    told["Address"],
+                    told["Port"],
+                    told["Check"]["Status"],
+                    meta=told["Meta"],
+                )
+            )
         else:
             one = unquote(name).removeprefix("service:" if what == "check/update" else "")
             if one not in self.own:
@@ -219,7 +241,10 @@
         self.targets.append(target)
         del self.targets[:-100]
         query = parse_qs(urlsplit(target).query, keep_blank_values=True)
-        told = {name.strip().lower(): value.strip() for name, _, value in (h.partition(":") for h in headers)}
+        told = {
+            name.strip().lower(): value.strip()
+            for name, _, value in (h.partition(":") for h in headers)
+        }
         if self.token and told.get("x-consul-token") != self.token:
             return self._write(writer, 403, b"Permission denied")
         if index := int(query.get("index", ["0"])[0]):
@@ -247,8 +272,11 @@
         self, writer: asyncio.StreamWriter, status: int, body: bytes, length: int | None = None
     ) -> None:
         lines = [
-            f"HTTP/1.1 {status} Told", "Content-Type: application/json", "X-Consul-KnownLeader: true",
-            f"X-Consul-Index: {self.catalogue.index}", "X-Consul-LastContact: 0",
+            f"HTTP/1.1 {status} Told",
+            "Content-Type: application/json",
+            "X-Consul-KnownLeader: true",
+            f"X-Consul-Index: {self.catalogue.index}",
+            "X-Consul-LastContact: 0",
             f"Content-Length: {len(body) if length is None else length}",
         ]
         writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
--- a/rig/core.py
+++ b/rig/core.py
@@ -25,7 +25,14 @@
     @property
     def waiting(self) -> int: ...
     def join(
-        self, now: float, since: float, wait_s: float, route: int, tenant: int, held: int, item: object
+        self,
+        now: float,
+        since: float,
+        wait_s: float,
+        route: int,
+        tenant: int,
+        held: int,
+        item: object,
     ) -> object | None: ...
     def take(self) -> object | None: ...
     def hopeless(self, now: float, since: float, wait_s: float, route: int) -> bool: ...
@@ -162,7 +169,9 @@
         return sum(count[column] for count in self.counts.values())
 
     def worth(self, column: int = 1) -> float:
-        return sum(self.lanes[route].worth * count[column] for (route, _), count in self.counts.items())
+        return sum(
+            self.lanes[route].worth * count[column] for (route, _), count in self.counts.items()
+        )
 
 
 def mix(rate: float, shares: Iterable[float] = (0.56, 0.44)) -> dict[tuple[int, int], float]:
--- a/rig/counted.py
+++ b/rig/counted.py
@@ -18,7 +18,9 @@
 import quillroad
 from quillroad.__main__ import main
 
-OURS = tuple(str(Path(package.__file__ or "").parent) + os.sep for package in (pinetrack, quillroad))
+OURS = tuple(
+    str(Path(package.__file__ or "").parent) + os.sep for package in (pinetrack, quillroad)
+)
 
 
 def run() -> int:
--- a/rig/gateway.py
+++ b/rig/gateway.py
@@ -20,25 +20,41 @@
 TICK = os.sysconf("SC_CLK_TCK")
 
 
-def settings(works: Sequence[Work], tenants: dict[str, float] | None = None, **limits: Any) -> dict[str, Any]:
+def settings(
+    works: Sequence[Work], tenants: dict[str, float] | None = None, **limits: Any
+) -> dict[str, Any]:
     """The settings of a gateway for these classes; `tenants` tells quotas in requests a second."""
     lanes = [
         {
-            "name": work.name, "semantics": "keyed" if work.keyed else "safe", "group": "all",
-            "memory_span": 6_000_000, "goal_time": round(work.aim * 1e6),
-            "deadline": round(work.deadline * 1e6), "importance": work.worth,
+            "name": work.name,
+            "semantics": "keyed" if work.keyed else "safe",
+            "group": "all",
+            "memory_span": 6_000_000,
+            "goal_time": round(work.aim * 1e6),
+            "deadline": round(work.deadline * 1e6),
+            "importance": work.worth,
         }
         for work in works
     ]
     quotas = tenants or {"acme": 1e6}
     return {
-        "balancers": 1, "my_number": 0, "lanes": lanes, "models": ["two-core"], "zones": ["room"],
+        "balancers": 1,
+        "my_number": 0,
+        "lanes": lanes,
+        "models": ["two-core"],
+        "zones": ["room"],
         "orgs": [{"name": name, "quota_per_s": quota} for name, quota in quotas.items()],
         "guarantees": {"drain_grace": 500_000},
         "limits": {
-            "attempts_cap": 4, "cancelling": True, "parallel_tries": True, "retry_after": True,
-            "max_retry_after": 600_000, "connect_timeout": 200_000, "conn_idle": 15_000_000,
-        } | limits,
+            "attempts_cap": 4,
+            "cancelling": True,
+            "parallel_tries": True,
+            "retry_after": True,
+            "max_retry_after": 600_000,
+            "connect_timeout": 200_000,
+            "conn_idle": 15_000_000,
+        }
+        | limits,
     }
 
 
@@ -63,8 +79,11 @@
     ) -> None:
         self.port, self._folder, self._core = free_port(), folder, core
         self._data = {
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{discovery_port}",
-            "seed": "8c1f", "limits": {"cores": cores, "memory_mb": 192, "sockets": sockets},
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": f"127.0.0.1:{discovery_port}",
+            "seed": "8c1f",
+            "limits": {"cores": cores, "memory_mb": 192, "sockets": sockets},
             "settings": told,
         }
         self.process: asyncio.subprocess.Process | None = None
@@ -73,7 +92,9 @@
         self.fleet = ""  # the text of the file that turns the view of the fleet on
         self.budget = ""  # the text of the file that holds traffic to other zones to a budget
         build = os.environ.get("RIG_BUILD")
-        self.tree = Path(build) if build else None  # whose packages run in place of the source tree's
+        self.tree = (
+            Path(build) if build else None
+        )  # whose packages run in place of the source tree's
         self.path: Path | None = None  # of modules that replace those of the build, on the disk
 
     @property
@@ -120,7 +141,12 @@
         return self.process.pid
 
     def talks(
-        self, fleet: str, listen: tuple[str, int], peers: list[str], everyone: str = "", every: str = "100 ms"
+        self,
+        fleet: str,
+        listen: tuple[str, int],
+        peers: list[str],
+        everyone: str = "",
+        every: str = "100 ms",
     ) -> None:
         """Let it talk to others by the text of this file: heard at `listen`, it reaches each at its address
         in `peers`, by number, and all of them at `everyone`, where that is told; `every` so often its view is
@@ -182,12 +208,19 @@
     ) -> asyncio.subprocess.Process:
         if self.path is not None:
             told["PYTHONPATH"] = f"{self.path}{os.pathsep}{ROOT}"
-        environment = {k: v for k, v in os.environ.items() if not k.startswith(("GW_", "QUILLROAD_"))}
+        environment = {
+            k: v for k, v in os.environ.items() if not k.startswith(("GW_", "QUILLROAD_"))
+        }
         how: tuple[str, ...] = ()
         if self.tree is not None and self.path is None:
             environment["PYTHONPATH"], how = f"{self.tree.resolve()}{os.pathsep}{ROOT}", ("-P",)
         process = await asyncio.create_subprocess_exec(
-            sys.executable, *how, *command, cwd=ROOT, env=environment | told, stdout=DEVNULL,
+            sys.executable,
+            *how,
+            *command,
+            cwd=ROOT,
+            env=environment | told,
+            stdout=DEVNULL,
             stderr=None if log else PIPE,
         )
         if self._core is not None:
@@ -211,7 +244,9 @@
 
     def io(self) -> tuple[int, int]:
         """Reads and writes that it has made so far (proc_pid_io(5), syscr and syscw)."""
-        told = dict(line.split(": ") for line in Path(f"/proc/{self.pid}/io").read_text().splitlines())
+        told = dict(
+            line.split(": ") for line in Path(f"/proc/{self.pid}/io").read_text().splitlines()
+        )
         return int(told["syscr"]), int(told["syscw"])
 
     def memory_mb(self) -> float:
--- a/rig/hosts.py
+++ b/rig/hosts.py
@@ -68,7 +68,9 @@
     async def start(self, port: int = 0) -> Host:
         """Listen on this port, or on one that is free."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _Connection(self), "127.0.0.1", port, backlog=1024)
+        self._server = await loop.create_server(
+            lambda: _Connection(self), "127.0.0.1", port, backlog=1024
+        )
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
@@ -87,8 +89,14 @@
     def entry(self, **changes: Any) -> dict[str, Any]:
         """Its line in discovery's list."""
         line = {
-            "instanceId": self.name, "hostPort": f"127.0.0.1:{self.port}", "zone": self.zone,
-            "machineType": "two-core", "cell": 0, "lifecycle": "up", "weight": 1.0, "startedAtMs": 0,
+            "instanceId": self.name,
+            "hostPort": f"127.0.0.1:{self.port}",
+            "zone": self.zone,
+            "machineType": "two-core",
+            "cell": 0,
+            "lifecycle": "up",
+            "weight": 1.0,
+            "startedAtMs": 0,
         }
         return line | changes
 
@@ -115,7 +123,9 @@
         host = writer.get_extra_info("peername")[0]
         return line if gateway_at(host) < 0 else line.replace(HOSTS_AT, f'"{host}:'.encode())
 
-    def _line(self, whole: bool, entries: list[dict[str, Any]], writer: asyncio.StreamWriter) -> bytes:
+    def _line(
+        self, whole: bool, entries: list[dict[str, Any]], writer: asyncio.StreamWriter
+    ) -> bytes:
         told = {"generation": self._generation, "reset": whole, "instances": entries}
         data = self._as_seen(json.dumps(told).encode() + b"\n", writer)
         return b"%x\r\n%b\r\n" % (len(data), data)
@@ -167,7 +177,9 @@
         self._write(self._watches, entry)
         return broken
 
-    def _write(self, watches: list[asyncio.StreamWriter], entry: dict[str, Any], keep: bytes = b"") -> int:
+    def _write(
+        self, watches: list[asyncio.StreamWriter], entry: dict[str, Any], keep: bytes = b""
+    ) -> int:
         told = [writer for writer in watches if not writer.is_closing()]
         for writer in told:
             line = self._line(False, [entry], writer)
--- a/rig/lines.py
+++ b/rig/lines.py
@@ -142,7 +142,12 @@
         return serve
 
     async def _pump(
-        self, gateway: int, target: str, way: Way, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self,
+        gateway: int,
+        target: str,
+        way: Way,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
     ) -> None:
         """Pass on what comes until its end, in order; what is held back waits here and in the kernel."""
         while True:
--- a/rig/processes.py
+++ b/rig/processes.py
@@ -13,12 +13,22 @@
 from rig.account import Tally, Work
 from rig.gateway import ROOT
 
-PERIOD_S = 0.05  # of a ration: the kernel counts a running process's time every few milliseconds only
+PERIOD_S = (
+    0.05  # of a ration: the kernel counts a running process's time every few milliseconds only
+)
 
 
 async def start_part(*command: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rig", *command, cwd=ROOT, stdin=PIPE, stdout=PIPE, stderr=DEVNULL, limit=2**27
+        sys.executable,
+        "-m",
+        "rig",
+        *command,
+        cwd=ROOT,
+        stdin=PIPE,
+        stdout=PIPE,
+        stderr=DEVNULL,
+        limit=2**27,
     )
 
 
@@ -81,8 +91,14 @@
     workers = []
     for i, core in enumerate(cores):
         told: dict[str, Any] = {
-            "host": address[0], "port": address[1], "works": [asdict(work) for work in works],
-            "shares": list(shares), "kind": kind, "seconds": seconds, "seed": i + 1, "prefix": f"c{i}-",
+            "host": address[0],
+            "port": address[1],
+            "works": [asdict(work) for work in works],
+            "shares": list(shares),
+            "kind": kind,
+            "seconds": seconds,
+            "seed": i + 1,
+            "prefix": f"c{i}-",
         }
         if core is not None:
             told["core"] = core
--- a/rig/relay.py
+++ b/rig/relay.py
@@ -42,7 +42,9 @@
 
     def holds(self, source: int, target: int) -> bool:
         def between(a: int, b: int) -> bool:
-            return (not self.sources or a in self.sources) and (not self.targets or b in self.targets)
+            return (not self.sources or a in self.sources) and (
+                not self.targets or b in self.targets
+            )
 
         return between(source, target) or (self.both and between(target, source))
 
@@ -77,7 +79,9 @@
         self.counts: Counter[str] = Counter()
         self.bytes = Counter[int]()  # that each gateway has sent
         size = len(listens)
-        self._sockets = {(a, b): self._open(a, b) for a in range(size) for b in range(size) if a != b}
+        self._sockets = {
+            (a, b): self._open(a, b) for a in range(size) for b in range(size) if a != b
+        }
         self._all = [self._open(a, None) for a in range(size)]  # what comes here goes to all others
 
     def _open(self, source: int, target: int | None) -> socket.socket:
@@ -91,7 +95,11 @@
         """Where this gateway reaches and hears each other one; its own entry is its own address."""
         addresses = []
         for other in range(len(self._listens)):
-            at = self._listens[number] if other == number else self._sockets[number, other].getsockname()
+            at = (
+                self._listens[number]
+                if other == number
+                else self._sockets[number, other].getsockname()
+            )
             addresses.append(f"{at[0]}:{at[1]}")
         return addresses
 
@@ -186,7 +194,12 @@
         elif "inject" in command:
             source, target, data = command["inject"]
             relay.inject(source, target, bytes.fromhex(data), command.get("times", 1))
-        told = {"counts": relay.counts, "bytes": relay.bytes, "lines": lines.counts, "open": lines.open}
+        told = {
+            "counts": relay.counts,
+            "bytes": relay.bytes,
+            "lines": lines.counts,
+            "open": lines.open,
+        }
         print(json.dumps(told), flush=True)
     relay.close()
     lines.close()
@@ -229,10 +242,13 @@
 
     async def apart(self, *groups: list[int]) -> None:
         """Cut every group off from every other."""
-        await self.rule(*(
-            {"sources": a, "targets": b, "cut": True, "both": True}
-            for i, a in enumerate(groups) for b in groups[i + 1 :]
-        ))
+        await self.rule(
+            *(
+                {"sources": a, "targets": b, "cut": True, "both": True}
+                for i, a in enumerate(groups)
+                for b in groups[i + 1 :]
+            )
+        )
 
     async def stop(self) -> None:
         await self._process.communicate(b"")
--- a/rig/service.py
+++ b/rig/service.py
@@ -48,7 +48,9 @@
     pacings = [Pacing(gateways, number, rng.random) for number in range(gateways)]
     clocks = []
     for number, pacing in enumerate(pacings):
-        last = 0.0 if start or not silent else -2.0 * rng.random()  # an empty line came up to 2 s before
+        last = (
+            0.0 if start or not silent else -2.0 * rng.random()
+        )  # an empty line came up to 2 s before
         clock = Currency(last, own=False)
         clocks.append(clock)
         if start:
--- a/rig/stage.py
+++ b/rig/stage.py
@@ -81,7 +81,9 @@
         if self._fleet:
             # An address for each: the relay's many sockets may get any free port of 127.0.0.1.
             listens = [(f"127.1.0.{n + 1}", free_port(SOCK_DGRAM)) for n in range(self._count)]
-            lines = {host.name: host.port for host in self.hosts} | {"discovery": self.discovery.port}
+            lines = {host.name: host.port for host in self.hosts} | {
+                "discovery": self.discovery.port
+            }
             self.relay = await RelayProcess(listens, lines=lines if self._lines else None).start()
         for number in range(self._count):
             folder = self._folder / str(number)
@@ -90,14 +92,20 @@
             told |= {"balancers": self._count, "my_number": number} | self._told
             core = cores[-1 - number % len(cores)]
             gateway = GatewayProcess(folder, self.discovery.port, told, self._sockets, core)
-            gateway.upgrades, gateway.path, gateway.budget = self._upgrades, self._path, self._budget
+            gateway.upgrades, gateway.path, gateway.budget = (
+                self._upgrades,
+                self._path,
+                self._budget,
+            )
             gateway.tree = self._tree or gateway.tree
             gateway.admin = free_port() if self._operators else 0
             if self._fleet:
                 everyone = self.relay.everyone[number] if self._aloud else ""
                 if self._lines:
                     gateway.reconfigure(discovery=f"{address_of(number)}:{self.discovery.port}")
-                gateway.talks(self._fleet, listens[number], self.relay.peers[number], everyone, self._every)
+                gateway.talks(
+                    self._fleet, listens[number], self.relay.peers[number], everyone, self._every
+                )
             self.gateways.append(gateway)
         early = self.gateways[: self._count - self._later]
         if self._fleet:  # which is to settle from a start of all at once
--- a/scripts/compile.py
+++ b/scripts/compile.py
@@ -19,10 +19,19 @@
 BUILD, DONE = ROOT / "build" / "compiled.new", ROOT / "build" / "compiled"
 PACKAGES = ("pinetrack", "quillroad")
 HOT = (
-    "pinetrack/balance.py", "pinetrack/crossing.py", "pinetrack/interface.py",
-    "quillroad/arrivals/admission.py", "quillroad/arrivals/age.py", "quillroad/arrivals/glance.py",
-    "quillroad/arrivals/heart.py", "quillroad/arrivals/pulse.py", "quillroad/arrivals/room.py",
-    "quillroad/arrivals/spread.py", "quillroad/framing.py", "quillroad/engine.py", "quillroad/server.py",
+    "pinetrack/balance.py",
+    "pinetrack/crossing.py",
+    "pinetrack/interface.py",
+    "quillroad/arrivals/admission.py",
+    "quillroad/arrivals/age.py",
+    "quillroad/arrivals/glance.py",
+    "quillroad/arrivals/heart.py",
+    "quillroad/arrivals/pulse.py",
+    "quillroad/arrivals/room.py",
+    "quillroad/arrivals/spread.py",
+    "quillroad/framing.py",
+    "quillroad/engine.py",
+    "quillroad/server.py",
     "quillroad/upstream.py",
     "quillroad/upgrade/shared.py",  # it extends engine and server, which only compiled classes can
 )
@@ -69,7 +78,9 @@
     )
     for step in steps:
         try:
-            done = subprocess.run(step, cwd=BUILD, capture_output=True, text=True, timeout=600, check=False)
+            done = subprocess.run(
+                step, cwd=BUILD, capture_output=True, text=True, timeout=600, check=False
+            )
         except (OSError, subprocess.TimeoutExpired) as error:
             return str(error)
         if done.returncode:
@@ -94,7 +105,9 @@
     shutil.rmtree(DONE, ignore_errors=True)
     BUILD.rename(DONE)
     site = Path(sysconfig.get_path("purelib"))
-    (site / "quillroad.pth").write_text(f"{'../' * len(site.relative_to(ROOT).parts)}build/compiled\n")
+    (site / "quillroad.pth").write_text(
+        f"{'../' * len(site.relative_to(ROOT).parts)}build/compiled\n"
+    )
     return 0
 
 
--- a/tests/admin/test_decisions.py
+++ b/tests/admin/test_decisions.py
@@ -15,23 +15,33 @@
 NAMES = ["a", "b", "c", "d"]
 
 
-@pytest.mark.parametrize(("method", "target", "call"), [
-    (b"GET", b"/healthcheck", Call(Act.HEALTH)),
-    (b"GET", b"/stats?x=1", Call(Act.STATS)),
-    (b"POST", b"/healthcheck/fail", Call(Act.FAIL)),
-    (b"POST", b"/healthcheck/ok", Call(Act.OK)),
-    (b"POST", b"/hosts/s-5be2a07c/maint", Call(Act.MAINT, "s-5be2a07c")),
-    (b"POST", b"/hosts/a%2Fb/ready", Call(Act.READY, "a/b")),
-])
+@pytest.mark.parametrize(
+    ("method", "target", "call"),
+    [
+        (b"GET", b"/healthcheck", Call(Act.HEALTH)),
+        (b"GET", b"/stats?x=1", Call(Act.STATS)),
+        (b"POST", b"/healthcheck/fail", Call(Act.FAIL)),
+        (b"POST", b"/healthcheck/ok", Call(Act.OK)),
+        (b"POST", b"/hosts/s-5be2a07c/maint", Call(Act.MAINT, "s-5be2a07c")),
+        (b"POST", b"/hosts/a%2Fb/ready", Call(Act.READY, "a/b")),
+    ],
+)
 def test_calls_are_read(method: bytes, target: bytes, call: Call) -> None:
     assert read_call(method, target) == call
 
 
-@pytest.mark.parametrize(("method", "target", "status"), [
-    (b"GET", b"/", 404), (b"POST", b"/hosts//maint", 404), (b"POST", b"/hosts/a/b/maint", 404),
-    (b"GET", b"/hosts/a/maint", 405), (b"POST", b"/stats", 405), (b"POST", b"/hosts/%ff/maint", 400),
-    (b"POST", b"/hosts/a/maint/", 404),
-])
+@pytest.mark.parametrize(
+    ("method", "target", "status"),
+    [
+        (b"GET", b"/", 404),
+        (b"POST", b"/hosts//maint", 404),
+        (b"POST", b"/hosts/a/b/maint", 404),
+        (b"GET", b"/hosts/a/maint", 405),
+        (b"POST", b"/stats", 405),
+        (b"POST", b"/hosts/%ff/maint", 400),
+        (b"POST", b"/hosts/a/maint/", 404),
+    ],
+)
 def test_calls_that_make_no_sense(method: bytes, target: bytes, status: int) -> None:
     with pytest.raises(BadCall) as told:
         read_call(method, target)
@@ -58,7 +68,11 @@
 
 def full(*servers: Server) -> tuple[ServerList, dict[int, str], dict[int, Address]]:
     names = {s.id: NAMES[s.id - 1] for s in servers}
-    return ServerList(ListKind.FULL, servers, 1), names, {s.id: ("127.0.0.1", s.id) for s in servers}
+    return (
+        ServerList(ListKind.FULL, servers, 1),
+        names,
+        {s.id: ("127.0.0.1", s.id) for s in servers},
+    )
 
 
 def test_out_until_called_back_whatever_lists_say() -> None:
@@ -69,14 +83,17 @@
     assert [(s.id, s.state) for s in told.servers.servers] == [(1, State.DRAINING)]
     assert hands.maint("a", 100) is None  # twice out needs one call back
     assert [s.state for s in hands.lay(*full(line("a"), line("b"))).servers.servers] == [
-        State.DRAINING, State.READY
+        State.DRAINING,
+        State.READY,
     ]
     hands.lay(*full(line("b")))  # it leaves, and comes back under its id
     assert hands.listed == 0
     assert hands.lay(*full(line("a"), line("b"))).servers.servers[0].state is State.DRAINING
     back = hands.ready("a", 777)
     assert back is not None and back.servers.servers[0] == line("a", 777)
-    assert hands.ready("a", 999) is None  # it is back: another call changes nothing, and starts nothing anew
+    assert (
+        hands.ready("a", 999) is None
+    )  # it is back: another call changes nothing, and starts nothing anew
     assert hands.lay(*full(line("a", 99), line("b"))).servers.servers[0].started_us == 777
     # A start that the source tells of, since it went out, is the one that counts: all gateways hear of it.
     assert hands.lay(*full(line("a", 500), line("b"))).servers.servers[0].started_us == 500
@@ -118,10 +135,16 @@
         hands.maint("a", 100)
 
 
-@given(st.lists(st.tuples(
-    st.sampled_from(["list", "change", "maint", "ready", "move"]), st.sampled_from(NAMES),
-    st.sampled_from([State.READY, State.DRAINING, State.GONE]), st.integers(0, 50),
-)))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["list", "change", "maint", "ready", "move"]),
+            st.sampled_from(NAMES),
+            st.sampled_from([State.READY, State.DRAINING, State.GONE]),
+            st.integers(0, 50),
+        )
+    )
+)
 def test_no_host_out_by_hand_is_ever_shown_ready(
     steps: list[tuple[str, str, State, int]],
 ) -> None:
@@ -141,9 +164,12 @@
             else:
                 told = hands.lay(
                     ServerList(ListKind.CHANGES, (line(name, started, state),)),
-                    {NAMES.index(name) + 1: name}, {NAMES.index(name) + 1: ("127.0.0.1", 1)},
+                    {NAMES.index(name) + 1: name},
+                    {NAMES.index(name) + 1: ("127.0.0.1", 1)},
                 )
-        elif step == "move":  # an upgrade: the newcomer has its own list, and learns what is by hand
+        elif (
+            step == "move"
+        ):  # an upgrade: the newcomer has its own list, and learns what is by hand
             other = Hands()
             engine = {s.id: s for s in other.lay(*full(*source.values())).servers.servers}
             told = other.learn(hands.out, hands.back)
--- a/tests/admin/test_front.py
+++ b/tests/admin/test_front.py
@@ -46,9 +46,15 @@
     async def by_path(message: Message, writer: asyncio.StreamWriter) -> None:
         if "hangs" in message.first:
             await hang(message, writer)
-        writer.write(answer(b"", "500 Internal Server Error") if "fails" in message.first else answer())
-
-    async with world(by_path, admin_addr=ADMIN) as one, one.client() as waiting, one.client() as client:
+        writer.write(
+            answer(b"", "500 Internal Server Error") if "fails" in message.first else answer()
+        )
+
+    async with (
+        world(by_path, admin_addr=ADMIN) as one,
+        one.client() as waiting,
+        one.client() as client,
+    ):
         waiting.send("/status-check/hangs")
         await one.hosts[0].came.get()
         for _ in range(5):
@@ -182,10 +188,11 @@
 async def test_what_cannot_be_read_costs_its_own_connection() -> None:
     async with alone() as (one, port, calls):
         bad: dict[bytes, bytes] = {
-            b"nonsense\r\n\r\n": b"400", b"GET /no HTTP/1.1\r\nHost: g\r\n\r\n": b"404",
+            b"nonsense\r\n\r\n": b"400",
+            b"GET /no HTTP/1.1\r\nHost: g\r\n\r\n": b"404",
             b"POST /stats HTTP/1.1\r\nHost: g\r\n\r\n": b"405",
-            b"POST /healthcheck/ok HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n":
-                b"400",
+            b"POST /healthcheck/ok HTTP/1.1\r\nContent-Length: 1\r\n"
+            b"Transfer-Encoding: chunked\r\n\r\n": b"400",
             b"POST /healthcheck/ok HTTP/1.1\r\nContent-Length: 99999\r\n\r\n": b"413",
             b"GET /healthcheck HTTP/1.1\r\nX: " + b"x" * 20_000: b"431",
         }
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -50,6 +50,10 @@
         raise pytest.UsageError(f"{FILE}: no such test: {', '.join(known)}")
 
 
-def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
+def pytest_terminal_summary(
+    terminalreporter: pytest.TerminalReporter, config: pytest.Config
+) -> None:
     for one in read(config.rootpath / FILE):
-        terminalreporter.write_line(f"known red, passed over: {one.test}: {one.cause} ({one.issue})")
+        terminalreporter.write_line(
+            f"known red, passed over: {one.test}: {one.cause} ({one.issue})"
+        )
--- a/tests/fleet/test_claims.py
+++ b/tests/fleet/test_claims.py
@@ -38,8 +38,13 @@
     assert a.join(b)[:2] == max(a, b)[:2]  # never back to what was better, or before
 
 
-@given(st.lists(st.tuples(st.integers(0, 69), claims()), max_size=40), st.randoms(use_true_random=False))
-def test_tables_that_heard_the_same_in_any_order_say_the_same(told: list[tuple[int, Claim]], random) -> None:  # type: ignore[no-untyped-def]
+@given(
+    st.lists(st.tuples(st.integers(0, 69), claims()), max_size=40),
+    st.randoms(use_true_random=False),
+)
+def test_tables_that_heard_the_same_in_any_order_say_the_same(  # type: ignore[no-untyped-def]
+    told: list[tuple[int, Claim]], random
+) -> None:
     one, other = Claims(70), Claims(70)
     for number, claim in told:
         one.merge(number, claim)
@@ -61,7 +66,9 @@
     for number, claim in enumerate(told[: len(held)]):
         copy.merge(number, claim)
     assert [copy[n] for n in range(len(held))] == [table[n] for n in range(len(held))]
-    assert told[: len(held)] == [table[n] for n in range(len(held))]  # and nothing of those who are unknown
+    assert told[: len(held)] == [
+        table[n] for n in range(len(held))
+    ]  # and nothing of those who are unknown
 
 
 def test_only_what_differs_is_found() -> None:
@@ -72,12 +79,18 @@
     other.merge(CHUNK + 3, Claim(1, Standing.GONE))
     assert list(one.differing(other.digests())) == [range(CHUNK, 2 * CHUNK)]
     assert list(one.differing(other.digests()[1:], first=1)) == [range(CHUNK, 2 * CHUNK)]
-    one.merge(5, Claim(1, Standing.SUSPECT, slot(2)))  # a doubt is not settled: no table differs for it
+    one.merge(
+        5, Claim(1, Standing.SUSPECT, slot(2))
+    )  # a doubt is not settled: no table differs for it
     assert list(one.differing(other.digests())) == [range(CHUNK, 2 * CHUNK)]
     assert one.digest != other.digest
 
 
-@given(st.binary(max_size=100), st.integers(0, MOST_INCARNATION), st.lists(st.integers(0, 300), max_size=20))
+@given(
+    st.binary(max_size=100),
+    st.integers(0, MOST_INCARNATION),
+    st.lists(st.integers(0, 300), max_size=20),
+)
 def test_a_table_that_makes_no_sense_is_refused(codes: bytes, base: int, others: list[int]) -> None:
     try:
         told = unpacked(codes, base, others)
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -32,7 +32,10 @@
 def ends(fleet: Fleet, since: float = 0.0) -> list[tuple[int, int]]:
     """Who held whom for gone."""
     return [
-        (m.number, c.number) for m in fleet.members for c in m.history if c.what == "gone" and c.at >= since
+        (m.number, c.number)
+        for m in fleet.members
+        for c in m.history
+        if c.what == "gone" and c.at >= since
     ]
 
 
@@ -54,12 +57,16 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_both_sides_of_a_partition_find_each_other_again_and_the_sound_stay_there(seed: int) -> None:
+def test_both_sides_of_a_partition_find_each_other_again_and_the_sound_stay_there(
+    seed: int,
+) -> None:
     fleet = settled(12, seed)
     one, other = set(range(5)), set(range(5, 12))
     fleet.world.cut(one, other)
     fleet.world.cut(other, one)
-    assert fleet.until(lambda: fleet.agreed(one, one) and fleet.agreed(other, other), 20.0) is not None
+    assert (
+        fleet.until(lambda: fleet.agreed(one, one) and fleet.agreed(other, other), 20.0) is not None
+    )
     since = fleet.world.now
     fleet.world.cut(one, other, on=False)
     fleet.world.cut(other, one, on=False)
@@ -77,7 +84,9 @@
     since = fleet.world.now
     assert fleet.until(fleet.agreed, 10.0) is not None
     assert not ends(fleet, since)
-    assert not [c for c in fleet.members[4].history if c.what in ("suspect", "gone") and c.number != 4]
+    assert not [
+        c for c in fleet.members[4].history if c.what in ("suspect", "gone") and c.number != 4
+    ]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -190,7 +199,12 @@
     one.receive(source, datagram(1, version=VERSION + 1), now)
     one.receive(source, datagram(1, News(200, 1, 1)), now)
     assert one.dropped == {
-        "stranger": 1, "number": 1, "own address": 1, "malformed": 1, "too long": 1, "version": 1,
+        "stranger": 1,
+        "number": 1,
+        "own address": 1,
+        "malformed": 1,
+        "too long": 1,
+        "version": 1,
         "unknown member": 1,
     }
     assert one.view.members == before.members
@@ -215,16 +229,25 @@
             if target != 5:
                 liar = core(fleet, 5)
                 lies = [
-                    News(n, liar.claims[n].incarnation, int(Standing.GONE)) for n in range(12) if n != 5
+                    News(n, liar.claims[n].incarnation, int(Standing.GONE))
+                    for n in range(12)
+                    if n != 5
                 ]
                 fleet.carry(5, target, datagram(5, *lies))
         fleet.world.run(fleet.world.now + 1.0)
     assert not [pair for pair in ends(fleet) if pair[0] != 5]
 
 
-@pytest.mark.parametrize("incarnation", [
-    MOST_INCARNATION, MOST_INCARNATION - 1, USUAL_INCARNATION + LEAP, USUAL_INCARNATION, 1000,
-])
+@pytest.mark.parametrize(
+    "incarnation",
+    [
+        MOST_INCARNATION,
+        MOST_INCARNATION - 1,
+        USUAL_INCARNATION + LEAP,
+        USUAL_INCARNATION,
+        1000,
+    ],
+)
 def test_a_lie_about_the_future_can_be_refuted_for_ever(incarnation: int) -> None:
     """One says of all others that they are gone in an incarnation far ahead, for a while, also to one that
     has just started and knows nothing."""
@@ -254,7 +277,9 @@
     far = USUAL_INCARNATION + 50 * LEAP
     core(fleet, 2).incarnation = far  # as after years of refutations
     core(fleet, 2).claims.merge(2, Claim(far, Standing.ALIVE))
-    assert fleet.until(lambda: all(core(fleet, n).claims[2].incarnation >= far for n in range(6)), 60.0)
+    assert fleet.until(
+        lambda: all(core(fleet, n).claims[2].incarnation >= far for n in range(6)), 60.0
+    )
     fleet.members[2].kill()
     others = set(range(6)) - {2}
     assert fleet.until(lambda: fleet.agreed(others, others), 20.0) is not None
@@ -295,7 +320,9 @@
     assert core(fleet, 0).view.members[4].standing is Standing.UNKNOWN
     fleet.world.run(fleet.world.now + 3.0)
     for member in fleet.members[:3]:
-        core(fleet, member.number).follow(Roster(fleet.addresses[:3], member.number), fleet.world.now)
+        core(fleet, member.number).follow(
+            Roster(fleet.addresses[:3], member.number), fleet.world.now
+        )
     assert set(core(fleet, 0).view.members) == {1, 2}
     fleet.world.run(fleet.world.now + 5.0)  # 3 goes on talking: a stranger
     assert core(fleet, 0).dropped["stranger"] > 0
--- a/tests/fleet/test_followers.py
+++ b/tests/fleet/test_followers.py
@@ -54,7 +54,9 @@
     one._give()
     one._give()
     assert engine.heard == [Company(0, 2)] and sources[0].heard == [(0, 2)]
-    sources.append(Follower())  # another source of hosts, by a reload: it knows the told number only
+    sources.append(
+        Follower()
+    )  # another source of hosts, by a reload: it knows the told number only
     one._give()
     assert sources[1].heard == [(0, 2)] and len(engine.heard) == 1
     path.write_text("[use]\nrounds = true")
@@ -63,7 +65,9 @@
 
 
 @on_loop
-async def test_who_steps_aside_for_its_other_process_goes_by_the_told_number(tmp_path: Path) -> None:
+async def test_who_steps_aside_for_its_other_process_goes_by_the_told_number(
+    tmp_path: Path,
+) -> None:
     path = tmp_path / "fleet.toml"
     path.write_text("[use]\nwindows = true")
     engine = Follower()
--- a/tests/fleet/test_lines.py
+++ b/tests/fleet/test_lines.py
@@ -19,7 +19,9 @@
 ASK = b"GET / HTTP/1.1\r\nRequest-Id: %b\r\n\r\n"
 
 
-async def ask(lines: Lines, host: Host, gateway: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def ask(
+    lines: Lines, host: Host, gateway: int
+) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     return await asyncio.open_connection(address_of(gateway), host.port)
 
 
@@ -64,7 +66,9 @@
 
 
 @on_loop_within(60.0)
-async def test_a_part_without_discovery_and_a_third_of_the_hosts_loses_no_request(tmp_path: Path) -> None:
+async def test_a_part_without_discovery_and_a_third_of_the_hosts_loses_no_request(
+    tmp_path: Path,
+) -> None:
     """Its datagrams, its line to discovery and those to two hosts are cut at once: a partition as it is."""
     async with Stage(
         tmp_path, WORKS, 6, delay=0.01, gateways=SIZE, fleet=USED, aloud=True, lines=True
@@ -109,7 +113,9 @@
         await until(agreed(on, range(4)))
         before = marks(on, range(4))
         loads = [on.load(number) for number in (0, 1)]
-        await on.relay.lines({"gateways": [1], "targets": [h.name for h in on.hosts], "cut": ["back"]})
+        await on.relay.lines(
+            {"gateways": [1], "targets": [h.name for h in on.hosts], "cut": ["back"]}
+        )
         await asyncio.gather(*(load.open_loop(steady(20.0, 4.0)) for load in loads))
         await loads[1].settle()
         hurt = total(tally(loads[1].records, WORKS).values())
--- a/tests/fleet/test_many_faults.py
+++ b/tests/fleet/test_many_faults.py
@@ -12,7 +12,17 @@
 
 from rig.schedule import steady
 from rig.stage import Stage
-from tests.fleet.test_processes import SIZE, USED, WORKS, accounted, agreed, ended, marks, standing, view
+from tests.fleet.test_processes import (
+    SIZE,
+    USED,
+    WORKS,
+    accounted,
+    agreed,
+    ended,
+    marks,
+    standing,
+    view,
+)
 from tests.net import on_loop, on_loop_within, until
 
 PARTS = [list(range(4)), list(range(4, 8)), list(range(8, 12))]
@@ -68,7 +78,9 @@
 
 
 @on_loop
-async def test_seven_in_ten_killed_under_load_are_known_to_all_by_one_datagram(tmp_path: Path) -> None:
+async def test_seven_in_ten_killed_under_load_are_known_to_all_by_one_datagram(
+    tmp_path: Path,
+) -> None:
     async with stage(tmp_path, aloud=True) as on:
         await until(agreed(on, range(SIZE)))
         left = range(8, SIZE)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -47,7 +47,9 @@
     return found
 
 
-def agreed(on: Stage, there: Iterable[int], among: Iterable[int] | None = None) -> Callable[[], bool]:
+def agreed(
+    on: Stage, there: Iterable[int], among: Iterable[int] | None = None
+) -> Callable[[], bool]:
     """Whether each of `among` holds just `there` for alive, and nobody for suspect."""
     expected = set(there)
     judges = expected if among is None else set(among)
@@ -77,7 +79,9 @@
 def ended(on: Stage, numbers: Iterable[int], since: dict[int, int]) -> set[tuple[int, int]]:
     """Who of these held whom for gone, after so many lines of its history."""
     return {
-        (n, line["member"]) for n in numbers for line in changes(on, n)[since.get(n, 0) :]
+        (n, line["member"])
+        for n in numbers
+        for line in changes(on, n)[since.get(n, 0) :]
         if line["event"] == "gone"
     }
 
@@ -235,7 +239,12 @@
 @on_loop
 async def test_an_upgrade_is_one_member_all_along(tmp_path: Path) -> None:
     async with Stage(
-        tmp_path, WORKS, 6, delay=0.01, gateways=3, fleet=USED,
+        tmp_path,
+        WORKS,
+        6,
+        delay=0.01,
+        gateways=3,
+        fleet=USED,
         upgrades=FILE.replace("least = 20", "least = 5"),
     ) as on:
         await until(agreed(on, range(3)))
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -27,15 +27,26 @@
         assert broken(draw(seed, size, 8, aloud)) == "", f"seed {seed}"
 
 
-@pytest.mark.parametrize("schedule", [
-    # Cut off for 3 s, with three suspects of its own: short waits ended a sound one before it had noticed.
-    Schedule(5100, 7, (
-        Step(1.88, "whole"), Step(4.26, "cut", (1,)), Step(2.65, "whole"), Step(0.37, "apart", (6,)),
-        Step(3.18, "go_on", (4,)),
-    )),
-    # A heal: what the other side only suspected so far was certain there soon, and taken for that here.
-    Schedule(1014, 7, (Step(1.67, "whole"), Step(3.81, "apart", (4, 5)), Step(4.89, "whole"))),
-])
+@pytest.mark.parametrize(
+    "schedule",
+    [
+        # Cut off for 3 s, with three suspects of its own: short waits ended a sound one before it
+        # had noticed.
+        Schedule(
+            5100,
+            7,
+            (
+                Step(1.88, "whole"),
+                Step(4.26, "cut", (1,)),
+                Step(2.65, "whole"),
+                Step(0.37, "apart", (6,)),
+                Step(3.18, "go_on", (4,)),
+            ),
+        ),
+        # A heal: what the other side only suspected so far was certain there soon, and taken for that here.
+        Schedule(1014, 7, (Step(1.67, "whole"), Step(3.81, "apart", (4, 5)), Step(4.89, "whole"))),
+    ],
+)
 def test_schedules_that_once_broke(schedule: Schedule) -> None:
     assert broken(schedule) == ""
 
@@ -52,12 +63,19 @@
         kills = [step for step in schedule.steps if step.act == "kill" and 2 in step.members]
         return bool(kills) and any(step.act == "loss" for step in schedule.steps)
 
-    schedule = msgspec.structs.replace(draw(7, 5, 12), steps=(
-        *draw(7, 5, 6).steps, Step(1.0, "kill", (1, 2, 3)), *draw(8, 5, 6).steps, Step(1.0, "loss", loss=0.1),
-    ))
+    schedule = msgspec.structs.replace(
+        draw(7, 5, 12),
+        steps=(
+            *draw(7, 5, 6).steps,
+            Step(1.0, "kill", (1, 2, 3)),
+            *draw(8, 5, 6).steps,
+            Step(1.0, "loss", loss=0.1),
+        ),
+    )
     assert breaks(schedule)
     assert [(step.act, step.members) for step in smaller(schedule, breaks).steps] in (
-        [("kill", (2,)), ("loss", ())], [("loss", ()), ("kill", (2,))],
+        [("kill", (2,)), ("loss", ())],
+        [("loss", ()), ("kill", (2,))],
     )
 
 
@@ -97,9 +115,15 @@
     "a suspicion never ends": (Suspicion, "ends", property(lambda self: self.began + 1e9)),
     "the bound on bytes is not kept": (Budget, "take", lambda *_: True),
     "nobody asks those that are gone": (
-        Core, "_ask_gone", lambda self, now: setattr(self, "_next_gone", now + 1e9)),
+        Core,
+        "_ask_gone",
+        lambda self, now: setattr(self, "_next_gone", now + 1e9),
+    ),
     "one that is not sound judges, heard or not": (
-        Condition, "state", lambda self, now: Self.SOUND if self._heard > 0 else Self.ALONE),
+        Condition,
+        "state",
+        lambda self, now: Self.SOUND if self._heard > 0 else Self.ALONE,
+    ),
     "a suspicion that nobody heard of runs out": (Core, "_suspect", _told_at_once),
     "another's word that one is gone is a fact": (Core, "_claim", _at_once),
     "help is never over": (Core, "_step_helps", _helps_stay),
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -45,31 +45,44 @@
     assert told is not None and len(told.roster) == 2
 
 
-@pytest.mark.parametrize(("text", "field"), [
-    ("[talk]\nperiod = 5", "talk.period"),
-    ('[talk]\nanswer = "400 ms"', "talk.answer"),
-    ("[talk]\nbytes_per_second = 100", "talk.bytes_per_second"),
-    ("[talk]\nfleet_bytes_per_second = 2000", "talk.fleet_bytes_per_second"),
-    ('[use]\nwindow = true', "use"),
-    ('[use]\nhold = "0 s"', "use.hold"),
-    ('[report]\nfile = "/no/such/folder/view"', "report.file"),
-    ('[members]\nlisten = "here"', "members.listen"),
-    ('[members]\neveryone = "127.0.0.1:9"', "members.everyone"),
-    ('[members]\nlisten = "127.0.0.1:1"\neveryone = "x"\naddresses = ["127.0.0.1:1"]', "members.everyone"),
-    ('[members]\nlisten = "127.0.0.1:1"\naddresses = ["127.0.0.1:2"]', "members.addresses"),
-    ('[members]\nlisten = "127.0.0.1:1"\naddresses = ["127.0.0.1:2", "127.0.0.1:2"]', "members.addresses"),
-])
+@pytest.mark.parametrize(
+    ("text", "field"),
+    [
+        ("[talk]\nperiod = 5", "talk.period"),
+        ('[talk]\nanswer = "400 ms"', "talk.answer"),
+        ("[talk]\nbytes_per_second = 100", "talk.bytes_per_second"),
+        ("[talk]\nfleet_bytes_per_second = 2000", "talk.fleet_bytes_per_second"),
+        ("[use]\nwindow = true", "use"),
+        ('[use]\nhold = "0 s"', "use.hold"),
+        ('[report]\nfile = "/no/such/folder/view"', "report.file"),
+        ('[members]\nlisten = "here"', "members.listen"),
+        ('[members]\neveryone = "127.0.0.1:9"', "members.everyone"),
+        (
+            '[members]\nlisten = "127.0.0.1:1"\neveryone = "x"\naddresses = ["127.0.0.1:1"]',
+            "members.everyone",
+        ),
+        ('[members]\nlisten = "127.0.0.1:1"\naddresses = ["127.0.0.1:2"]', "members.addresses"),
+        (
+            '[members]\nlisten = "127.0.0.1:1"\naddresses = ["127.0.0.1:2", "127.0.0.1:2"]',
+            "members.addresses",
+        ),
+    ],
+)
 def test_a_file_that_cannot_work_names_the_field(tmp_path: Path, text: str, field: str) -> None:
     with pytest.raises(ConfigError) as caught:
         load_fleet(file(tmp_path, text), config())
-    assert field.rpartition(".")[0] in str(caught.value) and field.rpartition(".")[2] in str(caught.value)
+    assert field.rpartition(".")[0] in str(caught.value) and field.rpartition(".")[2] in str(
+        caught.value
+    )
 
 
 def test_the_address_that_reaches_all_is_the_platforms_or_the_files(tmp_path: Path) -> None:
     everyone = ("127.0.0.1", 9)
     told = load_fleet(file(tmp_path, ""), config(Peers(("127.0.0.1", 7000), ADDRESSES, everyone)))
     assert told is not None and told.roster.everyone == everyone
-    members = f'[members]\nlisten = "{ADDRESSES[0][0]}:{ADDRESSES[0][1]}"\neveryone = "127.0.0.1:9"\n'
+    members = (
+        f'[members]\nlisten = "{ADDRESSES[0][0]}:{ADDRESSES[0][1]}"\neveryone = "127.0.0.1:9"\n'
+    )
     members += f"addresses = {[f'{host}:{port}' for host, port in ADDRESSES]}"
     told = load_fleet(file(tmp_path, members), config(None))
     assert told is not None and told.roster.everyone == everyone
@@ -87,11 +100,14 @@
 def report(number: int, state: str, *standings: str) -> Report:
     others = [n for n in range(len(standings) + 1) if n != number]
     lines = [Line(n, s, 1, 2.0, 0.1, "heard", n) for n, s in zip(others, standings, strict=True)]
-    return Report(f"n{number}", number, time.time(), 3, 1, state, 4.0, 2, (number, 3), True, lines, {}, 0, 0)
+    return Report(
+        f"n{number}", number, time.time(), 3, 1, state, 4.0, 2, (number, 3), True, lines, {}, 0, 0
+    )
 
 
-def test_the_command_says_where_views_differ(tmp_path: Path, capsys: pytest.CaptureFixture[str],
-                                             monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_command_says_where_views_differ(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
     views = [report(0, "sound", "alive", "gone"), report(1, "sound", "alive", "alive")]
     assert differing(views) == {2: {"gone": [0], "alive": [1]}}
     for view in views:
@@ -132,5 +148,7 @@
     import sys  # noqa: PLC0415
 
     code = "import sys, quillroad.gateway, quillroad.start; print([m for m in sys.modules if 'fleet' in m])"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT)
+    done = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT
+    )
     assert done.stdout.strip() == "[]"
--- a/tests/fleet/test_sweep.py
+++ b/tests/fleet/test_sweep.py
@@ -109,8 +109,12 @@
     fleet.members[4].kill()
     since = fleet.world.now
     assert fleet.until(fleet.agreed, 10.0) is not None
-    first = min(c.at for m in fleet.running() for c in m.history if c.what == "suspect" and c.at > since)
-    heard = [c.at for m in fleet.running() for c in m.history if c.what == "suspect" and c.at > since]
+    first = min(
+        c.at for m in fleet.running() for c in m.history if c.what == "suspect" and c.at > since
+    )
+    heard = [
+        c.at for m in fleet.running() for c in m.history if c.what == "suspect" and c.at > since
+    ]
     assert sum(at - first < 0.3 for at in heard) > 0.8 * len(heard)
 
 
@@ -119,7 +123,9 @@
     one, other = set(range(16)), set(range(16, 40))
     for a, b in ((one, other), (other, one)):
         fleet.world.cut(a, b)
-    assert fleet.until(lambda: fleet.agreed(one, one) and fleet.agreed(other, other), 15.0) is not None
+    assert (
+        fleet.until(lambda: fleet.agreed(one, one) and fleet.agreed(other, other), 15.0) is not None
+    )
     since = fleet.world.now
     for a, b in ((one, other), (other, one)):
         fleet.world.cut(a, b, on=False)
--- a/tests/fleet/test_walk.py
+++ b/tests/fleet/test_walk.py
@@ -9,7 +9,14 @@
 from quillroad.fleet.roster import Address
 from tests.fleet.test_schedules import FAULTS
 
-SCENES = ("all start", "settled", "suspected", "gone", "back from nothing", "apart, and whole again")
+SCENES = (
+    "all start",
+    "settled",
+    "suspected",
+    "gone",
+    "back from nothing",
+    "apart, and whole again",
+)
 
 
 @pytest.fixture(scope="module", params=[None, EVERYONE], ids=["one by one", "aloud"])
@@ -19,7 +26,9 @@
 
 
 @pytest.mark.parametrize("scene", SCENES)
-def test_whatever_the_order_what_must_hold_does_and_views_agree_after_it(walk: Walk, scene: str) -> None:
+def test_whatever_the_order_what_must_hold_does_and_views_agree_after_it(
+    walk: Walk, scene: str
+) -> None:
     begin = walk.scenes()[scene]
     walk.walk(begin, 3)
     walk.walk(begin, 6, closing=False)
@@ -51,10 +60,16 @@
     walk.close(at)
 
 
-@pytest.mark.parametrize("fault", [
-    "what is said of oneself is not refuted", "a suspicion never ends", "others bring one back",
-    "help is never over", "a refutation keeps its incarnation",
-])
+@pytest.mark.parametrize(
+    "fault",
+    [
+        "what is said of oneself is not refuted",
+        "a suspicion never ends",
+        "others bring one back",
+        "help is never over",
+        "a refutation keeps its incarnation",
+    ],
+)
 def test_a_planted_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     walk = Walk(3)
     scenes = walk.scenes()
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -25,8 +25,16 @@
 NUMBERS = st.integers(0, MOST_MEMBERS - 1)
 NEWS = st.builds(News, NUMBERS, BITS, st.integers(1, 4), st.integers(1, 7))
 DATAGRAMS = st.builds(
-    Datagram, st.just(VERSION), NUMBERS, BITS, BITS, st.sampled_from(list(Kind)), BITS, BITS,
-    st.lists(NEWS, max_size=12).map(tuple), NUMBERS,
+    Datagram,
+    st.just(VERSION),
+    NUMBERS,
+    BITS,
+    BITS,
+    st.sampled_from(list(Kind)),
+    BITS,
+    BITS,
+    st.lists(NEWS, max_size=12).map(tuple),
+    NUMBERS,
 )
 
 
@@ -59,15 +67,29 @@
     good = [VERSION, 3, 7, 1, 0, 9, 11, [], 0]
     assert readable(msgspec.msgpack.encode(good))
     for at, value in (
-        (1, MOST_MEMBERS), (1, -1), (2, 2**32), (3, 2**32), (4, 9), (5, -1), (8, MOST_MEMBERS),
-        (7, [[1, 1, 5, 0]]), (7, [[1, 1, 2, 8]]), (7, [[1, 1, 2, 0]]), (7, [[1, 5, 0, 0]]), (7, [[1]]),
-        (7, "x"), (3, 1.5), (3, None),
+        (1, MOST_MEMBERS),
+        (1, -1),
+        (2, 2**32),
+        (3, 2**32),
+        (4, 9),
+        (5, -1),
+        (8, MOST_MEMBERS),
+        (7, [[1, 1, 5, 0]]),
+        (7, [[1, 1, 2, 8]]),
+        (7, [[1, 1, 2, 0]]),
+        (7, [[1, 5, 0, 0]]),
+        (7, [[1]]),
+        (7, "x"),
+        (3, 1.5),
+        (3, None),
     ):
         bad = list(good)
         bad[at] = value
         assert not readable(msgspec.msgpack.encode(bad)), (at, value)
     assert not readable(msgspec.msgpack.encode(good)[:1]) and not readable(b"")
-    assert not readable(msgspec.msgpack.encode([*good, b"x" * 250]))  # longer than a datagram may be
+    assert not readable(
+        msgspec.msgpack.encode([*good, b"x" * 250])
+    )  # longer than a datagram may be
 
 
 def test_fields_behind_those_known_are_left_unread() -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -28,7 +28,11 @@
 
 
 def route(effect: Effect = Effect.SAFE, **changes: Any) -> Route:
-    values: dict[str, Any] = {"aim_us": AIM_US, "deadline_us": DEADLINE_US, "memory_span_us": 2_000_000}
+    values: dict[str, Any] = {
+        "aim_us": AIM_US,
+        "deadline_us": DEADLINE_US,
+        "memory_span_us": 2_000_000,
+    }
     values.update(changes)
     return Route(name="r", effect=effect, **values)
 
@@ -43,7 +47,11 @@
     """Feeds one balancer, keeps its alarms and remembers what it did."""
 
     def __init__(
-        self, told: Settings, servers: int | list[Server] = 4, seed: int = 7, crossing: Crossing | None = None
+        self,
+        told: Settings,
+        servers: int | list[Server] = 4,
+        seed: int = 7,
+        crossing: Crossing | None = None,
     ) -> None:
         self.now = 1_000_000
         self.balancer = Balancer(told, seed, crossing)
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -30,7 +30,9 @@
 
 
 def told(*agents: Agent, **changes: Any) -> Told:
-    return Told(ConsulHosts(tuple(agent.address for agent in agents), SERVICE, **changes), QUICK, SOON)
+    return Told(
+        ConsulHosts(tuple(agent.address for agent in agents), SERVICE, **changes), QUICK, SOON
+    )
 
 
 @dataclass
@@ -199,13 +201,17 @@
 
 
 @asynccontextmanager
-async def behind(count: int) -> AsyncIterator[tuple[Catalogue, list[Agent], list[FakeHost], Gateway]]:
+async def behind(
+    count: int,
+) -> AsyncIterator[tuple[Catalogue, list[Agent], list[FakeHost], Gateway]]:
     hosts = [await FakeHost(f"s{i}", serve_ok).start() for i in range(count)]
     catalogue = Catalogue()
     for host in hosts:
         catalogue.register(Registered(f"n-{host.name}", host.name, *host.address))
     agents = [await Agent(catalogue).start() for _ in range(2)]
-    gateway = Gateway(make_config(1), asyncio.get_running_loop())  # the platform's discovery is not there
+    gateway = Gateway(
+        make_config(1), asyncio.get_running_loop()
+    )  # the platform's discovery is not there
     gateway.listen(open_listener("127.0.0.1", 0))
     feed = Feed(gateway.config.zones, gateway.config.kinds, gateway.engine.update)
     source = ConsulSource(told(*agents), feed.listener(), 1)
@@ -249,7 +255,9 @@
                 at = catalogue.change(node, leaving.name, maintenance=change)
             total = sum(len(host.seen) for host in hosts)
             end = at + GRACE_S + 0.2
-            await ask_until(lambda: monotonic() > end and sum(len(h.seen) for h in hosts) > total + 50)
+            await ask_until(
+                lambda: monotonic() > end and sum(len(h.seen) for h in hosts) > total + 50
+            )
         assert [time for time, _ in sent if time > at + GRACE_S] == []
 
 
--- a/tests/membership/test_consul_rules.py
+++ b/tests/membership/test_consul_rules.py
@@ -65,7 +65,9 @@
         ({"maintenance": "service", "status": "critical"}, Standing.DRAINING, 10.0),
     ],
 )
-def test_checks_make_the_standing(changes: dict[str, Any], standing: Standing, weight: float) -> None:
+def test_checks_make_the_standing(
+    changes: dict[str, Any], standing: Standing, weight: float
+) -> None:
     ((instance,), unread) = read(entry(weights=(10, 2), **changes))
     assert (instance.standing, instance.weight, unread) == (standing, weight, ())
     assert instance.id == "node-1/web-1"
@@ -78,8 +80,10 @@
 
 
 def test_addresses_and_meta() -> None:
-    told = entry(service_address=False, meta={"zone": "z1", "machine-type": "big", "cell": "4",
-                                              "started-at-ms": "1700000000000"})
+    told = entry(
+        service_address=False,
+        meta={"zone": "z1", "machine-type": "big", "cell": "4", "started-at-ms": "1700000000000"},
+    )
     ((instance,), _) = read(told)
     assert instance.address == ("10.0.0.1", 8000)  # the node's
     assert (instance.zone, instance.kind, instance.cell) == ("z1", "big", 4)
@@ -91,8 +95,13 @@
 
 def test_an_entry_that_cannot_be_read_costs_itself() -> None:
     bad = [
-        {}, 7, {"Node": {"Node": "n"}}, entry() | {"Service": {"ID": "x", "Port": 0}},
-        entry() | {"Service": {"ID": "", "Port": 1}}, entry(meta={"cell": "many"}), entry() | {"Checks": 3},
+        {},
+        7,
+        {"Node": {"Node": "n"}},
+        entry() | {"Service": {"ID": "x", "Port": 0}},
+        entry() | {"Service": {"ID": "", "Port": 1}},
+        entry(meta={"cell": "many"}),
+        entry() | {"Checks": 3},
     ]
     reading = read(*bad, entry())
     assert [instance.id for instance in reading.instances] == ["node-1/web-1"]
@@ -119,8 +128,11 @@
         (200, {"x-consul-knownleader": "false"}, Verdict.RETRY),
         (200, {"x-consul-lastcontact": "60000"}, Verdict.RETRY),
         (200, {"x-consul-lastcontact": "soon"}, Verdict.RETRY),
-        (500, {}, Verdict.RETRY), (429, {}, Verdict.RETRY), (404, {}, Verdict.RETRY),
-        (403, {}, Verdict.DENIED), (401, {}, Verdict.DENIED),
+        (500, {}, Verdict.RETRY),
+        (429, {}, Verdict.RETRY),
+        (404, {}, Verdict.RETRY),
+        (403, {}, Verdict.DENIED),
+        (401, {}, Verdict.DENIED),
     ],
 )
 def test_answers_are_judged(status: int, headers: dict[str, str], verdict: Verdict) -> None:
@@ -128,7 +140,9 @@
 
 
 @given(
-    st.integers(1, 4), st.floats(0, 1, exclude_max=True), st.lists(st.tuples(st.booleans(), st.floats(0, 3)))
+    st.integers(1, 4),
+    st.floats(0, 1, exclude_max=True),
+    st.lists(st.tuples(st.booleans(), st.floats(0, 3))),
 )
 def test_agents_take_turns_and_waits_are_bounded(
     count: int, jitter: float, steps: list[tuple[bool, float]]
--- a/tests/membership/test_crowd.py
+++ b/tests/membership/test_crowd.py
@@ -23,12 +23,21 @@
 
 @pytest.mark.parametrize("keep", ['"instances": [', '"instanceId": "{}"'])
 @on_loop
-async def test_a_drain_in_a_broken_line_is_kept_while_seventeen_start(tmp_path: Path, keep: str) -> None:
+async def test_a_drain_in_a_broken_line_is_kept_while_seventeen_start(
+    tmp_path: Path, keep: str
+) -> None:
     """join+disco+huge, seed 51. That starts take turns, so that the call after the break finds no queue of
     theirs, is asked for by `test_starts_take_turns`."""
     crowded = partial(CrowdedDiscovery, work_s=0.05, patience_s=0.4)
     stage = Stage(
-        tmp_path, WORKS, 6, delay=0.01, gateways=18, later=17, registry=crowded, discovery="ask",
+        tmp_path,
+        WORKS,
+        6,
+        delay=0.01,
+        gateways=18,
+        later=17,
+        registry=crowded,
+        discovery="ask",
         guarantees={"drain_grace": 500_000, "ask_within": 10_000_000},
     )
     async with stage:
--- a/tests/membership/test_documents.py
+++ b/tests/membership/test_documents.py
@@ -39,7 +39,8 @@
 ) -> None:
     documents = Documents(LIMIT)
     found = [
-        json.loads(text) for data in pieces(laid_out(objects, indents, end), cuts)
+        json.loads(text)
+        for data in pieces(laid_out(objects, indents, end), cuts)
         for text in documents.feed(data)
     ]
     assert found == objects and not documents.rest.strip()
@@ -47,13 +48,17 @@
 
 
 @given(OBJECTS, st.sampled_from([None, 2]))
-def test_the_last_document_needs_no_end_of_line(objects: list[dict[str, Any]], indent: int | None) -> None:
+def test_the_last_document_needs_no_end_of_line(
+    objects: list[dict[str, Any]], indent: int | None
+) -> None:
     documents = Documents(LIMIT)
     data = laid_out(objects, [indent], "\n").rstrip()
     assert [json.loads(text) for text in [*documents.feed(data), *documents.finish()]] == objects
 
 
-@pytest.mark.parametrize("data", [b'{"a": "b\n', b'{\n "a": [\n\n', b'{"a":1}\n{"b\n', b"x" * (LIMIT + 1)])
+@pytest.mark.parametrize(
+    "data", [b'{"a": "b\n', b'{\n "a": [\n\n', b'{"a":1}\n{"b\n', b"x" * (LIMIT + 1)]
+)
 def test_what_cannot_become_whole_is_noticed_at_once_and_kept(data: bytes) -> None:
     """Not waited for: all that comes after it would go unread."""
     documents = Documents(LIMIT)
--- a/tests/membership/test_pacing.py
+++ b/tests/membership/test_pacing.py
@@ -47,12 +47,16 @@
         at, last = 0.0, 0.0
         for call in range(4):
             wait_s = pacing.wait_s(LEFT_S, took_s=took_s if call else 0.0)
-            assert 0.0 <= wait_s <= max(MOST_S, min(ROUND_S, balancers / RATE))  # no longer than a round
+            assert (
+                0.0 <= wait_s <= max(MOST_S, min(ROUND_S, balancers / RATE))
+            )  # no longer than a round
             at += wait_s
             calls.append(at)
             if call and balancers > FEW:
                 round_s = min(ROUND_S, balancers / RATE)
-                assert max(took_s, 0.85 * round_s) - 0.001 <= at - last <= max(took_s, round_s) + 0.001
+                assert (
+                    max(took_s, 0.85 * round_s) - 0.001 <= at - last <= max(took_s, round_s) + 0.001
+                )
             last = at
             at += took_s
     for window_s in (2.0, 8.0):
@@ -72,7 +76,9 @@
         has = lists_after(gateways, service, seed, silent, start)
         assert max(has) - up_s <= GRACE_S
         rate = gateways / LEAST_ROUND_S
-        after = [at for at in service.calls if at > 1.0]  # the first calls after an end come at once
+        after = [
+            at for at in service.calls if at > 1.0
+        ]  # the first calls after an end come at once
         assert most_calls(after) <= 2 * max(RATE, rate) + 3
 
 
@@ -80,7 +86,9 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_starts_take_turns(gateways: int, seed: int) -> None:
     """The call of one whose line broke off just then finds no queue of those who only start."""
-    starts = [Pacing(gateways, number, random.Random(seed + number).random) for number in range(gateways)]
+    starts = [
+        Pacing(gateways, number, random.Random(seed + number).random) for number in range(gateways)
+    ]
     calls = [pacing.start_s(LEFT_S) for pacing in starts]
     assert max(calls) <= ROUND_S
     assert most_calls(calls) <= 1.5 * gateways / ROUND_S + 2
@@ -90,7 +98,9 @@
 @pytest.mark.parametrize("gateways", [40, 200])
 @pytest.mark.parametrize("overbook", [1.0, 3.0])
 @pytest.mark.parametrize("silent", [True, False])
-def test_a_service_that_is_too_slow_gets_over_it(gateways: int, overbook: float, silent: bool) -> None:
+def test_a_service_that_is_too_slow_gets_over_it(
+    gateways: int, overbook: float, silent: bool
+) -> None:
     """One that takes calls it can't answer in time and works on them all the same: with rounds that don't
     grow, or begin anew for those whose part comes early, its queue never got shorter than its callers'
     patience."""
@@ -105,12 +115,16 @@
     assert waits[0] <= BROKEN_S and waits[0] < waits[2] < waits[4]
     assert waits[-1] > 3.0  # no better than any other failure in the end
     pacing.succeeded(0.1)
-    assert pacing.wait_s(LEFT_S, answered=True) > 3.0  # one that ends early each time is asked for in rounds
+    assert (
+        pacing.wait_s(LEFT_S, answered=True) > 3.0
+    )  # one that ends early each time is asked for in rounds
     pacing.succeeded(30.0)
     assert pacing.wait_s(LEFT_S, answered=True) <= BROKEN_S
 
 
-def turned_away(calls: list[tuple[float, int]], work_s: float, patience_s: float) -> dict[int, float]:
+def turned_away(
+    calls: list[tuple[float, int]], work_s: float, patience_s: float
+) -> dict[int, float]:
     """How long each call (when, by whom) waits for its answer at a service that takes them in turn; those
     that wait longer than its patience are not in it."""
     free, waited = 0.0, {}
@@ -130,7 +144,9 @@
 ) -> None:
     """join+disco+huge, seed 51: 16 of 40 started at once, and the gateway whose watch broke off as it told
     of a drain waited behind them all at 7 to 8 calls a second, in vain: a send 2.4 s after it was told."""
-    starting = {number for number in numbers if number < balancers and number % 5 < 2}  # two in five
+    starting = {
+        number for number in numbers if number < balancers and number % 5 < 2
+    }  # two in five
     rng = random.Random(seed)
     calls = [(Pacing(balancers, number, rng.random).start_s(LEFT_S), number) for number in starting]
     assert all(at <= ROUND_S for at, _ in calls)
@@ -160,7 +176,9 @@
         pacing.divide(rank, left)
         calls.append(pacing.wait_s(LEFT_S))
     round_s = min(ROUND_S, left / RATE)
-    assert all(round_s * rank / left <= at <= round_s * (rank + 1) / left for rank, at in enumerate(calls))
+    assert all(
+        round_s * rank / left <= at <= round_s * (rank + 1) / left for rank, at in enumerate(calls)
+    )
     alone = Pacing(200, 3, random.Random(seed).random)
     alone.divide(0, 1)
     assert alone.wait_s(LEFT_S) <= FIRST_S
@@ -205,4 +223,6 @@
     assert clock.first_byte_s() == SILENCE_S
     clock.heard(9.0)
     assert clock.first_byte_s() == AGENT_S
-    assert Currency(0.0, own=False).first_byte_s() == SILENCE_S  # others may have to wait for their turn
+    assert (
+        Currency(0.0, own=False).first_byte_s() == SILENCE_S
+    )  # others may have to wait for their turn
--- a/tests/membership/test_program.py
+++ b/tests/membership/test_program.py
@@ -30,7 +30,8 @@
 
 def static(port: int, *hosts: FakeHost) -> str:
     listed = "".join(
-        f'[[hosts.static]]\nid = "{h.name}"\naddress = "{h.address[0]}:{h.address[1]}"\n' for h in hosts
+        f'[[hosts.static]]\nid = "{h.name}"\naddress = "{h.address[0]}:{h.address[1]}"\n'
+        for h in hosts
     )
     return HEAD.format(port=port, source="static") + listed
 
@@ -45,7 +46,14 @@
 async def program(path: Path, port: int) -> AsyncIterator[Process]:
     environment = {k: v for k, v in os.environ.items() if not k.startswith(("GW_", "QUILLROAD_"))}
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "quillroad", "--config", str(path), cwd=ROOT, env=environment, stderr=PIPE
+        sys.executable,
+        "-m",
+        "quillroad",
+        "--config",
+        str(path),
+        cwd=ROOT,
+        env=environment,
+        stderr=PIPE,
     )
     try:
         while True:
--- a/tests/membership/test_reduce.py
+++ b/tests/membership/test_reduce.py
@@ -18,7 +18,9 @@
     return Instance(name, ("127.0.0.1", port or 1000 + ord(name[-1])), standing, **more)  # type: ignore[arg-type]
 
 
-def starts(reducer: Reducer, now_s: int, *instances: Instance, tells: bool = False) -> dict[str, int]:
+def starts(
+    reducer: Reducer, now_s: int, *instances: Instance, tells: bool = False
+) -> dict[str, int]:
     reduced = reducer.reduce(Snapshot(instances, 1, tells), now_s * S)
     return {reduced.names[s.id]: (s.started_us or 0) // S for s in reduced.servers.servers}
 
@@ -73,7 +75,9 @@
 
 
 def test_an_id_listed_twice_counts_once() -> None:
-    reduced = Reducer((), ()).reduce(Snapshot((one("a", Standing.OUT), one("a"), one("a", port=7))), 100 * S)
+    reduced = Reducer((), ()).reduce(
+        Snapshot((one("a", Standing.OUT), one("a"), one("a", port=7))), 100 * S
+    )
     assert [s.state for s in reduced.servers.servers] == [State.READY]
     assert len(reduced.refused) == 2
 
@@ -95,7 +99,9 @@
 
 
 FLIPS = st.lists(
-    st.dictionaries(st.sampled_from("abcd"), st.sampled_from(Standing), max_size=4), min_size=1, max_size=30
+    st.dictionaries(st.sampled_from("abcd"), st.sampled_from(Standing), max_size=4),
+    min_size=1,
+    max_size=30,
 )
 
 
@@ -134,8 +140,16 @@
     assert views.told(2, 0.6, both) == both
 
 
-@given(st.lists(st.tuples(st.integers(0, 2), st.booleans(),
-                          st.dictionaries(st.sampled_from("abc"), st.sampled_from(Standing))), max_size=40))
+@given(
+    st.lists(
+        st.tuples(
+            st.integers(0, 2),
+            st.booleans(),
+            st.dictionaries(st.sampled_from("abc"), st.sampled_from(Standing)),
+        ),
+        max_size=40,
+    )
+)
 def test_what_is_merged_is_in_service_only_by_everybodys_word(
     steps: list[tuple[int, bool, dict[str, Standing]]],
 ) -> None:
--- a/tests/membership/test_register.py
+++ b/tests/membership/test_register.py
@@ -31,8 +31,13 @@
 def test_an_entry_from_its_beginning_to_its_end() -> None:
     machine, now, told = Registration(ENTRY, 0.0), 0.0, []
     machine.serves(now, False)
-    for at, status, ready in ((0.0, 200, False), (1.0, 200, True), (2.0, 200, True), (7.0, 404, True),
-                              (7.25, 200, True)):
+    for at, status, ready in (
+        (0.0, 200, False),
+        (1.0, 200, True),
+        (2.0, 200, True),
+        (7.0, 404, True),
+        (7.25, 200, True),
+    ):
         now = at
         machine.serves(now, ready)
         if machine.next_s(now) == 0.0:
@@ -44,7 +49,9 @@
     assert told == [("service", "critical"), update, update, ("service", "passing")]
     machine.leave(now)
     assert machine.next_s(now) == 0.0 and said(machine) == "service/deregister"
-    assert machine.answered(now, machine.call(), 200) == "deregistered" and machine.next_s(now) is None
+    assert (
+        machine.answered(now, machine.call(), 200) == "deregistered" and machine.next_s(now) is None
+    )
 
 
 def test_a_drain_while_the_first_word_is_on_its_way_takes_out_what_that_brought() -> None:
@@ -55,8 +62,12 @@
     assert machine.next_s(0.2) == 0.0 and said(machine) == "service/deregister"
 
 
-@given(st.lists(st.tuples(st.floats(0, 20), st.sampled_from([0, 200, 403, 404, 429, 500])), max_size=60),
-       st.integers(0, 60))
+@given(
+    st.lists(
+        st.tuples(st.floats(0, 20), st.sampled_from([0, 200, 403, 404, 429, 500])), max_size=60
+    ),
+    st.integers(0, 60),
+)
 def test_whatever_the_agent_answers_it_is_never_asked_in_a_storm_and_always_left(
     answers: list[tuple[float, int]], leave: int
 ) -> None:
@@ -89,14 +100,18 @@
     catalogue = Catalogue()
     agent = await Agent(catalogue).start()
     config = replace(
-        make_config(1), discovery=None, hosts=StaticHosts((StaticHost("a", ("127.0.0.1", 9)),)),
+        make_config(1),
+        discovery=None,
+        hosts=StaticHosts((StaticHost("a", ("127.0.0.1", 9)),)),
         register=Register(agent.address, "q", ttl_s=ttl_s),
     )
     gateway = Gateway(config, asyncio.get_running_loop())
     await gateway.start()
 
     def status() -> str:
-        return next((one.status for key, one in catalogue.instances.items() if key[0] == "own"), "none")
+        return next(
+            (one.status for key, one in catalogue.instances.items() if key[0] == "own"), "none"
+        )
 
     try:
         yield catalogue, agent, gateway, status
@@ -136,7 +151,9 @@
 def test_the_file_tells_it_and_a_wrong_one_is_named(tmp_path: Path) -> None:
     file, text = tmp_path / "q.toml", (ROOT / "deploy" / "quillroad.toml").read_text()
     part = text[text.index("# [register]") :]
-    file.write_text(text.replace(part, "\n".join(line.removeprefix("# ") for line in part.splitlines())))
+    file.write_text(
+        text.replace(part, "\n".join(line.removeprefix("# ") for line in part.splitlines()))
+    )
     assert load_file(file).register == Register(("127.0.0.1", 8500), "quillroad")
     file.write_text(text + '[register]\nagent = "x"\nservice = "q"')
     with pytest.raises(Exception, match=r"register.agent: needs address:port, not 'x'"):
--- a/tests/membership/test_silence.py
+++ b/tests/membership/test_silence.py
@@ -30,10 +30,18 @@
     """calm+brink: open watches fall silent and stay open, hosts begin to drain right after. Asked at one
     service for all, or each at an agent that answers at once. With 3 s to notice and rounds of 10 s half of
     a crowd heard too late."""
-    registry = partial(CrowdedDiscovery, work_s=ALL_S / GATEWAYS, patience_s=2.0) if asked else Discovery
+    registry = (
+        partial(CrowdedDiscovery, work_s=ALL_S / GATEWAYS, patience_s=2.0) if asked else Discovery
+    )
     stage = Stage(
-        tmp_path, WORKS, 6, delay=0.01, gateways=GATEWAYS, registry=registry,
-        discovery="ask" if asked else "push", guarantees={"drain_grace": 500_000, "ask_within": 10_000_000},
+        tmp_path,
+        WORKS,
+        6,
+        delay=0.01,
+        gateways=GATEWAYS,
+        registry=registry,
+        discovery="ask" if asked else "push",
+        guarantees={"drain_grace": 500_000, "ask_within": 10_000_000},
     )
     async with stage:
         loads = [stage.load(number) for number in range(GATEWAYS)]
@@ -54,5 +62,9 @@
         for host in leaves:
             assert len(host.receipts) > 20  # in use until then, by all of them
             assert max(receipt.at for receipt in host.receipts) <= silent + TOLD_S + GRACE_S
-        late = [r for host in stage.hosts[2:] for r in host.receipts if r.at > silent + TOLD_S + GRACE_S]
-        assert {receipt.id.partition("-")[0] for receipt in late} == {f"g{n}" for n in range(GATEWAYS)}
+        late = [
+            r for host in stage.hosts[2:] for r in host.receipts if r.at > silent + TOLD_S + GRACE_S
+        ]
+        assert {receipt.id.partition("-")[0] for receipt in late} == {
+            f"g{n}" for n in range(GATEWAYS)
+        }
--- a/tests/net.py
+++ b/tests/net.py
@@ -57,7 +57,9 @@
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.strip().split("\r\n")
     headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines)}
-    return Message(first, headers, await reader.readexactly(int(headers.get("content-length", "0"))))
+    return Message(
+        first, headers, await reader.readexactly(int(headers.get("content-length", "0")))
+    )
 
 
 def answer(body: bytes = b"ok", status: str = "200 OK", *headers: str) -> bytes:
@@ -103,7 +105,9 @@
         self.name, self.behave = name, behave
         self.seen: list[Message] = []
         self.came: asyncio.Queue[Message] = asyncio.Queue()
-        self.closed: asyncio.Queue[int] = asyncio.Queue()  # numbers of connections that the gateway ended
+        self.closed: asyncio.Queue[int] = (
+            asyncio.Queue()
+        )  # numbers of connections that the gateway ended
         self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> FakeHost:
@@ -134,8 +138,14 @@
 
     def entry(self, **changes: Any) -> dict[str, Any]:
         line: dict[str, Any] = {
-            "instanceId": self.name, "hostPort": f"127.0.0.1:{self.address[1]}", "zone": "room",
-            "machineType": "two-core", "cell": 0, "lifecycle": "up", "weight": 1.0, "startedAtMs": 0,
+            "instanceId": self.name,
+            "hostPort": f"127.0.0.1:{self.address[1]}",
+            "zone": "room",
+            "machineType": "two-core",
+            "cell": 0,
+            "lifecycle": "up",
+            "weight": 1.0,
+            "startedAtMs": 0,
         }
         return line | changes
 
@@ -165,7 +175,9 @@
         self.generation = 1
         self.first: bytes = self.line(True, *entries)
         self.asked: asyncio.Queue[str] = asyncio.Queue()
-        self.ended: asyncio.Queue[int] = asyncio.Queue()  # numbers of watches that the gateway ended
+        self.ended: asyncio.Queue[int] = (
+            asyncio.Queue()
+        )  # numbers of watches that the gateway ended
         self.watches: list[asyncio.StreamWriter] = []
         self.silent = False  # takes calls, and answers none of them ever
 
@@ -212,18 +224,41 @@
 
 def told_settings(**changes: Any) -> dict[str, Any]:
     lanes = [
-        {"name": "status-check", "semantics": "safe", "goal_time": 5_000_000, "deadline": 60_000_000},
-        {"name": "seat-checkout", "semantics": "keyed", "group": "all", "memory_span": 6_000_000,
-         "goal_time": 5_000_000, "deadline": 60_000_000, "importance": 8.0},
+        {
+            "name": "status-check",
+            "semantics": "safe",
+            "goal_time": 5_000_000,
+            "deadline": 60_000_000,
+        },
+        {
+            "name": "seat-checkout",
+            "semantics": "keyed",
+            "group": "all",
+            "memory_span": 6_000_000,
+            "goal_time": 5_000_000,
+            "deadline": 60_000_000,
+            "importance": 8.0,
+        },
         {"name": "audit", "semantics": "unsafe", "goal_time": 5_000_000, "deadline": 60_000_000},
     ]
     limits = {
-        "attempts_cap": 4, "cancelling": True, "parallel_tries": True, "retry_after": True,
-        "max_retry_after": 600_000, "connect_timeout": 5_000_000, "conn_idle": 15_000_000,
+        "attempts_cap": 4,
+        "cancelling": True,
+        "parallel_tries": True,
+        "retry_after": True,
+        "max_retry_after": 600_000,
+        "connect_timeout": 5_000_000,
+        "conn_idle": 15_000_000,
     }
     settings: dict[str, Any] = {
-        "balancers": 1, "my_number": 0, "lanes": lanes, "models": ["two-core"], "zones": ["room"],
-        "orgs": [{"name": "acme", "quota_per_s": 1000.0}], "guarantees": {}, "limits": limits,
+        "balancers": 1,
+        "my_number": 0,
+        "lanes": lanes,
+        "models": ["two-core"],
+        "zones": ["room"],
+        "orgs": [{"name": "acme", "quota_per_s": 1000.0}],
+        "guarantees": {},
+        "limits": limits,
     }
     settings["limits"] = limits | changes.pop("limits", {})
     return settings | changes
@@ -231,8 +266,12 @@
 
 def config_data(discovery_port: int, **changes: Any) -> dict[str, Any]:
     data: dict[str, Any] = {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery_port}", "seed": "8c1f",
-        "limits": {"sockets": 1024}, "settings": told_settings(),
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": f"127.0.0.1:{discovery_port}",
+        "seed": "8c1f",
+        "limits": {"sockets": 1024},
+        "settings": told_settings(),
     }
     return data | changes
 
@@ -266,20 +305,30 @@
         self.writer.close()
 
     def send(
-        self, path: str = "/status-check/k1", body: bytes = b"", method: str = "", **headers: str | None
+        self,
+        path: str = "/status-check/k1",
+        body: bytes = b"",
+        method: str = "",
+        **headers: str | None,
     ) -> str:
         """Write one request; header names have `_` for `-`, None leaves one out."""
         name = path.split("/")[1]
         number = f"{next(self.ids):x}"
         told: dict[str, str | None] = {
-            "Host": "service.internal", "Request-Id": number, "Tenant": "acme", "Request-Timeout-Ms": "9000",
+            "Host": "service.internal",
+            "Request-Id": number,
+            "Tenant": "acme",
+            "Request-Timeout-Ms": "9000",
             "Idempotency-Key": "key-" + number if name == "seat-checkout" else None,
         }
         told |= {key.replace("_", "-"): value for key, value in headers.items()}
         method = method or ("GET" if name == "status-check" else "POST")
         if method == "POST":
             told["Content-Length"] = str(len(body))
-        lines = [f"{method} {path} HTTP/1.1", *(f"{k}: {v}" for k, v in told.items() if v is not None)]
+        lines = [
+            f"{method} {path} HTTP/1.1",
+            *(f"{k}: {v}" for k, v in told.items() if v is not None),
+        ]
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
         return number
 
@@ -287,7 +336,11 @@
         return await read_message(self.reader)
 
     async def ask(
-        self, path: str = "/status-check/k1", body: bytes = b"", method: str = "", **headers: str | None
+        self,
+        path: str = "/status-check/k1",
+        body: bytes = b"",
+        method: str = "",
+        **headers: str | None,
     ) -> Message:
         self.send(path, body, method, **headers)
         return await self.receive()
--- a/tests/rulecheck.py
+++ b/tests/rulecheck.py
@@ -112,7 +112,9 @@
             return
         if isinstance(action, Refuse) and any(s.may_have_run for s in case.sent):
             spec = case.route
-            if spec.effect is Effect.UNSAFE or (spec.effect is Effect.KEYED and spec.group is not Group.ALL):
+            if spec.effect is Effect.UNSAFE or (
+                spec.effect is Effect.KEYED and spec.group is not Group.ALL
+            ):
                 raise RuleBroken(f"2: request {action.request} refused though it may have run")
         case.ended = True
 
@@ -135,7 +137,9 @@
                     Group.CELL: earlier.server.cell == server.cell,
                 }[spec.group]
                 if not same or now_us >= earlier.at_us + spec.memory_span_us:
-                    raise RuleBroken(f"2: keyed request {action.request} sent outside its group or time")
+                    raise RuleBroken(
+                        f"2: keyed request {action.request} sent outside its group or time"
+                    )
         told_off = self.told_off.get(action.server)
         if told_off is not None and now_us > told_off + self.told.drain_grace_us:
             raise RuleBroken(f"3: server {action.server} sent to after its drain")
@@ -155,4 +159,6 @@
             + (1 - self.told.cold_from) * max(0, now_us - window - started) / self.told.cold_us
         )
         if work > self.told.fall_multiple * warmth * window:
-            raise RuleBroken(f"4: cold server {server.id} sent more than its budget by one balancer alone")
+            raise RuleBroken(
+                f"4: cold server {server.id} sent more than its budget by one balancer alone"
+            )
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -157,8 +157,16 @@
     assert some.total(3) == 0
 
 
-@given(st.lists(st.tuples(st.sampled_from(["join", "take", "leave", "slice"]), st.integers(0, 3),
-                          st.floats(0.0, 0.3)), max_size=120))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["join", "take", "leave", "slice"]),
+            st.integers(0, 3),
+            st.floats(0.0, 0.3),
+        ),
+        max_size=120,
+    )
+)
 def test_nobody_in_the_queue_is_forgotten(steps: list[tuple[str, int, float]]) -> None:
     admission, now, inside = Admission(LANES, 0.05, [5.0]), 1.0, {}
     for number, (step, which, passed) in enumerate(steps):
@@ -213,14 +221,20 @@
         (GET.replace(b"Tenant: acme\r\n", b""), Glance(b"status-check", b"", None)),
         (GET.replace(b"Tenant: acme", b"tENANT:acme "), Glance(b"status-check", b"acme", None)),
         (GET.replace(b"Host: h", b"Request-Timeout-Ms: 70"), Glance(b"status-check", b"acme", 70)),
-        (GET.replace(b"Host: h", b"Request-Timeout-Ms: +7"), Glance(b"status-check", b"acme", None)),
+        (
+            GET.replace(b"Host: h", b"Request-Timeout-Ms: +7"),
+            Glance(b"status-check", b"acme", None),
+        ),
         (GET + GET, None),
         (GET[:-1], None),
         (GET[:-2], None),
         (POST[:-1], None),
         (POST + b"x", None),
         (POST.replace(b"Content-Length: 4", b"Content-Length: 4\r\nContent-Length: 4"), None),
-        (POST.replace(b"Content-Length: 4", b"Content-Length: 4\r\nTransfer-Encoding: chunked"), None),
+        (
+            POST.replace(b"Content-Length: 4", b"Content-Length: 4\r\nTransfer-Encoding: chunked"),
+            None,
+        ),
         (POST.replace(b"Content-Length: 4", b"Content-Length: +4"), None),
         (POST.replace(b"Content-Length: 4", b"Content_Length: 4"), None),
         (GET.replace(b"1.1", b"1.0"), None),
@@ -246,12 +260,26 @@
         self.whole += 1
 
 
-PARTS = st.sampled_from([
-    b"GET /a/b HTTP/1.1\r\n", b"POST /a HTTP/1.1\r\n", b"GET / HTTP/1.0\r\n", b"Tenant: t\r\n",
-    b"Host: h\r\n", b"Content-Length: 0\r\n", b"Content-Length: 3\r\n", b"content-length : 3\r\n", b"\r\n",
-    b"abc", b"\n", b" ", b"Transfer-Encoding: x\r\n", b"Transfer-Encoding: chunked\r\n",
-    b"Connection: close\r\n", b"0\r\n\r\n",
-])
+PARTS = st.sampled_from(
+    [
+        b"GET /a/b HTTP/1.1\r\n",
+        b"POST /a HTTP/1.1\r\n",
+        b"GET / HTTP/1.0\r\n",
+        b"Tenant: t\r\n",
+        b"Host: h\r\n",
+        b"Content-Length: 0\r\n",
+        b"Content-Length: 3\r\n",
+        b"content-length : 3\r\n",
+        b"\r\n",
+        b"abc",
+        b"\n",
+        b" ",
+        b"Transfer-Encoding: x\r\n",
+        b"Transfer-Encoding: chunked\r\n",
+        b"Connection: close\r\n",
+        b"0\r\n\r\n",
+    ]
+)
 
 
 @settings(max_examples=400)
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -57,7 +57,10 @@
         self.up: list[asyncio.Transport] = []
         self.used, self.most, self.worst = 0, most, 0
         self.acceptor = Acceptor(
-            asyncio.get_running_loop(), self._take, lambda: self.used < self.most, lambda _: self._given_up()
+            asyncio.get_running_loop(),
+            self._take,
+            lambda: self.used < self.most,
+            lambda _: self._given_up(),
         )
         listener = open_listener("127.0.0.1", 0)
         self.port = listener.getsockname()[1]
@@ -144,7 +147,9 @@
     began = time.monotonic()
     bench.connect(3)
     await until(lambda: len(bench.up) == 3)
-    assert failing.asked == 4 + 3 + 1  # four failures with a wait after each, three that worked, none left
+    assert (
+        failing.asked == 4 + 3 + 1
+    )  # four failures with a wait after each, three that worked, none left
     assert time.monotonic() - began > (1 + 2 + 4 + 8) * FIRST_S / 2
     bench.close()
     await until(lambda: bench.used == 0)
@@ -224,7 +229,9 @@
 
 @pytest.mark.parametrize("first", [True, False])
 @on_loop
-async def test_a_request_that_lay_in_the_kernel_past_its_deadline_goes_to_no_host(first: bool) -> None:
+async def test_a_request_that_lay_in_the_kernel_past_its_deadline_goes_to_no_host(
+    first: bool,
+) -> None:
     """Its age used to count from when it was read: it was served long after its client had left."""
     async with world(serve_ok) as w, w.client() as client:
         if not first:
@@ -302,7 +309,11 @@
     async with world(serve_ok) as w, w.client() as client:
         assert (await client.ask()).status == 200
         admission = w.gateway.server.admission
-        for pressed, cost_s, status in ((True, 1000.0, 503), (False, 0.001, 200), (True, 1000.0, 503)):
+        for pressed, cost_s, status in (
+            (True, 1000.0, 503),
+            (False, 0.001, 200),
+            (True, 1000.0, 503),
+        ):
             admission.waiting = int(pressed)  # one that is not there, ahead of all
             w.gateway.server._turning = pressed  # an alarm of the module must not take it out
             admission._queues[0].entries.extend([Waiting(None, 0.0, 0.0)] * pressed)
@@ -332,7 +343,9 @@
         admission = w.gateway.server.admission
         for wait, status in (("200", 503), ("9000", 200), ("200", 503)):
             admission.waiting, admission._cost_s, admission._learned_s = 1, 0.5, 1.0
-            admission._queues[0].entries.append(Waiting(None, 0.0, 0.0))  # half a second of work ahead
+            admission._queues[0].entries.append(
+                Waiting(None, 0.0, 0.0)
+            )  # half a second of work ahead
             got = await client.ask(Request_Timeout_Ms=wait)
             assert got.status == status
             admission.waiting = 0
@@ -392,8 +405,14 @@
     assert not pulse.stalled(200.0)
 
 
-@given(st.lists(st.tuples(st.sampled_from(["beat", "ask", "caught_up", "begin", "end"]),
-                          st.floats(0.0, 3.0)), max_size=80))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["beat", "ask", "caught_up", "begin", "end"]), st.floats(0.0, 3.0)
+        ),
+        max_size=80,
+    )
+)
 def test_the_clock_of_outcomes_is_never_ahead_and_stands_still_only_in_stalls(
     steps: list[tuple[str, float]],
 ) -> None:
@@ -443,7 +462,9 @@
         stand_still(1.0)
         assert {(await client.receive()).status for client in clients} == {504}
         holding = False
-        assert min(server.payoff for server in servers) > 0.95  # one outcome of none would leave 0.88
+        assert (
+            min(server.payoff for server in servers) > 0.95
+        )  # one outcome of none would leave 0.88
         assert not any(server.ejections for server in servers)
         for client in clients:
             assert (await client.ask()).status == 200
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -114,7 +114,9 @@
     attempts = sum(map(len, stage.sends.values()))
     stage.pass_time(2_000_000)
     assert not stage.balancer.requests
-    assert len(stage.sends) >= 400 * balance.LEAST_ADMITTED / 2  # the pick falls back to the whole fleet
+    assert (
+        len(stage.sends) >= 400 * balance.LEAST_ADMITTED / 2
+    )  # the pick falls back to the whole fleet
     assert attempts <= len(stage.sends) * (1 + balance.EARN) + 2
 
 
@@ -131,7 +133,9 @@
     assert request not in stage.balancer.requests
 
 
-@pytest.mark.parametrize("told", [settings(route(Effect.UNSAFE), parallel_tries=True), settings(route())])
+@pytest.mark.parametrize(
+    "told", [settings(route(Effect.UNSAFE), parallel_tries=True), settings(route())]
+)
 def test_no_hedge_for_unsafe_routes_or_where_one_attempt_is_the_limit(told: Settings) -> None:
     stage = Stage(told, 4)
     stage.warm_up(100, 5000)
@@ -212,7 +216,9 @@
     for t in times:
         warmth = 0.2 + 0.8 * (t - started) / 10_000_000
         # one core's worth of 4 ms requests, our half of it
-        assert sum(1 for u in times if t - 1_000_000 < u <= t) <= 2.0 * warmth * 1_000_000 / 4000 / 2
+        assert (
+            sum(1 for u in times if t - 1_000_000 < u <= t) <= 2.0 * warmth * 1_000_000 / 4000 / 2
+        )
 
 
 def test_a_silent_server_is_left_alone_before_its_attempts_time_out() -> None:
@@ -315,7 +321,9 @@
         stage.balancer.admitted = 1.0  # load shedding is not what is tested
         request = stage.arrive()
         if number % 4 == 0:
-            assert not any(isinstance(a, Refuse | Fail) for a in stage.done(request, Outcome.RESET)), number
+            assert not any(
+                isinstance(a, Refuse | Fail) for a in stage.done(request, Outcome.RESET)
+            ), number
         stage.pass_time(20_000)
         if request in stage.balancer.requests:
             stage.done(request, Outcome.SUCCESS)
@@ -380,7 +388,10 @@
             stage.arrive()
         out = [s for sent in stage.sends.values() for s in sent]
         assert out and not {s - 100 for s in out} & bad
-        assert len(out) <= stage.balancer.width * stage.balancer.room or stage.balancer.window() is None
+        assert (
+            len(out) <= stage.balancer.width * stage.balancer.room
+            or stage.balancer.window() is None
+        )
         together.update(out)
     most = max(servers * balance.SHARED + balancers, balancers * balance.FEWEST)
     assert balancers <= balance.LIMIT or sum(together.values()) <= most
@@ -397,6 +408,7 @@
 
 QUICK = [Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR, Outcome.RESET]
 
+
 @pytest.mark.parametrize("outcome", [*QUICK, Outcome.TIMEOUT])
 def test_in_a_window_a_server_that_fails_rests_longer_each_time(outcome: Outcome) -> None:
     """join+disco+huge: forty gateways each sent a dozen requests to every host that had gone. churn+huge:
@@ -586,7 +598,9 @@
     servers = (Server(7, started_us=STARTED), *(Server(100 + i) for i in range(59)))
     group = [beside_cold(number, servers) for number in range(40)]
     for balancer in group:
-        balancer.handle(STARTED, [Arrived(request, 0, STARTED + DEADLINE_US) for request in range(6)])
+        balancer.handle(
+            STARTED, [Arrived(request, 0, STARTED + DEADLINE_US) for request in range(6)]
+        )
     assert max(balancer.servers[7].in_flight for balancer in group) == int(balance.SHARED)
 
 
@@ -713,7 +727,10 @@
     sent: Counter[int] = Counter()
     for number in range(100_000):
         now = start + number * 20
-        if any(isinstance(a, Send) for a in balancer.handle(now, [Arrived(number, 0, now + DEADLINE_US)])):
+        if any(
+            isinstance(a, Send)
+            for a in balancer.handle(now, [Arrived(number, 0, now + DEADLINE_US)])
+        ):
             sent[(now - start) // balancer.turn_us] += work_us
             balancer.handle(now, [AttemptDone(number, 0, Outcome.SUCCESS, work_us, True)])
         else:
@@ -756,7 +773,9 @@
 
 
 @pytest.mark.parametrize(("balancers", "servers"), [(32, 12), (200, 119), (200, 48), (40, 60)])
-def test_quick_answers_give_no_right_to_more_than_servers_bear_from_all(balancers: int, servers: int) -> None:
+def test_quick_answers_give_no_right_to_more_than_servers_bear_from_all(
+    balancers: int, servers: int
+) -> None:
     """throng+brink: 32 balancers with a choice of three servers each held 8 requests at each of 12, before
     any answer told of a crowd."""
     together = 0
@@ -783,7 +802,9 @@
 
 
 @given(st.lists(st.booleans(), max_size=200), st.integers(4, 300))
-def test_own_places_lie_between_the_share_and_the_window(crowded: list[bool], balancers: int) -> None:
+def test_own_places_lie_between_the_share_and_the_window(
+    crowded: list[bool], balancers: int
+) -> None:
     balancer = Stage(many(balancers=balancers, number=0), fleet(30)).balancer
     balancer.window()
     least = max(balance.LEAST, balancer.share)
@@ -929,13 +950,17 @@
 
 
 @given(st.integers(1, 200), st.lists(st.integers(1, 200), max_size=6))
-def test_what_is_learned_of_the_whole_stays_as_others_come_and_go(told: int, live: list[int]) -> None:
+def test_what_is_learned_of_the_whole_stays_as_others_come_and_go(
+    told: int, live: list[int]
+) -> None:
     module = balance.Balancer(settings(route(), balancers=told, number=told - 1), 1)
     whole = module.limit * told
     for balancers in live:
         module.handle(0, [Company(balancers - 1, balancers)])
         assert module.limit * balancers == pytest.approx(whole)
-    assert module.settings.balancers == told  # quotas and turns at cold servers stay by the told number
+    assert (
+        module.settings.balancers == told
+    )  # quotas and turns at cold servers stay by the told number
 
 
 def test_windows_follow_the_live_number_and_cold_turns_the_told_one() -> None:
@@ -946,5 +971,7 @@
     assert before is not None and len(before) <= 4
     module.handle(20_000_000, [Company(3, 4)])
     after = module.window()
-    assert after is None or len(after) >= 5 * len(before)  # four that are left of forty: ten times the part
+    assert after is None or len(after) >= 5 * len(
+        before
+    )  # four that are left of forty: ten times the part
     assert (module.settings.number, module.settings.balancers) == (39, 40)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -15,7 +15,9 @@
     "balancers": 1,
     "discovery": "push",
     "future_key": {"x": 1},
-    "lanes": [{"name": "c", "semantics": "safe", "goal_time": 200000, "deadline": 900000, "novel": 3}],
+    "lanes": [
+        {"name": "c", "semantics": "safe", "goal_time": 200000, "deadline": 900000, "novel": 3}
+    ],
     "limits": {"attempts_cap": 3, "cancelling": True},
 }
 START = ["provision", 5, PROFILE]
@@ -116,7 +118,8 @@
 
     moments = range(1000, 30000, 1000)
     joined = [
-        json.dumps({"moment": m, "parts": [{"gateway": g, "news": news(m)} for g in (0, 1)]}) for m in moments
+        json.dumps({"moment": m, "parts": [{"gateway": g, "news": news(m)} for g in (0, 1)]})
+        for m in moments
     ]
     _, together, _ = run(*joined)
     for g in (0, 1):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -25,10 +25,15 @@
 
 @pytest.mark.parametrize("killed", [0, 2])
 @on_loop_within(60.0)
-async def test_a_host_that_starts_gets_no_more_than_its_budget_from_all(tmp_path: Path, killed: int) -> None:
+async def test_a_host_that_starts_gets_no_more_than_its_budget_from_all(
+    tmp_path: Path, killed: int
+) -> None:
     guarantees = {
-        "drain_grace": 500_000, "cold": round(COLD_S * 1e6), "cold_from": COLD_FROM,
-        "fall_multiple": MULTIPLE, "tip_after": round(WINDOW_S * 1e6),
+        "drain_grace": 500_000,
+        "cold": round(COLD_S * 1e6),
+        "cold_from": COLD_FROM,
+        "fall_multiple": MULTIPLE,
+        "tip_after": round(WINDOW_S * 1e6),
     }
     stage = Stage(tmp_path, WORKS, 3, delay=DELAY_S, gateways=GATEWAYS, guarantees=guarantees)
     async with stage:
@@ -54,7 +59,10 @@
             await load.settle()
         stayed = loads[killed:]
         whole = total(tally([r for load in stayed for r in load.records], WORKS).values())
-        assert whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed + whole.unanswered
+        assert (
+            whole.sent
+            == whole.in_aim + whole.served + whole.refused + whole.failed + whole.unanswered
+        )
         assert (whole.late, whole.unanswered) == (0, 0)
         assert stage.broken(*loads) == []
         times = [receipt.at for receipt in cold.receipts if receipt.at > began]
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -26,7 +26,12 @@
         f"print(*digest({seed}, 4000), pinetrack.balance.__file__)"
     )
     done = subprocess.run(
-        [sys.executable, "-P", "-c", code], capture_output=True, text=True, timeout=120, check=True, cwd=ROOT,
+        [sys.executable, "-P", "-c", code],
+        capture_output=True,
+        text=True,
+        timeout=120,
+        check=True,
+        cwd=ROOT,
         env=os.environ | {"PYTHONPATH": f"{where}{os.pathsep}{ROOT}"},
     )
     return done.stdout.split()
@@ -43,9 +48,14 @@
 @pytest.mark.skipif(not COMPILED.exists(), reason="scripts/build was not run")
 @on_loop
 async def test_workers_of_an_upgrade_are_compiled_like_their_keeper(tmp_path: Path) -> None:
-    works = [Work("status-check", 0.58, 1.4), Work("seat-checkout", 0.75, 1.9, keyed=True, body=200)]
+    works = [
+        Work("status-check", 0.58, 1.4),
+        Work("seat-checkout", 0.75, 1.9, keyed=True, body=200),
+    ]
     upgrades = '[canary]\ntime = "300 ms"\n[times]\nstart = "5 s"'
-    async with Stage(tmp_path, works, hosts=4, delay=0.01, upgrades=upgrades, tree=COMPILED) as stage:
+    async with Stage(
+        tmp_path, works, hosts=4, delay=0.01, upgrades=upgrades, tree=COMPILED
+    ) as stage:
         load = stage.load(shares=(3, 1), most=200)
         sending = asyncio.ensure_future(load.open_loop(steady(150.0, 60.0)))
         await until(lambda: len(load.records) > 30)
@@ -86,4 +96,6 @@
     assert build() == ""  # nothing has changed
     (tmp_path / "quillroad" / "engine.py").write_text("changed = True\n")
     assert build() != ""
-    assert (tmp_path / "build" / "compiled" / "quillroad" / "engine.py").read_text() == "changed = True\n"
+    assert (
+        tmp_path / "build" / "compiled" / "quillroad" / "engine.py"
+    ).read_text() == "changed = True\n"
--- a/tests/test_config_file.py
+++ b/tests/test_config_file.py
@@ -37,13 +37,16 @@
 id = "a"
 address = "127.0.0.1:9001"
 """
-CONSUL = GOOD[: GOOD.index("[hosts]")] + """
+CONSUL = (
+    GOOD[: GOOD.index("[hosts]")]
+    + """
 [hosts]
 source = "consul"
 [hosts.consul]
 agents = ["127.0.0.1:8500", "127.0.0.1:8501"]
 service = "licence-node"
 """
+)
 
 
 def written(folder: Path, text: str) -> Path:
@@ -58,13 +61,21 @@
     assert config.settings.routes[0].aim_us == 580_000
     assert isinstance(config.hosts, StaticHosts)
     small = load_file(written(tmp_path, GOOD))
-    for name in ("max_attempts", "parallel_tries", "max_retry_after_us", "cold_us", "fall_window_us"):
+    for name in (
+        "max_attempts",
+        "parallel_tries",
+        "max_retry_after_us",
+        "cold_us",
+        "fall_window_us",
+    ):
         assert getattr(small.settings, name) == getattr(config.settings, name), name
     assert (small.sockets, small.connect_timeout_s, small.idle_s) == (1024, 1.0, 15.0)
 
 
 def test_consul_is_told_by_its_section(tmp_path: Path) -> None:
-    config = load_file(written(tmp_path, CONSUL + 'wait = "500 ms"\n[hosts.consul.meta]\nzone = "room"\n'))
+    config = load_file(
+        written(tmp_path, CONSUL + 'wait = "500 ms"\n[hosts.consul.meta]\nzone = "room"\n')
+    )
     hosts = config.hosts
     assert isinstance(hosts, ConsulHosts)
     assert (hosts.agents[1], hosts.wait_s, hosts.meta[0]) == (("127.0.0.1", 8501), 0.5, "room")
@@ -102,7 +113,11 @@
     ('remembers = "6 s"', 'remembered_by = "some"', "classes[1].remembered_by: "),
     ("per_second = 10.0", "", "tenants[0].per_second: missing"),
     ("per_second = 10.0", "per_second = -1", "tenants[0].per_second: "),
-    ("per_second = 10.0", 'per_second = 1\n[[tenants]]\nname = "acme"\nper_second = 2', "tenants: 'acme'"),
+    (
+        "per_second = 10.0",
+        'per_second = 1\n[[tenants]]\nname = "acme"\nper_second = 2',
+        "tenants: 'acme'",
+    ),
     ("[hosts]\n", "[limits]\nsockets = 3\n[hosts]\n", "limits.sockets: "),
     ("[hosts]\n", "[limits]\ncores = 0\n[hosts]\n", "limits.cores: "),
     ("[hosts]\n", "[limits]\ncores = 2\n[hosts]\n", "limits.cores: "),
@@ -125,11 +140,23 @@
 WRONG_CONSUL = [
     ('agents = ["127.0.0.1:8500", "127.0.0.1:8501"]', "agents = []", "hosts.consul.agents: "),
     ('agents = ["127.0.0.1:8500", "127.0.0.1:8501"]', 'agents = ["x"]', "hosts.consul.agents[0]: "),
-    ('agents = ["127.0.0.1:8500", "127.0.0.1:8501"]', 'agents = ["h:1", "h:1"]', "hosts.consul.agents: "),
+    (
+        'agents = ["127.0.0.1:8500", "127.0.0.1:8501"]',
+        'agents = ["h:1", "h:1"]',
+        "hosts.consul.agents: ",
+    ),
     ('service = "licence-node"', "", "hosts.consul.service: missing"),
     ('service = "licence-node"', 'service = "s"\nwait = "1 us"', "hosts.consul.wait: "),
-    ('service = "licence-node"', 'service = "s"\nconsistency = "some"', "hosts.consul.consistency: "),
-    ('service = "licence-node"', 'service = "s"\ntoken = "secret"', "hosts.consul.token: no such field"),
+    (
+        'service = "licence-node"',
+        'service = "s"\nconsistency = "some"',
+        "hosts.consul.consistency: ",
+    ),
+    (
+        'service = "licence-node"',
+        'service = "s"\ntoken = "secret"',
+        "hosts.consul.token: no such field",
+    ),
 ]
 
 
@@ -165,13 +192,20 @@
         (("--no-such",), 2, "--no-such"),
     ],
 )
-def test_the_command_line(tmp_path: Path, arguments: tuple[str, ...], status: int, says: str) -> None:
+def test_the_command_line(
+    tmp_path: Path, arguments: tuple[str, ...], status: int, says: str
+) -> None:
     (tmp_path / "good.toml").write_text(GOOD)
     (tmp_path / "bad.toml").write_text(GOOD.replace("580 ms", "580"))
     environment = {k: v for k, v in os.environ.items() if not k.startswith(("GW_", "QUILLROAD_"))}
     done = subprocess.run(
-        [sys.executable, "-m", "quillroad", *arguments], cwd=tmp_path, timeout=20, capture_output=True,
-        text=True, env=environment | {"PYTHONPATH": str(ROOT)}, check=False,
+        [sys.executable, "-m", "quillroad", *arguments],
+        cwd=tmp_path,
+        timeout=20,
+        capture_output=True,
+        text=True,
+        env=environment | {"PYTHONPATH": str(ROOT)},
+        check=False,
     )
     assert done.returncode == status
     assert says in done.stdout + done.stderr
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -24,7 +24,9 @@
 ) -> None:
     monkeypatch.setenv("QUILLROAD_COUNTS", "1")
     caplog.set_level(logging.INFO)
-    settings = told_settings(guarantees={"cold": 60_000_000, "cold_from": 1.0, "fall_multiple": 1000.0})
+    settings = told_settings(
+        guarantees={"cold": 60_000_000, "cold_from": 1.0, "fall_multiple": 1000.0}
+    )
 
     @on_loop
     async def play() -> None:
@@ -49,7 +51,9 @@
 def test_a_fleets_rates_are_sums_and_what_stands_is_a_mean(tmp_path: Path) -> None:
     for number, nerve in ((0, 1.0), (1, 0.5)):
         row = {"sent": 3, "to_cold": number, "nerve": nerve, "bad": {"s-1": 1}}
-        (tmp_path / f"n{number}.log").write_text(f"1.2 quillroad.counts: {json.dumps(row)}\nno counts\n")
+        (tmp_path / f"n{number}.log").write_text(
+            f"1.2 quillroad.counts: {json.dumps(row)}\nno counts\n"
+        )
     assert read(tmp_path)[1] == {"sent": 6, "to_cold": 1, "nerve": 0.75, "up": 2} | dict.fromkeys(
         ("admitted", "width", "limit", "pace", "ejected", "cold", "hosts", "success"), 0.0
     )
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -88,7 +88,9 @@
     discovery.first = discovery.line(True, hosts[0].entry(lifecycle="draining"), hosts[1].entry())
     discovery.silent = False
     if away == "closed":
-        discovery._server = await asyncio.start_server(discovery._serve, "127.0.0.1", discovery.port)
+        discovery._server = await asyncio.start_server(
+            discovery._serve, "127.0.0.1", discovery.port
+        )
     watches = len(discovery.watches)
     await until(lambda: len(discovery.watches) > watches)
     assert await served(port)
@@ -119,7 +121,9 @@
     for leak in leaks:
         os.close(leak)
     assert process.stderr is not None
-    while (told := re.search(rb" (\d+) descriptors were open", await process.stderr.readline())) is None:
+    while (
+        told := re.search(rb" (\d+) descriptors were open", await process.stderr.readline())
+    ) is None:
         pass
     assert int(told[1]) >= len(leaks)
     places = SOCKETS - RESERVED - int(told[1])
@@ -133,7 +137,9 @@
     base = held()
     few = [await Client(port).__aenter__() for _ in range(4)]
     while held() < base + places - 4:
-        assert {reply.status for reply in await asyncio.gather(*(one.ask() for one in few))} == {200}
+        assert {reply.status for reply in await asyncio.gather(*(one.ask() for one in few))} == {
+            200
+        }
     for one in few:
         await one.__aexit__()
     await until(lambda: held() <= base + places - 4)
@@ -164,7 +170,12 @@
     code = f"import os\n{closes}\nfrom quillroad.inherited import inherited\nprint(inherited())"
     leaked = [os.dup(2) for _ in range(leaks)]
     done = subprocess.run(
-        [sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT, pass_fds=leaked,
+        [sys.executable, "-c", code],
+        capture_output=True,
+        text=True,
+        check=True,
+        cwd=ROOT,
+        pass_fds=leaked,
         timeout=20,
     )
     for leak in leaked:
@@ -174,14 +185,20 @@
 
 @pytest.mark.plain
 @on_loop
-async def test_silent_clients_past_the_limit_end_for_one_who_asks(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_silent_clients_past_the_limit_end_for_one_who_asks(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """With all descriptors taken there is none to take another in on: one of them ends first, or nobody comes
     in until they go by themselves."""
     monkeypatch.setattr(server, "RECEIVE_S", 3600.0)
     async with world(serve_ok, serve_ok, limits={"sockets": RESERVED + 16}) as w:
         few = [await w.client().__aenter__() for _ in range(2)]
-        while w.gateway.upstream.resting < 14:  # requests so fast that hardly a connection has settled
-            assert {reply.status for reply in await asyncio.gather(*(one.ask() for one in few))} == {200}
+        while (
+            w.gateway.upstream.resting < 14
+        ):  # requests so fast that hardly a connection has settled
+            assert {
+                reply.status for reply in await asyncio.gather(*(one.ask() for one in few))
+            } == {200}
         held = w.gateway.server._descriptors
         silent = await silent_ones(w, lambda: held.spare() <= -server.EXCESS)
         async with w.client() as late:
@@ -193,7 +210,9 @@
 
 @pytest.mark.plain
 @on_loop
-async def test_a_silent_client_ends_for_a_connection_to_a_host(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_silent_client_ends_for_a_connection_to_a_host(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Past their places clients hold descriptors of the hosts' half: who is let in needs one there."""
     monkeypatch.setattr(server, "RECEIVE_S", 3600.0)
     free = asyncio.Event()
@@ -210,7 +229,9 @@
         await until(lambda: sum(len(host.seen) for host in w.hosts) == len(asking))
         held = w.gateway.server._descriptors
         silent = await silent_ones(w, lambda: held.spare() < 0)
-        await until(lambda: w.gateway.server.room.to_end(monotonic()) is not None)  # not too new to tell
+        await until(
+            lambda: w.gateway.server.room.to_end(monotonic()) is not None
+        )  # not too new to tell
         async with w.client() as late:
             assert (await late.ask()).status == 200
         free.set()
@@ -221,13 +242,19 @@
 
 @pytest.mark.plain
 @on_loop
-async def test_who_asks_is_not_refused_for_those_who_say_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_who_asks_is_not_refused_for_those_who_say_nothing(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """They are too new to end, and hold every place and the places of those who are to be refused."""
     monkeypatch.setattr(room, "UNHEARD_S", 3600.0)
     async with world(serve_ok, limits={"sockets": RESERVED + 32}) as w:
         silent = await silent_ones(w, lambda: not w.gateway.server.room.may_exceed())
-        raw = socket.create_connection(("127.0.0.1", w.gateway.port))  # it has asked when it is accepted
-        raw.send(b"GET /status-check/k HTTP/1.1\r\nRequest-Timeout-Ms: 9000\r\nRequest-Id: 1\r\n\r\n")
+        raw = socket.create_connection(
+            ("127.0.0.1", w.gateway.port)
+        )  # it has asked when it is accepted
+        raw.send(
+            b"GET /status-check/k HTTP/1.1\r\nRequest-Timeout-Ms: 9000\r\nRequest-Id: 1\r\n\r\n"
+        )
         reader, writer = await asyncio.open_connection(sock=raw)
         assert (await read_message(reader)).status == 200
         writer.close()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -84,7 +84,9 @@
         for _ in range(3):
             await w.discovery.asked.get()
         w.discovery.generation += 1
-        w.discovery.first = w.discovery.line(True, w.hosts[0].entry(lifecycle="draining"), w.hosts[1].entry())
+        w.discovery.first = w.discovery.line(
+            True, w.hosts[0].entry(lifecycle="draining"), w.hosts[1].entry()
+        )
         w.discovery.silent = False
         async with asyncio.timeout(1.5):  # half of what one silent call took
             await until(lambda: sum(host.ready for host in w.gateway.engine.hosts.values()) == 1)
@@ -234,7 +236,9 @@
         assert w.hosts[0].closed.empty()  # its connection stands too
 
 
-@pytest.mark.parametrize("rest", ['{"instanceId":"s-9","host', '{"instanceId":"s-9"}]}\n', "\0,,]}\n", ""])
+@pytest.mark.parametrize(
+    "rest", ['{"instanceId":"s-9","host', '{"instanceId":"s-9"}]}\n', "\0,,]}\n", ""]
+)
 @on_loop
 async def test_what_a_broken_line_says_is_leaving_gets_nothing_new(rest: str) -> None:
     """join+disco+huge: a list broke off after the entry of a host that drained, and a request went there
@@ -270,7 +274,9 @@
 
 
 @given(st.binary(max_size=200), STATES, st.integers(0))
-def test_of_a_broken_line_only_whole_entries_count(noise: bytes, states: list[str], cut: int) -> None:
+def test_of_a_broken_line_only_whole_entries_count(
+    noise: bytes, states: list[str], cut: int
+) -> None:
     entries = [{"instanceId": f"s-{i}", "lifecycle": state} for i, state in enumerate(states)]
     line = json.dumps({"generation": 1, "instances": entries}).encode()
     told = [f"s-{i}" for i, state in enumerate(states) if state != "up"]
@@ -278,9 +284,14 @@
     cut %= len(line) + 1
     part = leaving(line[:cut])
     # Whoever's id came whole, and who was not said to stay: wherever the line broke off.
-    whole = [entry for entry in entries if line.find(entry["instanceId"].encode() + b'"') + 4 <= cut]
+    whole = [
+        entry for entry in entries if line.find(entry["instanceId"].encode() + b'"') + 4 <= cut
+    ]
     last = whole[-1] if whole else {"instanceId": "", "lifecycle": ""}
-    if last["lifecycle"] == "up" and b'"up"' not in line[:cut].rpartition(last["instanceId"].encode())[2]:
+    if (
+        last["lifecycle"] == "up"
+        and b'"up"' not in line[:cut].rpartition(last["instanceId"].encode())[2]
+    ):
         assert part.pop() == whole.pop()["instanceId"]
     assert part == [entry["instanceId"] for entry in whole if entry["lifecycle"] != "up"]
     leaving(noise)
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -37,7 +37,9 @@
     await until((tmp_path / "changes").exists)
     moves.clear()
     writer.replace(tmp_path / "view", b"slow")
-    writer.append(tmp_path / "changes", "last")  # given while the disk stands still, and then the end
+    writer.append(
+        tmp_path / "changes", "last"
+    )  # given while the disk stands still, and then the end
     writer.close()
     moves.set()
     await until(lambda: (tmp_path / "changes").read_text().endswith("last\n"))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -60,8 +60,13 @@
 
 @on_loop
 async def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
-    async with world(say(answer(b"seat 7", "200 OK", "Content-Type: text/seat"))) as w, w.client() as client:
-        got = await client.ask("/seat-checkout/k%201?x=1", b"take", Idempotency_Key="abc", Work_Hint="900")
+    async with (
+        world(say(answer(b"seat 7", "200 OK", "Content-Type: text/seat"))) as w,
+        w.client() as client,
+    ):
+        got = await client.ask(
+            "/seat-checkout/k%201?x=1", b"take", Idempotency_Key="abc", Work_Hint="900"
+        )
         seen = w.hosts[0].seen[0]
         assert (got.status, got.body, got.headers["content-type"]) == (200, b"seat 7", "text/seat")
         assert (seen.first, seen.body) == ("POST /seat-checkout/k%201?x=1 HTTP/1.1", b"take")
@@ -116,11 +121,15 @@
     async with world(hang) as w, w.client() as client:
         got = await client.ask(Request_Timeout_Ms="300")
         assert got.status == 503  # safe to repeat, so a refusal is allowed
-        assert 0.3 <= float(got.headers["retry-after"]) <= 0.6  # spread, so that not all come back at once
+        assert (
+            0.3 <= float(got.headers["retry-after"]) <= 0.6
+        )  # spread, so that not all come back at once
         w.hosts[0].writers[0].write(answer(b"too late"))
         w.hosts[0].behave = serve_ok
         w.gateway.server.draining = True
-        assert b"too late" not in (await client.ask(Connection="close", Request_Timeout_Ms="300")).body
+        assert (
+            b"too late" not in (await client.ask(Connection="close", Request_Timeout_Ms="300")).body
+        )
         assert await at_end(client) == b""
 
 
@@ -227,7 +236,9 @@
 # Rule 2: no effect twice.
 
 
-@pytest.mark.parametrize("behave", [break_off, say(answer(b"", "500 Error")), say(answer(b"", "503 Busy"))])
+@pytest.mark.parametrize(
+    "behave", [break_off, say(answer(b"", "500 Error")), say(answer(b"", "503 Busy"))]
+)
 @on_loop
 async def test_an_unsafe_request_is_not_sent_again_once_it_may_have_run(behave: Any) -> None:
     async with world(behave, behave) as w, w.client() as client:
@@ -257,7 +268,9 @@
             if w.hosts[0].seen:
                 break
         first, others = w.hosts[0].seen[0], w.hosts[1].seen
-        assert first.headers["idempotency-key"] in {other.headers["idempotency-key"] for other in others}
+        assert first.headers["idempotency-key"] in {
+            other.headers["idempotency-key"] for other in others
+        }
 
 
 @on_loop
@@ -354,7 +367,9 @@
         now_ms = time.time_ns() // 1_000_000
         assert abs(w.gateway.engine.now_us() / 1000 - now_ms) < 60_000
         young, old = await FakeHost("s-young").start(), await FakeHost("s-old").start()
-        w.discovery.tell(young.entry(startedAtMs=now_ms - 1000), old.entry(startedAtMs=now_ms - 3_600_000))
+        w.discovery.tell(
+            young.entry(startedAtMs=now_ms - 1000), old.entry(startedAtMs=now_ms - 3_600_000)
+        )
         await until(lambda: len(w.gateway.engine.hosts) == 3)
         balancer = w.gateway.engine._balancer
         assert [s.spec.id for s in balancer.cold] == [server_number("s-young")]
@@ -406,7 +421,9 @@
 ) -> None:
     async with world(serve_ok) as w, w.client() as client:
         assert (await client.ask(path, **headers)).status == status
-        assert (await client.ask()).status == 200  # its framing was whole, so the connection serves on
+        assert (
+            await client.ask()
+        ).status == 200  # its framing was whole, so the connection serves on
         assert len(w.hosts[0].seen) == 1
 
 
@@ -421,9 +438,18 @@
         (b"GET /status-check/k HTTP/1.1\r\nno colon\r\n\r\n", 400),
         (b"POST /audit/k HTTP/1.1\r\nContent-Length: -4\r\n\r\n", 400),
         (b"POST /audit/k HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxy", 400),
-        (b"POST /audit/k HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-        (b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n", 400),
-        (b"POST /audit/k HTTP/1.1\r\nTransfer_Encoding: chunked\r\nContent-Length: 3\r\n\r\nabc", 400),
+        (
+            b"POST /audit/k HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            400,
+        ),
+        (
+            b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n",
+            400,
+        ),
+        (
+            b"POST /audit/k HTTP/1.1\r\nTransfer_Encoding: chunked\r\nContent-Length: 3\r\n\r\nabc",
+            400,
+        ),
         (b"POST /audit/k HTTP/1.1\r\nContent_Length: 3\r\n\r\n", 400),
         (b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
         (b"POST /audit/k HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
@@ -431,7 +457,11 @@
         (b"POST /audit/k HTTP/1.1\r\nContent-Length: +3\r\n\r\nabc", 400),
         (b"POST /audit/k HTTP/2.0\r\nContent-Length: 3\r\n\r\nabc", 400),
         (b"POST /audit/k HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413),
-        (b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n11000\r\n" + b"x" * 0x11000, 413),
+        (
+            b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n11000\r\n"
+            + b"x" * 0x11000,
+            413,
+        ),
         (b"GET /status-check/k HTTP/1.1\r\nX: " + b"y" * 20_000, 431),
         (b"GET /" + b"y" * 400_000, 431),
         (b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;" + b"e" * 900_000, 413),
@@ -556,7 +586,9 @@
             await until(lambda number=number: len(w.gateway.engine._ids) == number + 1)  # type: ignore[misc]
         assert await at_end(idle) == b""
         async with w.client() as client:
-            for _ in range(2):  # on one connection: being turned away must not cost a new one each time
+            for _ in range(
+                2
+            ):  # on one connection: being turned away must not cost a new one each time
                 got = await client.ask()
                 assert (got.status, got.headers["connection"]) == (503, "keep-alive")
         for client in busy:
@@ -576,7 +608,9 @@
         # As when the rest of the connections have requests that were not read yet.
         monkeypatch.setattr(server.room, "may_exceed", lambda: False)
         for body in (b"", b"x" * 200):
-            server._acceptor._rest(9.0)  # their requests are in the kernel before the loop gets round to them
+            server._acceptor._rest(
+                9.0
+            )  # their requests are in the kernel before the loop gets round to them
             async with w.client() as client:
                 client.send("/seat-checkout/k" if body else "/status-check/k", body)
                 await client.writer.drain()
@@ -659,9 +693,12 @@
                 await client.ask()
         engine = w.gateway.engine
         await until(lambda: not engine._open and not engine._ids and not engine._balancer.requests)
-        await until(lambda: w.gateway.server._descriptors.used == sum(
-            len(host.idle) for host in engine.hosts.values()
-        ))
+        await until(
+            lambda: (
+                w.gateway.server._descriptors.used
+                == sum(len(host.idle) for host in engine.hosts.values())
+            )
+        )
 
 
 # The engine's own.
@@ -688,7 +725,9 @@
 
 
 @on_loop
-async def test_a_client_that_asked_once_and_stays_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_client_that_asked_once_and_stays_is_let_go(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """On the churn day 625 of these in a minute held memory and descriptors for good."""
     async with world(serve_ok) as w, w.client() as once, w.client() as usual:
         for _ in range(2):
@@ -726,10 +765,14 @@
             clients = [await w.client().__aenter__() for _ in range(12)]
             for number, client in enumerate(clients):
                 wait = "150" if number % 3 else "9000"
-                client.send(("/status-check/k", "/audit/k")[number % 2] + str(turn), Request_Timeout_Ms=wait)
+                client.send(
+                    ("/status-check/k", "/audit/k")[number % 2] + str(turn), Request_Timeout_Ms=wait
+                )
             host = w.hosts[turn % 5]
             if turn == 5:
-                w.discovery.tell(host.entry(lifecycle="removed"), w.hosts[1].entry(instanceId="s-new"))
+                w.discovery.tell(
+                    host.entry(lifecycle="removed"), w.hosts[1].entry(instanceId="s-new")
+                )
             else:
                 w.discovery.tell(host.entry(startedAtMs=turn + 1, weight=1.0 + turn))
             for number, client in enumerate(clients):
@@ -737,7 +780,9 @@
                     await client.receive()
                 client.writer.close()
         await until(lambda: not len(w.gateway.server.room) and not engine._open and not engine._ids)
-        await until(lambda: not balancer.requests and not w.gateway.upstream._tasks and not balancer.queued)
+        await until(
+            lambda: not balancer.requests and not w.gateway.upstream._tasks and not balancer.queued
+        )
         assert all(s.in_flight == s.overdue == 0 for s in balancer.servers.values())
         assert set(balancer.servers) == set(engine.hosts)
         idle = [c for host in engine.hosts.values() for c in host.idle]
@@ -754,7 +799,9 @@
     async with world(serve_ok, limits={"sockets": 24 + 40}) as w, w.client() as usual:
         stayed = [await w.client().__aenter__() for _ in range(15)]
         for client in stayed:
-            assert (await usual.ask()).status == 200  # in use between them, it is never the longest idle
+            assert (
+                await usual.ask()
+            ).status == 200  # in use between them, it is never the longest idle
             assert (await client.ask()).status == 200
         assert await at_end(stayed[0]) == b""
         await until(lambda: len(w.gateway.server.room) <= 10)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -70,7 +70,9 @@
     "outcome", [answer(), answer(b"", "500 Error"), answer(b"", "503 Busy", "Not-Started: 1")]
 )
 @on_loop
-async def test_who_sent_ahead_and_left_gets_no_further_attempt(leave: Leave, outcome: bytes) -> None:
+async def test_who_sent_ahead_and_left_gets_no_further_attempt(
+    leave: Leave, outcome: bytes
+) -> None:
     """join+brink: clients that send much at once and go. Reading is paused for them, so their close was not
     seen: the next request, or the next try of the first, went to a host."""
     held = Held()
@@ -113,15 +115,20 @@
 
 @pytest.mark.parametrize("cancelling", [True, False])
 @on_loop
-async def test_a_connection_that_comes_up_after_its_client_left_carries_nothing(cancelling: bool) -> None:
+async def test_a_connection_that_comes_up_after_its_client_left_carries_nothing(
+    cancelling: bool,
+) -> None:
     """Also where settings allow no attempt to be called off: this one has not begun."""
     limits = told_settings()["limits"] | {"cancelling": cancelling}
     slow = NeverUp()
     try:
         async with world(settings=told_settings(limits=limits)) as w:
             entry = {
-                "instanceId": "s-slow", "hostPort": f"127.0.0.1:{slow.address[1]}", "zone": "room",
-                "machineType": "two-core", "lifecycle": "up",
+                "instanceId": "s-slow",
+                "hostPort": f"127.0.0.1:{slow.address[1]}",
+                "zone": "room",
+                "machineType": "two-core",
+                "lifecycle": "up",
             }
             w.discovery.tell(entry)
             await until(lambda: len(w.gateway.engine.hosts) == 1)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -35,7 +35,9 @@
     result = suite.runpytest()
     result.assert_outcomes(passed=1, xfailed=1)
     assert result.ret == 0
-    result.stdout.fnmatch_lines(["known red, passed over: *test_red: the clock stands still (issue 7)"])
+    result.stdout.fnmatch_lines(
+        ["known red, passed over: *test_red: the clock stands still (issue 7)"]
+    )
 
 
 def test_a_listed_test_that_passes_fails_the_run(suite: pytest.Pytester) -> None:
@@ -45,13 +47,16 @@
     assert result.ret == 1
 
 
-@pytest.mark.parametrize(("lines", "why"), [
-    (["test_some.py::test_gone | it went | issue 7"], "no such test: test_some.py::test_gone"),
-    (["test_some.py::test_red | no issue"], "each line is"),
-    (["test_some.py::test_red | | issue 7"], "each line is"),
-    ([RED, RED], "twice"),
-    ([f"{RED}{n}".replace("test_red", f"test_red{n}") for n in range(4)], "4 tests; 3 at most"),
-])
+@pytest.mark.parametrize(
+    ("lines", "why"),
+    [
+        (["test_some.py::test_gone | it went | issue 7"], "no such test: test_some.py::test_gone"),
+        (["test_some.py::test_red | no issue"], "each line is"),
+        (["test_some.py::test_red | | issue 7"], "each line is"),
+        ([RED, RED], "twice"),
+        ([f"{RED}{n}".replace("test_red", f"test_red{n}") for n in range(4)], "4 tests; 3 at most"),
+    ],
+)
 def test_a_line_that_cannot_be_right_fails_the_run(
     suite: pytest.Pytester, lines: list[str], why: str
 ) -> None:
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -74,7 +74,11 @@
 def at_base(w: World) -> bool:
     gateway = w.gateway
     held = len(gateway.server.room) + gateway.upstream.resting
-    return not gateway.upstream.rests and not gateway.server.streams and gateway.descriptors.used == held
+    return (
+        not gateway.upstream.rests
+        and not gateway.server.streams
+        and gateway.descriptors.used == held
+    )
 
 
 @pytest.mark.parametrize(
@@ -145,10 +149,15 @@
     return behave
 
 
-@pytest.mark.parametrize("behave", [
-    host([by_length(BODY)[0], BODY[:-1]], True), host(by_chunks(BODY)[:-1], True),
-    breaks(by_chunks(BODY)[:40]), breaks(by_close(BODY)),
-])
+@pytest.mark.parametrize(
+    "behave",
+    [
+        host([by_length(BODY)[0], BODY[:-1]], True),
+        host(by_chunks(BODY)[:-1], True),
+        breaks(by_chunks(BODY)[:40]),
+        breaks(by_close(BODY)),
+    ],
+)
 @on_loop
 async def test_a_host_that_breaks_off_is_seen_by_the_client(behave: Any) -> None:
     async with world(behave, **OPS) as w, w.client() as client:
@@ -212,8 +221,11 @@
 
         def look() -> bool:
             nonlocal most
-            held = [c._transport.get_write_buffer_size() for c in w.gateway.server.room.connections()
-                    if c._transport is not None]
+            held = [
+                c._transport.get_write_buffer_size()
+                for c in w.gateway.server.room.connections()
+                if c._transport is not None
+            ]
             most = max(most, sum(held))
             return done.done()
 
@@ -234,8 +246,10 @@
     async with world(serve_ok, **OPS) as w, w.client() as client:
         assert (await client.ask("/seat-checkout/k", BODY)).status == 200
         assert w.hosts[0].seen[0].body == BODY
-        head = (b"POST /audit/k HTTP/1.1\r\nHost: s\r\nRequest-Id: 77\r\nTenant: acme\r\n"
-                b"Request-Timeout-Ms: 9000\r\nTransfer-Encoding: chunked\r\n\r\n")
+        head = (
+            b"POST /audit/k HTTP/1.1\r\nHost: s\r\nRequest-Id: 77\r\nTenant: acme\r\n"
+            b"Request-Timeout-Ms: 9000\r\nTransfer-Encoding: chunked\r\n\r\n"
+        )
         client.writer.write(head)
         for i in range(0, 300_000, 3000):
             client.writer.write(b"%x\r\n%b\r\n" % (3000, BODY[i : i + 3000]))
@@ -291,8 +305,10 @@
 
 
 def head(number: int, size: int) -> bytes:
-    return (b"POST /audit/k HTTP/1.1\r\nHost: s\r\nRequest-Id: %d\r\nTenant: acme\r\n"
-            b"Request-Timeout-Ms: 9000\r\nContent-Length: %d\r\n\r\n" % (number, size))
+    return (
+        b"POST /audit/k HTTP/1.1\r\nHost: s\r\nRequest-Id: %d\r\nTenant: acme\r\n"
+        b"Request-Timeout-Ms: 9000\r\nContent-Length: %d\r\n\r\n" % (number, size)
+    )
 
 
 @on_loop
@@ -402,7 +418,9 @@
 held.clear()
 print(grown > 25_000_000 and rss() - before < 5_000_000)
 """
-    done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", program], capture_output=True, text=True, check=True
+    )
     assert done.stdout.strip() == "True"
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -71,7 +71,10 @@
 
 @pytest.mark.parametrize(
     ("kinds", "tenants"),
-    [(("status-check", "seat-checkout"), ("modest",) * 2), (("seat-checkout",) * 2, ("greedy", "modest"))],
+    [
+        (("status-check", "seat-checkout"), ("modest",) * 2),
+        (("seat-checkout",) * 2, ("greedy", "modest")),
+    ],
     ids=["class", "share"],
 )
 @on_loop
@@ -95,7 +98,11 @@
             clients.append(await w.client().__aenter__())
             asking = clients[-1].ask(f"/{kinds[kind]}/k", Tenant=tenants[kind])
             replies[kind].append(asyncio.ensure_future(asking))
-            await until(lambda r=refused, b=busy: server.admission.refused > r or server.room.busy > b)  # type: ignore[misc]
+            await until(
+                lambda r=refused, b=busy: (  # type: ignore[misc]
+                    server.admission.refused > r or server.room.busy > b
+                )
+            )
             taken[kind] += server.room.busy > busy
         assert server.room.busy == sum(taken) == server.room.places
         # With no worth in it both would have as many. How many more is a matter of pace: less is kept for
