--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -23,23 +23,41 @@
     assert grown(await per_request(CLASSES[name]), KNOWN[name]) == []
 
 
-@pytest.mark.parametrize(("file", "line", "slower", "what"), [
-    ("quillroad/server.py", "        single: dict[bytes, bytes] = {}",  # headers copied once more
-     "        headers = [(bytes(n + b\"\"), bytes(v + b\"\")) for n, v in headers]\n"
-     "        single: dict[bytes, bytes] = {}", "instructions"),
-    ("quillroad/engine.py", "number, started, client = len(opened.attempts), monotonic(), opened.client",
-     "number, started, client = len(opened.attempts), monotonic(), opened.client\n"  # some small objects more
-     "        [bytes(1) for _ in range(20)]",
-     "instructions"),
-    ("quillroad/server.py", "self._transport.write(b\"\\r\\n\".join(lines) + b\"\\r\\n\\r\\n\" + body)",
-     "self._transport.write(b\"\\r\\n\".join(lines))\n"
-     "        self._sock.getpeername() and os.write(self._sock.fileno(), b\"\\r\\n\\r\\n\" + body)",
-     "writes"),  # one system call more
-])
+@pytest.mark.parametrize(
+    ("file", "line", "slower", "what"),
+    [
+        (
+            "quillroad/server.py",
+            "        single: dict[bytes, bytes] = {}",  # headers copied once more
+            '        headers = [(bytes(n + b""), bytes(v + b"")) for n, v in headers]\n'
+            "        single: dict[bytes, bytes] = {}",
+            "instructions",
+        ),
+        (
+            "quillroad/engine.py",
+            "number, started, client = len(opened.attempts), monotonic(), opened.client",
+            # some small objects more
+            "number, started, client = len(opened.attempts), monotonic(), opened.client\n"
+            "        [bytes(1) for _ in range(20)]",
+            "instructions",
+        ),
+        (
+            "quillroad/server.py",
+            'self._transport.write(b"\\r\\n".join(lines) + b"\\r\\n\\r\\n" + body)',
+            'self._transport.write(b"\\r\\n".join(lines))\n'
+            '        self._sock.getpeername() and os.write(self._sock.fileno(), b"\\r\\n\\r\\n" + body)',
+            "writes",
+        ),  # one system call more
+    ],
+)
 @on_loop
-async def test_a_longer_path_is_seen(tmp_path: Path, file: str, line: str, slower: str, what: str) -> None:
+async def test_a_longer_path_is_seen(
+    tmp_path: Path, file: str, line: str, slower: str, what: str
+) -> None:
     for package in ("pinetrack", "quillroad"):
-        shutil.copytree(ROOT / package, tmp_path / package, ignore=shutil.ignore_patterns("__pycache__"))
+        shutil.copytree(
+            ROOT / package, tmp_path / package, ignore=shutil.ignore_patterns("__pycache__")
+        )
     text = (tmp_path / file).read_text()
     assert text.count(line) == 1
     (tmp_path / file).write_text(text.replace(line, slower))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -38,9 +38,17 @@
     """A gateway by this configuration, started with these descriptors open, too."""
     path = folder / "config.json"
     path.write_text(data if isinstance(data, str) else json.dumps(data))
-    environment = {k: v for k, v in os.environ.items() if not k.startswith("GW_")} | {"GW_CONFIG": str(path)}
+    environment = {k: v for k, v in os.environ.items() if not k.startswith("GW_")} | {
+        "GW_CONFIG": str(path)
+    }
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "quillroad", cwd=ROOT, env=environment, stdout=PIPE, stderr=PIPE,
+        sys.executable,
+        "-m",
+        "quillroad",
+        cwd=ROOT,
+        env=environment,
+        stdout=PIPE,
+        stderr=PIPE,
         pass_fds=leaks,
     )
 
@@ -125,7 +133,10 @@
     ("[]", "GW_CONFIG"),
     (config_data(1, settings=None), "settings"),
     (config_data(1, settings=told_settings(balancers=0)), "balancers"),
-    (config_data(1, settings=told_settings(lanes=[{"name": "a", "semantics": "safe"}])), "deadline"),
+    (
+        config_data(1, settings=told_settings(lanes=[{"name": "a", "semantics": "safe"}])),
+        "deadline",
+    ),
     (config_data(1, settings=told_settings(lanes=[{"name": "a", "deadline": 5}])), "semantics"),
     (config_data(1, settings=told_settings(lanes=[3])), "settings"),
     (config_data(1, settings=told_settings(limits={"conn_idle": -1})), "conn_idle"),
@@ -147,7 +158,8 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "field"), [BAD[0], BAD[3], (config_data(1, known={"generation": 1, "instances": [3]}), "known")]
+    ("data", "field"),
+    [BAD[0], BAD[3], (config_data(1, known={"generation": 1, "instances": [3]}), "known")],
 )
 @on_loop
 async def test_a_bad_configuration_ends_the_program_with_one_line(
@@ -170,7 +182,11 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data(1)))
     config = load({"GW_CONFIG": str(path), "GW_NAME": "n7", "GW_LISTEN": "127.0.0.9:80"})
-    assert (config.name, config.listen, config.discovery) == ("n7", ("127.0.0.9", 80), ("127.0.0.1", 1))
+    assert (config.name, config.listen, config.discovery) == (
+        "n7",
+        ("127.0.0.9", 80),
+        ("127.0.0.1", 1),
+    )
 
 
 @on_loop
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -128,7 +128,11 @@
             self.servers[index] = line
             return [ServerList(ListKind.CHANGES, (line,))]
         if roll < 0.015:
-            return [ServerList(ListKind.FULL, tuple(s for s in self.servers if s.state is not State.GONE))]
+            return [
+                ServerList(
+                    ListKind.FULL, tuple(s for s in self.servers if s.state is not State.GONE)
+                )
+            ]
         return [ServerList(ListKind.FAILED)] if roll < 0.02 else []
 
     def arrival(self) -> Event:
@@ -195,7 +199,9 @@
     memory_us=st.sampled_from([30_000, 100_000, 2_000_000]),
     bad=st.sampled_from([0.05, 0.3, 0.8, 1.0]),
 )
-def test_random_legal_histories_keep_the_rules(seed: int, parallel: bool, memory_us: int, bad: float) -> None:
+def test_random_legal_histories_keep_the_rules(
+    seed: int, parallel: bool, memory_us: int, bad: float
+) -> None:
     World(seed, parallel, memory_us, bad).play(1000)
 
 
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -31,8 +31,12 @@
 WINDOW_US, COLD_US, WORK_US = 1_000_000, 6_000_000, 20_000
 START_US = 50_000_000
 TOLD = {
-    "cold_us": COLD_US, "cold_from": 0.3, "fall_multiple": 3.0, "fall_window_us": WINDOW_US, "max_attempts":
-    4, "parallel_tries": True,
+    "cold_us": COLD_US,
+    "cold_from": 0.3,
+    "fall_multiple": 3.0,
+    "fall_window_us": WINDOW_US,
+    "max_attempts": 4,
+    "parallel_tries": True,
 }
 
 
@@ -101,7 +105,11 @@
             if self.rng.random() < restarts_each_s * step / 1e6:
                 self.restart(self.turn(now), now)  # as a release may meet it
             for _ in range(requests_each_s * step // 1_000_000):
-                number = self.turn(now) if self.rng.random() < 0.5 else self.rng.randrange(len(self.group))
+                number = (
+                    self.turn(now)
+                    if self.rng.random() < 0.5
+                    else self.rng.randrange(len(self.group))
+                )
                 self.ids += 1
                 self.feed(now, number, Arrived(self.ids, 0, now + DEADLINE_US))
 
@@ -151,13 +159,17 @@
     inside its turn, which the one before it may have used up."""
     fleet = played(count, 3)
     width, warm_us = fleet.group[0].turn_us, START_US + COLD_US
-    came = [one for one in zip(fleet.arrivals, fleet.by, fleet.started, strict=True) if one[0] < warm_us]
+    came = [
+        one for one in zip(fleet.arrivals, fleet.by, fleet.started, strict=True) if one[0] < warm_us
+    ]
     assert [(up, by) for up, by, _ in came if fleet.turn(up) != by] == []
     assert all(started <= START_US + (up - START_US) // width * width for up, _, started in came)
 
 
 @pytest.mark.parametrize(("effect", "bounded"), [(Effect.SAFE, False), (Effect.KEYED, True)])
-def test_a_further_send_of_a_keyed_request_ends_with_its_window(effect: Effect, bounded: bool) -> None:
+def test_a_further_send_of_a_keyed_request_ends_with_its_window(
+    effect: Effect, bounded: bool
+) -> None:
     """Counted from the first attempt that may have run. The module's gate keeps sends within it, and a
     connection that comes up late must not carry one out of it."""
     stage = Stage(settings(route(effect, memory_span_us=300_000)), 3)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -26,8 +26,12 @@
 
 def test_the_demo_accounts_for_every_request() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "quillroad", "demo", "--seconds", "1.5"], cwd=README.parent, timeout=30,
-        capture_output=True, text=True, check=False,
+        [sys.executable, "-m", "quillroad", "demo", "--seconds", "1.5"],
+        cwd=README.parent,
+        timeout=30,
+        capture_output=True,
+        text=True,
+        check=False,
     )
     assert done.returncode == 0, done.stdout + done.stderr
     assert "every request accounted for, no rule broken" in done.stdout
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -24,7 +24,11 @@
 
 def test_every_request_is_in_one_column() -> None:
     records = [
-        record("a", 200), record("b", 200, 0.7), record("c", 200, 1.2), record("d", 503), record("e", 504),
+        record("a", 200),
+        record("b", 200, 0.7),
+        record("c", 200, 1.2),
+        record("d", 503),
+        record("e", 504),
         record("f", 0),
     ]
     row = tally(records, [WORK])["status-check"]
@@ -37,14 +41,21 @@
     good = [record("a", 200), record("b", 503)]
     assert broken_rules(good, [Receipt("a", "s-1", 5.0)], [WORK]) == []
     assert "received by no host" in broken_rules(good, [], [WORK])[0]
-    assert "asked for by nobody" in broken_rules(good, [Receipt(n, "s", 5.0) for n in "ax"], [WORK])[0]
+    assert (
+        "asked for by nobody" in broken_rules(good, [Receipt(n, "s", 5.0) for n in "ax"], [WORK])[0]
+    )
     assert "sent 5 times" in broken_rules(good, [Receipt("a", "s", 5.0)] * 5, [WORK])[0]
-    assert "after its deadline" in broken_rules([record("a", 200, 1.2)], [Receipt("a", "s", 5.0)], [WORK])[0]
+    assert (
+        "after its deadline"
+        in broken_rules([record("a", 200, 1.2)], [Receipt("a", "s", 5.0)], [WORK])[0]
+    )
     seats = [Work("seat-checkout", 0.5, 1.0, keyed=True)]
     copies = [Receipt("a", "s", 5.0, "k"), Receipt("a", "t", 11.1, "k")]
     assert "6.1 s after" in broken_rules(good, copies, seats)[0]
     assert broken_rules(good, copies[:1], seats) == []
-    assert "sent with b too" in broken_rules(good, [copies[0], Receipt("b", "s", 5.1, "k")], seats)[0]
+    assert (
+        "sent with b too" in broken_rules(good, [copies[0], Receipt("b", "s", 5.1, "k")], seats)[0]
+    )
     drains = [Drain("s", 4.0, 5.2), Drain("s", 6.0)]
     for at, wrong in ((4.4, False), (4.6, True), (5.3, False), (6.4, False), (6.6, True)):
         assert bool(broken_rules(good, [Receipt("a", "s", at)], [WORK], drains=drains)) is wrong
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -72,7 +72,9 @@
 
 
 MOVES = st.tuples(
-    st.integers(0, 12), st.sampled_from([*Stage, "left", "accept", "overstayed"]), st.floats(0.0, 0.5)
+    st.integers(0, 12),
+    st.sampled_from([*Stage, "left", "accept", "overstayed"]),
+    st.floats(0.0, 0.5),
 )
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -27,7 +27,9 @@
         Settings(**values)
 
 
-@pytest.mark.parametrize("values", [{"aim_us": 0}, {"deadline_us": -1}, {"worth": -1.0}, {"late_worth": 2.0}])
+@pytest.mark.parametrize(
+    "values", [{"aim_us": 0}, {"deadline_us": -1}, {"worth": -1.0}, {"late_worth": 2.0}]
+)
 def test_bad_routes_name_the_field(values: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match="route." + next(iter(values))):
         Route(**values)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -35,7 +35,9 @@
 from tests.test_process import ended, free_port, program
 
 BODY = b"x" * 60_000
-HEAD = "GET /status-check/k HTTP/1.1\r\nTenant: acme\r\nRequest-Timeout-Ms: {}\r\nRequest-Id: {}\r\n"
+HEAD = (
+    "GET /status-check/k HTTP/1.1\r\nTenant: acme\r\nRequest-Timeout-Ms: {}\r\nRequest-Id: {}\r\n"
+)
 
 
 async def not_reading(client: Client, connection: server.ClientConnection) -> int:
@@ -72,7 +74,9 @@
 
 
 @on_loop
-async def test_an_answer_that_its_client_reads_slowly_outlives_the_end_of_idle_connections() -> None:
+async def test_an_answer_that_its_client_reads_slowly_outlives_the_end_of_idle_connections() -> (
+    None
+):
     """Between two requests, and yet its answer has not left: ended then, it was cut short."""
     async with world(say(answer(BODY))) as w, w.client() as client:
         assert (await client.ask()).status == 200
@@ -96,7 +100,9 @@
     host = say(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + BODY)
     async with world(host) as w:
         loop, (raw, connection) = asyncio.get_running_loop(), await narrow(w)
-        await loop.sock_sendall(raw, (HEAD.format(9000, "z1") + "Connection: close\r\n\r\n").encode())
+        await loop.sock_sendall(
+            raw, (HEAD.format(9000, "z1") + "Connection: close\r\n\r\n").encode()
+        )
         await until(lambda: connection._ended and connection._unread)
         for _ in range(5):
             await asyncio.sleep(0.01)  # the time to linger, several times over
@@ -110,7 +116,9 @@
     """What can't be read ends the connection once it is answered, not with the answer before it."""
     async with world(say(answer(BODY))) as w:
         loop, (raw, connection) = asyncio.get_running_loop(), await narrow(w)
-        await loop.sock_sendall(raw, (HEAD.format(9000, "y1") + "\r\nwhat is this\r\n\r\n").encode())
+        await loop.sock_sendall(
+            raw, (HEAD.format(9000, "y1") + "\r\nwhat is this\r\n\r\n").encode()
+        )
         await until(lambda: connection._ended and connection._unread)
         got = await to_the_end(raw)
         first, _, second = got.partition(BODY)
@@ -223,7 +231,9 @@
         await asyncio.sleep(0.02)
     resting, ahead, half = await connected(), await connected(), await connected()
     assert (await resting.ask("/status-check/serve")).status == 200
-    busy = [await connected() for _ in range(30)]  # more than hosts have places: some queue in the module
+    busy = [
+        await connected() for _ in range(30)
+    ]  # more than hosts have places: some queue in the module
     for i, client in enumerate(busy):
         client.send(("/status-check/k", "/audit/k")[i % 2], Request_Timeout_Ms=wait)
     for n in range(6):
@@ -263,7 +273,10 @@
         return [await client.receive() for _ in range(count)]
 
     many, sent_ahead, completed, rested = await asyncio.gather(
-        asyncio.gather(*map(received, busy), received(late)), received(ahead, 6), complete(), ask_resting()
+        asyncio.gather(*map(received, busy), received(late)),
+        received(ahead, 6),
+        complete(),
+        ask_resting(),
     )
     answers = [completed, *sent_ahead, *(message for got in many for message in got)]
     assert len(answers) == 38 and {message.status for message in answers} <= {502, 503, 504}
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -88,7 +88,9 @@
         await load.open_loop(steady(100, 2.0))
         whole = total(tally(load.records, WORKS).values())
         assert (whole.late, whole.unanswered) == (0, 0)
-        assert {record.status for record in load.records[last + 100 :]} == {200}  # back within a second
+        assert {record.status for record in load.records[last + 100 :]} == {
+            200
+        }  # back within a second
         assert overload > 1000
         assert stage.broken(load) == []
         await until(lambda: stage.gateway.descriptors() <= descriptors + 12 * 4)
@@ -99,10 +101,15 @@
     """Both gateways start, both floors reconnect, and one host is cold: what both send it within any window
     stays under the budget that both are told of."""
     guarantees = {
-        "drain_grace": 500_000, "cold": 8_000_000, "cold_from": 0.3, "fall_multiple": 3.0,
+        "drain_grace": 500_000,
+        "cold": 8_000_000,
+        "cold_from": 0.3,
+        "fall_multiple": 3.0,
         "tip_after": 1_000_000,
     }
-    async with Stage(tmp_path, WORKS, hosts=6, delay=0.03, gateways=2, guarantees=guarantees) as stage:
+    async with Stage(
+        tmp_path, WORKS, hosts=6, delay=0.03, gateways=2, guarantees=guarantees
+    ) as stage:
         cold = stage.hosts[0]
         started = time.time()
         stage.tell(cold, startedAtMs=int(started * 1000))
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -29,12 +29,14 @@
         # Down to a deadline under the gateway's own margins, and a window of nothing.
         deadline = draw(st.one_of(st.integers(1, 40_000), st.integers(50_000, 1_000_000)))
         lane: dict[str, Any] = {
-            "name": name, "deadline": deadline, "semantics": draw(st.sampled_from(["safe", "keyed",
-            "unsafe"])), "group": draw(st.sampled_from(["all", "zone", "cell"])),
+            "name": name,
+            "deadline": deadline,
+            "semantics": draw(st.sampled_from(["safe", "keyed", "unsafe"])),
+            "group": draw(st.sampled_from(["all", "zone", "cell"])),
             "memory_span": draw(st.sampled_from([0, 1, 20_000, 600_000, 6_000_000])),
             "importance": draw(st.sampled_from([0.0, 0.1, 1, 8.0, 1000.0])),
-            "late_worth": draw(st.sampled_from([0, 0.0, 0.5, 1])), "aim_stretch": draw(st.sampled_from([0,
-            2.5])),
+            "late_worth": draw(st.sampled_from([0, 0.0, 0.5, 1])),
+            "aim_stretch": draw(st.sampled_from([0, 2.5])),
         }
         if draw(st.booleans()):
             lane["goal_time"] = draw(st.integers(1, 2_000_000))
@@ -46,32 +48,47 @@
 def objects(draw: st.DrawFn) -> dict[str, Any]:
     balancers = draw(st.sampled_from([1, 2, 3, 7, 200]))
     told: dict[str, Any] = {
-        "balancers": balancers, "my_number": draw(st.integers(0, balancers - 1)), "lanes": draw(lanes()),
-        "discovery": draw(st.sampled_from(["push", "ask"])), "zone": draw(st.integers(0, 3)),
-        "zones": ["r0", "r1"], "models": ["m"], "over_share_worth": draw(st.sampled_from([0.0, 0.05, 1.0])),
+        "balancers": balancers,
+        "my_number": draw(st.integers(0, balancers - 1)),
+        "lanes": draw(lanes()),
+        "discovery": draw(st.sampled_from(["push", "ask"])),
+        "zone": draw(st.integers(0, 3)),
+        "zones": ["r0", "r1"],
+        "models": ["m"],
+        "over_share_worth": draw(st.sampled_from([0.0, 0.05, 1.0])),
         "weight_kind": draw(st.sampled_from(["silent", "nominal", "rough", "live"])),
         "orgs": [
             {"name": f"t{i}", "quota_per_s": quota}
-            for i, quota in enumerate(draw(st.lists(st.sampled_from([0, 0.5, 30.0, 1e4]), max_size=3)))
+            for i, quota in enumerate(
+                draw(st.lists(st.sampled_from([0, 0.5, 30.0, 1e4]), max_size=3))
+            )
         ],
-        "clients": {"marks_retry": draw(st.booleans())}, "prices": {"cross_zone": draw(st.floats(0, 0.1))},
+        "clients": {"marks_retry": draw(st.booleans())},
+        "prices": {"cross_zone": draw(st.floats(0, 0.1))},
         "guarantees": {
-            "answer_slack": 10_000, "drain_grace": 0, "cold": draw(st.sampled_from([0, 1, 500_000,
-            8_000_000])), "cold_from": draw(st.sampled_from([0.05, 0.3, 1.0])),
+            "answer_slack": 10_000,
+            "drain_grace": 0,
+            "cold": draw(st.sampled_from([0, 1, 500_000, 8_000_000])),
+            "cold_from": draw(st.sampled_from([0.05, 0.3, 1.0])),
             "fall_multiple": draw(st.sampled_from([1.0, 2.5, 6.0])),
             "tip_after": draw(st.sampled_from([200_000, 1_000_000, 5_000_000])),
         },
         "limits": {
-            "attempts_cap": draw(st.integers(1, 6)), "parallel_tries": draw(st.booleans()),
-            "cancelling": draw(st.booleans()), "retry_after": draw(st.booleans()),
-            "max_retry_after": draw(st.sampled_from([0, 600_000])), "connect_timeout": 200_000,
+            "attempts_cap": draw(st.integers(1, 6)),
+            "parallel_tries": draw(st.booleans()),
+            "cancelling": draw(st.booleans()),
+            "retry_after": draw(st.booleans()),
+            "max_retry_after": draw(st.sampled_from([0, 600_000])),
+            "connect_timeout": 200_000,
         },
     }
     if any(lane["deadline"] < 4 * WORK_US for lane in told["lanes"]):
         # What is given up before its work is done teaches nothing of that, and the checker knows it: at cold
         # hosts such a class is bounded by its guess alone (docs/design/crossings.md, Left).
         told["guarantees"]["cold"] = 0
-    for key in draw(st.sets(st.sampled_from(sorted(told.keys() - {"lanes", "guarantees"})), max_size=4)):
+    for key in draw(
+        st.sets(st.sampled_from(sorted(told.keys() - {"lanes", "guarantees"})), max_size=4)
+    ):
         if key not in ("balancers", "my_number"):
             del told[key]  # what is absent has a default
     return told
@@ -87,20 +104,47 @@
 
 WHOLE = told_settings(
     guarantees={
-        "cold": 8_800_000, "cold_from": 0.3, "fall_multiple": 3.0, "tip_after": 1_000_000, "drain_grace":
-        500_000, "ask_within": 10_000_000, "answer_slack": 20_000,
+        "cold": 8_800_000,
+        "cold_from": 0.3,
+        "fall_multiple": 3.0,
+        "tip_after": 1_000_000,
+        "drain_grace": 500_000,
+        "ask_within": 10_000_000,
+        "answer_slack": 20_000,
     },
-    zone=0, prices={"cross_zone": 0.0}, over_share_worth=0.05, objective_mix={"whole": 0.6, "worst_class":
-    0.2}, specifics={"warm_keys": True}, clients={"marks_retry": False}, weight_kind="rough",
+    zone=0,
+    prices={"cross_zone": 0.0},
+    over_share_worth=0.05,
+    objective_mix={"whole": 0.6, "worst_class": 0.2},
+    specifics={"warm_keys": True},
+    clients={"marks_retry": False},
+    weight_kind="rough",
     discovery="push",
 )
 TEXTS = {"name", "semantics", "group", "weight_kind", "discovery"}
 FLAGS = {"cancelling", "parallel_tries", "retry_after", "marks_retry", "warm_keys"}
-JUNK: list[Any] = ["abc", "", float("nan"), float("inf"), [], [3], {"a": 1}, True, 2.5e300, -(2**70)]
+JUNK: list[Any] = [
+    "abc",
+    "",
+    float("nan"),
+    float("inf"),
+    [],
+    [3],
+    {"a": 1},
+    True,
+    2.5e300,
+    -(2**70),
+]
 
 
 def fields(told: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    pairs = told.items() if isinstance(told, dict) else enumerate(told) if isinstance(told, list) else ()
+    pairs = (
+        told.items()
+        if isinstance(told, dict)
+        else enumerate(told)
+        if isinstance(told, list)
+        else ()
+    )
     for key, value in pairs:
         if isinstance(value, dict | list):
             yield from fields(value, (*path, key))
@@ -109,7 +153,9 @@
 
 
 @pytest.mark.parametrize("path", list(fields(WHOLE)), ids=lambda path: ".".join(map(str, path)))
-def test_a_value_that_cannot_work_is_named_in_one_line(path: tuple[Any, ...], tmp_path: Path) -> None:
+def test_a_value_that_cannot_work_is_named_in_one_line(
+    path: tuple[Any, ...], tmp_path: Path
+) -> None:
     """Of the wrong kind, no number at all, or beyond any clock: the gateway does not come up with it, and
     says which field it is. Compared with a number, it was an error of the interpreter's that named none."""
     file = tmp_path / "config.json"
@@ -135,9 +181,12 @@
     [
         ({"lanes": [{"name": "a", "semantics": "safe", "deadline": 5}] * 2}, "lanes[1].name"),
         ({"lanes": [{"name": "a", "semantics": "safe", "deadline": 0}]}, "lanes[0].deadline"),
-        ({"lanes": [{"name": "a", "semantics": "safe", "deadline": 5, "goal_time": -1}]},
-        "lanes[0].goal_time"), ({"lanes": [{"name": "a", "semantics": "once", "deadline": 5}]},
-        "lanes[0].semantics"), ({"lanes": {"a": 1}}, "lanes"),
+        (
+            {"lanes": [{"name": "a", "semantics": "safe", "deadline": 5, "goal_time": -1}]},
+            "lanes[0].goal_time",
+        ),
+        ({"lanes": [{"name": "a", "semantics": "once", "deadline": 5}]}, "lanes[0].semantics"),
+        ({"lanes": {"a": 1}}, "lanes"),
         ({"balancers": 2, "my_number": 2}, "my_number"),
         ({"guarantees": {"tip_after": 0}}, "guarantees.tip_after"),
         ({"guarantees": {"cold": MOST + 1}}, "guarantees.cold"),
@@ -146,7 +195,9 @@
         ({"orgs": [{"name": "a", "quota_per_s": -3}]}, "orgs[].quota_per_s"),
     ],
 )
-def test_settings_that_contradict_themselves_name_the_field(changes: dict[str, Any], field: str) -> None:
+def test_settings_that_contradict_themselves_name_the_field(
+    changes: dict[str, Any], field: str
+) -> None:
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "config.json"
         file.write_text(json.dumps(config_data(1, settings=told_settings(**changes))))
@@ -156,8 +207,17 @@
 
 
 LANES = [
-    {"name": "bare", "semantics": "safe", "deadline": 400_000},  # no aim, no group, no window, no worth
-    {"name": "brief", "semantics": "safe", "deadline": 20_000, "goal_time": 10_000},  # under the margins
+    {
+        "name": "bare",
+        "semantics": "safe",
+        "deadline": 400_000,
+    },  # no aim, no group, no window, no worth
+    {
+        "name": "brief",
+        "semantics": "safe",
+        "deadline": 20_000,
+        "goal_time": 10_000,
+    },  # under the margins
     {"name": "once", "semantics": "keyed", "deadline": 400_000, "memory_span": 0},
 ]
 
@@ -169,6 +229,11 @@
     async with world(serve_ok, settings=told) as w, w.client() as client:
         for path in ("/bare", "/bare/k/", "/brief/k"):
             assert (await client.ask(path, method="GET", Tenant=None)).status == 200
-        assert (await client.ask("/once/k", method="POST", Tenant=None, Idempotency_Key="k1")).status == 200
+        assert (
+            await client.ask("/once/k", method="POST", Tenant=None, Idempotency_Key="k1")
+        ).status == 200
     async with world(hang, settings=told) as w, Client(w.gateway.port) as client:
-        assert (await client.ask("/brief/k", method="GET", Request_Timeout_Ms="20")).status in (503, 504)
+        assert (await client.ask("/brief/k", method="GET", Request_Timeout_Ms="20")).status in (
+            503,
+            504,
+        )
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -44,10 +44,15 @@
 
     def start(self, request: bytes = REQUEST, timeout_s: float = LONG_S) -> Attempt:
         return self.upstream.start(
-            self.host, request, timeout_s, lambda outcome, got, _: self.results.append((outcome, got))
+            self.host,
+            request,
+            timeout_s,
+            lambda outcome, got, _: self.results.append((outcome, got)),
         )
 
-    async def run(self, request: bytes = REQUEST, timeout_s: float = LONG_S) -> tuple[Outcome, Answer | None]:
+    async def run(
+        self, request: bytes = REQUEST, timeout_s: float = LONG_S
+    ) -> tuple[Outcome, Answer | None]:
         before = len(self.results)
         self.start(request, timeout_s)
         await until(lambda: len(self.results) > before)
@@ -85,8 +90,11 @@
         (say(CHUNKED + b"1;" + b"e" * 300_000), Outcome.ERROR, None),
         (say(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), Outcome.ERROR, None),
         (say(b"HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n"), Outcome.ERROR, None),
-        (say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"),
-         Outcome.ERROR, None),
+        (
+            say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"),
+            Outcome.ERROR,
+            None,
+        ),
     ],
 )
 @on_loop
@@ -103,7 +111,11 @@
 
 @pytest.mark.parametrize(
     "start",
-    [b"HTTP/1.1 200 OK\r\nConte", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", CHUNKED + b"3\r\nab"],
+    [
+        b"HTTP/1.1 200 OK\r\nConte",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+        CHUNKED + b"3\r\nab",
+    ],
 )
 @on_loop
 async def test_an_answer_that_stops_half_way_is_not_waited_for(start: bytes) -> None:
@@ -274,7 +286,9 @@
 
 
 @on_loop
-async def test_a_connection_settles_before_it_is_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_connection_settles_before_it_is_used_again(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """What comes a moment behind an answer must find the connection idle, not in use by another request."""
     monkeypatch.setattr(upstream, "SETTLE_S", 1000.0)
     host = await FakeHost().start()
@@ -333,7 +347,10 @@
     assert await host.closed.get() == 0
     assert (await bench.run())[0] is Outcome.MOOT
     await until(lambda: bench.descriptors.used == 0)
-    assert (len(host.seen), len(host.writers)) == (1, 1)  # not even a connection: it would cost the host work
+    assert (len(host.seen), len(host.writers)) == (
+        1,
+        1,
+    )  # not even a connection: it would cost the host work
 
 
 @on_loop
@@ -393,7 +410,10 @@
     host = await FakeHost().start()
     bench = Bench(host.address)
     bench.upstream.start(
-        bench.host, REQUEST, LONG_S, lambda outcome, got, _: bench.results.append((outcome, got)),
+        bench.host,
+        REQUEST,
+        LONG_S,
+        lambda outcome, got, _: bench.results.append((outcome, got)),
         latest=monotonic(),
     )
     await until(lambda: bool(bench.results))
--- a/tests/upgrade/test_channel.py
+++ b/tests/upgrade/test_channel.py
@@ -33,10 +33,14 @@
 MESSAGES = st.one_of(
     st.builds(Hello, st.integers(0, 99), st.text(max_size=9)),
     st.builds(
-        State, st.dictionaries(st.text(max_size=5), st.binary(max_size=3 * CHUNK), max_size=2), st.booleans()
+        State,
+        st.dictionaries(st.text(max_size=5), st.binary(max_size=3 * CHUNK), max_size=2),
+        st.booleans(),
     ),
     st.builds(
-        Out, st.lists(st.tuples(*[st.integers(0, 2**48)] * 3), max_size=5), st.lists(st.text(), max_size=3)
+        Out,
+        st.lists(st.tuples(*[st.integers(0, 2**48)] * 3), max_size=5),
+        st.lists(st.text(), max_size=3),
     ),
     st.builds(Report, st.integers(0, 10**9)),
 )
@@ -56,7 +60,9 @@
 @given(st.data())
 def test_a_packet_that_is_garbled_lost_or_doubled_is_found_out(data: st.DataObject) -> None:
     messages: list[Message] = [Hello(1, "x"), State({"a": b"y" * 40_000}, True), Yield(7)]
-    sent = [packet for number, message in enumerate(messages) for packet in packets(message, number)]
+    sent = [
+        packet for number, message in enumerate(messages) for packet in packets(message, number)
+    ]
     at = data.draw(st.integers(0, len(sent) - 1))
     how = data.draw(st.sampled_from(["garbled", "lost", "doubled", "cut"]))
     if how == "garbled":
--- a/tests/upgrade/test_knowledge.py
+++ b/tests/upgrade/test_knowledge.py
@@ -20,7 +20,15 @@
     ServerList,
     State,
 )
-from quillroad.upgrade.knowledge import VERSION, Knowledge, Names, adopt, export, out_at, share_budgets
+from quillroad.upgrade.knowledge import (
+    VERSION,
+    Knowledge,
+    Names,
+    adopt,
+    export,
+    out_at,
+    share_budgets,
+)
 from tests.helpers import Stage, route
 from tests.helpers import settings as told_settings
 from tests.test_property import World
@@ -87,12 +95,19 @@
             stage.done(request, Outcome.ERROR if server == bad else Outcome.SUCCESS)
     before = stage.balancer
     after = moved(before, 99, work=False)
-    assert {n: (s.payoff, s.heard_us, s.ejections, s.ejected_until_us) for n, s in after.servers.items()} == {
-        n: (s.payoff, s.heard_us, s.ejections, s.ejected_until_us) for n, s in before.servers.items()
+    assert {
+        n: (s.payoff, s.heard_us, s.ejections, s.ejected_until_us) for n, s in after.servers.items()
+    } == {
+        n: (s.payoff, s.heard_us, s.ejections, s.ejected_until_us)
+        for n, s in before.servers.items()
     }
     assert before.servers[bad].ejections > 0
     assert after.routes[0].latency.ordered == before.routes[0].latency.ordered
-    assert (after.limit, after.admitted, after.recent) == (before.limit, before.admitted, before.recent)
+    assert (after.limit, after.admitted, after.recent) == (
+        before.limit,
+        before.admitted,
+        before.recent,
+    )
 
 
 def test_open_work_stays_and_its_places_are_told_apart() -> None:
@@ -125,7 +140,9 @@
     whole = moved(before, 1)
     assert (whole.limit, whole.flying) == (before.limit, before.flying)
     after = moved(before, 1, work=False)
-    actions = after.handle(stage.now, [Beside(out_at(before)), Arrived(10**6, 0, stage.now + 900_000)])
+    actions = after.handle(
+        stage.now, [Beside(out_at(before)), Arrived(10**6, 0, stage.now + 900_000)]
+    )
     assert not any(isinstance(a, Send) for a in actions)
 
 
@@ -141,7 +158,9 @@
     told = told_settings(
         route(), cold_us=5_000_000, cold_from=0.5, fall_multiple=3.0, fall_window_us=1_000_000
     )
-    stage = Stage(told, [Server(100, started_us=1_000_000)])  # not before the balancer: the turn is its own
+    stage = Stage(
+        told, [Server(100, started_us=1_000_000)]
+    )  # not before the balancer: the turn is its own
     stage.feed(Beside({}, warms=False))
     assert stage.arrive(work_us=5_000) not in stage.sends
     assert any(isinstance(a, Send) for a in stage.feed(Beside({}, warms=True)))
@@ -155,16 +174,24 @@
     other = Balancer(stage.told, 5)
     listed = (Server(1), Server(2, State.DRAINING), Server(3, started_us=7))
     other.handle(stage.now, [ServerList(ListKind.FULL, listed)])
-    assert adopt(other, known, NAMES) == ["2 servers: not in the list held"]  # 3 restarted, 4 is gone
+    assert adopt(other, known, NAMES) == [
+        "2 servers: not in the list held"
+    ]  # 3 restarted, 4 is gone
     assert {s.spec.id for s in other.candidates} == {1, 3}
     assert other.servers[1].payoff == stage.balancer.servers[1].payoff
     assert other.servers[3].heard_us == 0
 
 
-@pytest.mark.parametrize(("change", "left"), [
-    ({"version": VERSION + 1}, f"knowledge of version {VERSION + 1}: read as version {VERSION}"),
-    ({"quotas": {"nobody": (1.0, 0)}}, "tenant 'nobody': not configured"),
-])
+@pytest.mark.parametrize(
+    ("change", "left"),
+    [
+        (
+            {"version": VERSION + 1},
+            f"knowledge of version {VERSION + 1}: read as version {VERSION}",
+        ),
+        ({"quotas": {"nobody": (1.0, 0)}}, "tenant 'nobody': not configured"),
+    ],
+)
 def test_another_version_is_taken_as_far_as_it_goes(change: dict[str, object], left: str) -> None:
     stage = Stage(told_settings(route(), tenant_quotas_per_s=(5.0, 5.0)))
     stage.warm_up(20)
--- a/tests/upgrade/test_machines.py
+++ b/tests/upgrade/test_machines.py
@@ -45,7 +45,9 @@
     ToOther,
 )
 
-LIMITS = k.Limits(start_s=5.0, prepare_s=2.0, switch_s=1.0, canary_s=10.0, retire_s=3.0, silence_s=2.0)
+LIMITS = k.Limits(
+    start_s=5.0, prepare_s=2.0, switch_s=1.0, canary_s=10.0, retire_s=3.0, silence_s=2.0
+)
 IDLE = frozenset(range(40))  # client connections
 
 
@@ -85,12 +87,20 @@
     status: int | None = None
     said: list[tuple[str, int]] = field(default_factory=list)  # what each process sent, in order
     kill_at: tuple[str, int, int] | None = None  # kind of message, sender, who ends
-    did: list[tuple[str, int]] = field(default_factory=list)  # what each process carried out, in order
+    did: list[tuple[str, int]] = field(
+        default_factory=list
+    )  # what each process carried out, in order
     fail_at: tuple[str, int] | None = None  # what cannot be carried out, once, and by whom
-    lost: set[int] = field(default_factory=set)  # client connections that a process may have taken along
-    closed: set[int] = field(default_factory=set)  # that one ended between two requests, as it finished
-
-    def post(self, sender: int, to: int, message: Message, connections: set[int] | None = None) -> None:
+    lost: set[int] = field(
+        default_factory=set
+    )  # client connections that a process may have taken along
+    closed: set[int] = field(
+        default_factory=set
+    )  # that one ended between two requests, as it finished
+
+    def post(
+        self, sender: int, to: int, message: Message, connections: set[int] | None = None
+    ) -> None:
         if sender and sender not in self.processes:
             return
         kind = type(message).__name__
@@ -141,7 +151,8 @@
                     self.post(0, act.worker, act.message)
                 case k.Join():
                     for one, other, message in (
-                        (act.giver, act.taker, act.message), (act.taker, act.giver, Take()),
+                        (act.giver, act.taker, act.message),
+                        (act.taker, act.giver, Take()),
                     ):
                         if one in self.processes:
                             self.processes[one].other = other
@@ -258,7 +269,7 @@
     def run(self, choose: st.DataObject | None = None, until: float = 60.0) -> None:
         """Deliver what there is, then let time pass, until nothing happens any more."""
         while self.now < until and self.status is None:
-            while (open_wires := sorted(w for w, queue in self.wires.items() if queue)):
+            while open_wires := sorted(w for w, queue in self.wires.items() if queue):
                 at = choose.draw(st.integers(0, len(open_wires) - 1)) if choose is not None else 0
                 self.deliver(*open_wires[at])
             self.now += 0.1
@@ -279,7 +290,9 @@
         readers = [c for p in self.processes.values() for c in p.holds]
         assert len(readers) == len(set(readers)), "a connection with two readers"
         told = [message for wire in self.wires.values() for message, _ in wire]
-        if not any(isinstance(message, Room) for message in told):  # what is told is heard in some turns
+        if not any(
+            isinstance(message, Room) for message in told
+        ):  # what is told is heard in some turns
             held = sum(process.descriptors() for process in self.processes.values())
             assert held <= LIMITS.descriptors, "more descriptors than there are"
 
@@ -343,7 +356,9 @@
 
 
 @pytest.mark.parametrize(("kind", "sender"), [s for s in steps() if s[1] == 2])
-def test_a_new_process_that_hangs_at_any_step_does_not_keep_the_gateway(kind: str, sender: int) -> None:
+def test_a_new_process_that_hangs_at_any_step_does_not_keep_the_gateway(
+    kind: str, sender: int
+) -> None:
     machine = started()
     post = machine.post
 
@@ -417,7 +432,9 @@
     assert machine.serving() == 2
     machine.carry(machine.keeper.heard(machine.now, 2, Report(served=10, failed=90)))
     machine.run(until=machine.now + 10.0)
-    assert machine.serving() == 1 and list(machine.processes) == [1] and "failed" in machine.settled[0]
+    assert (
+        machine.serving() == 1 and list(machine.processes) == [1] and "failed" in machine.settled[0]
+    )
     assert machine.processes[1].holds == IDLE
 
 
@@ -448,8 +465,9 @@
         _, acts = keeper.ask(1.0, "upgrade")
         acts = keeper.heard(1.1, 2, message)
         assert k.Settled(why) in acts and k.Kill(2) in acts
-        assert keeper.granted == {1} and not any(isinstance(a, k.Tell) and a.worker == 1 and
-                                                 isinstance(a.message, Give) for a in acts)
+        assert keeper.granted == {1} and not any(
+            isinstance(a, k.Tell) and a.worker == 1 and isinstance(a.message, Give) for a in acts
+        )
 
 
 def test_a_check_proves_the_build_and_changes_nothing() -> None:
@@ -514,10 +532,17 @@
         assert most - least <= wide + 1e-9
 
 
-@pytest.mark.parametrize(("new", "worse"), [
-    (Counts(100, 0, 0), False), (Counts(97, 0, 3), False), (Counts(50, 50, 0), True),
-    (Counts(70, 0, 30), True), (Counts(0, 0, 30), False), (Counts(0, 0, 60), True),
-])
+@pytest.mark.parametrize(
+    ("new", "worse"),
+    [
+        (Counts(100, 0, 0), False),
+        (Counts(97, 0, 3), False),
+        (Counts(50, 50, 0), True),
+        (Counts(70, 0, 30), True),
+        (Counts(0, 0, 30), False),
+        (Counts(0, 0, 60), True),
+    ],
+)
 def test_the_canary_is_sure_before_it_speaks(new: Counts, worse: bool) -> None:
     canary = Canary(Tuning())
     for i in range(20):
--- a/tests/upgrade/test_pair.py
+++ b/tests/upgrade/test_pair.py
@@ -118,7 +118,10 @@
     while True:
         # From its start on a newcomer has descriptors, and batches on their way cost some of both.
         both = old.limit + new.limit + 2 * RESERVED
-        assert both + 2 * batch_of(old.pair.descriptors) * new.linked <= old.pair.descriptors or not said
+        assert (
+            both + 2 * batch_of(old.pair.descriptors) * new.linked <= old.pair.descriptors
+            or not said
+        )
         if new.prepares and new.linked:
             new.prepares = False
             new.carry(new.pair.prepared(True))
@@ -221,14 +224,19 @@
         patience = max(work.deadline for work in WORKS)
         took = max((record.took for record in load.records if record.done), default=0.0)
         lost = [
-            r for r in load.records if not r.status and any(e - patience < r.sent <= e + gap for e in ends)
+            r
+            for r in load.records
+            if not r.status and any(e - patience < r.sent <= e + gap for e in ends)
         ]
         assert len(lost) <= (20 + RATE * (took + gap)) * len(ends)
         return lost
 
     def accounted(self, load: Load, ends: list[float] | None = None, lost: int = 0) -> None:
         whole = total(tally(load.records, WORKS).values())
-        assert whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed + whole.unanswered
+        assert (
+            whole.sent
+            == whole.in_aim + whole.served + whole.refused + whole.failed + whole.unanswered
+        )
         assert (whole.late, whole.failed) == (0, 0)
         assert whole.refused <= 0.05 * whole.sent
         assert whole.unanswered <= (lost if ends is None else len(self.lost_with(load, ends)))
@@ -278,7 +286,11 @@
         # Clients kept their connections: none had to connect anew.
         assert not any(record.again for record in load.records)
         assert here.gateway.process is not None
-        modes = [path.stat().st_mode & 0o777 for path in here.gateway.folder.iterdir() if path.is_socket()]
+        modes = [
+            path.stat().st_mode & 0o777
+            for path in here.gateway.folder.iterdir()
+            if path.is_socket()
+        ]
         assert modes == [0o600]
         here.gateway.process.send_signal(signal.SIGTERM)
         await here.gateway.process.wait()
@@ -296,7 +308,9 @@
 
 
 @pytest.mark.parametrize("kinds", [KINDS[:3], KINDS[3:]])
-def test_a_newcomer_that_dies_at_any_step_leaves_the_other_serving(tmp_path: Path, kinds: list[str]) -> None:
+def test_a_newcomer_that_dies_at_any_step_leaves_the_other_serving(
+    tmp_path: Path, kinds: list[str]
+) -> None:
     @on_loop
     async def play() -> None:
         async with scene(tmp_path) as here:
@@ -319,7 +333,9 @@
 
 
 @pytest.mark.parametrize("kind", GIVERS)
-def test_a_predecessor_that_dies_at_any_step_leaves_the_newcomer_serving(tmp_path: Path, kind: str) -> None:
+def test_a_predecessor_that_dies_at_any_step_leaves_the_newcomer_serving(
+    tmp_path: Path, kind: str
+) -> None:
     @on_loop
     async def play() -> None:
         async with scene(tmp_path) as here:
@@ -368,7 +384,9 @@
         assert old is not None
         process, admin = await gateway.newcomer()
         assert await gateway.yes(process, admin)
-        assert await gateway.call("POST", "/hosts/s-1/maint", before) == 200  # at the one that stands by
+        assert (
+            await gateway.call("POST", "/hosts/s-1/maint", before) == 200
+        )  # at the one that stands by
         assert await gateway.call("POST", "/hosts/s-2/maint", admin) == 200
         old.send_signal(signal.SIGTERM)
         await old.wait()
@@ -383,7 +401,9 @@
             assert await gateway.call("POST", f"/hosts/{name}/ready") == 200
         await load.open_loop(steady(100.0, 1.0))
         await load.settle()
-        assert all(len(host.receipts) > count for host, count in zip(here.hosts, counts, strict=True))
+        assert all(
+            len(host.receipts) > count for host, count in zip(here.hosts, counts, strict=True)
+        )
 
 
 @pytest.mark.parametrize("broken", ["cannot be imported", "exits at once", "fails its self-test"])
--- a/tests/upgrade/test_sections.py
+++ b/tests/upgrade/test_sections.py
@@ -44,7 +44,10 @@
 def states(gateway: Gateway) -> dict[str, State]:
     engine = gateway.engine
     assert isinstance(engine, SharedEngine)
-    return {host.name: engine.balancer.servers[number].spec.state for number, host in engine.hosts.items()}
+    return {
+        host.name: engine.balancer.servers[number].spec.state
+        for number, host in engine.hosts.items()
+    }
 
 
 @on_loop
@@ -66,7 +69,10 @@
         await until(lambda: State.DRAINING in states(old).values())
         ahead = write(old)
         assert read(behind, ahead, trial=False) == []
-        assert states(behind)["s-0"] is State.DRAINING and behind.source.position == old.source.position
+        assert (
+            states(behind)["s-0"] is State.DRAINING
+            and behind.source.position == old.source.position
+        )
         stale = write(behind)
         discovery.tell(hosts[0].entry(lifecycle="up"), hosts[1].entry(lifecycle="removed"))
         await until(lambda: len(states(old)) == 2)
@@ -80,7 +86,9 @@
     instances = [Instance("a", ("127.0.0.1", 9)), Instance("b", ("127.0.0.1", 10))]
     processes = []
     for _ in range(2):
-        config = replace(make_config(1), discovery=None, hosts=ConsulHosts((("127.0.0.1", 1),), "licences"))
+        config = replace(
+            make_config(1), discovery=None, hosts=ConsulHosts((("127.0.0.1", 1),), "licences")
+        )
         processes.append(Gateway(config, asyncio.get_running_loop(), SharedEngine, MovingServer))
     old, new = processes
     assert old.feed is not None and new.feed is not None
@@ -100,12 +108,15 @@
     assert starts()[0] == 0 and starts()[1] > 0
 
 
-@pytest.mark.parametrize(("change", "said"), [
-    ({"invented": b""}, "section 'invented': not known"),
-    ({"module": None}, "section 'module': missing"),
-    ({"module": b"junk"}, "section 'module': cannot be read"),
-    ({"hosts": msgspec.msgpack.encode({"lines": 3})}, "section 'hosts': cannot be read"),
-])
+@pytest.mark.parametrize(
+    ("change", "said"),
+    [
+        ({"invented": b""}, "section 'invented': not known"),
+        ({"module": None}, "section 'module': missing"),
+        ({"module": b"junk"}, "section 'module': cannot be read"),
+        ({"hosts": msgspec.msgpack.encode({"lines": 3})}, "section 'hosts': cannot be read"),
+    ],
+)
 @on_loop
 async def test_what_cannot_be_used_is_named_and_the_rest_taken(
     change: dict[str, bytes | None], said: str
--- a/tests/upgrade/test_upgrades.py
+++ b/tests/upgrade/test_upgrades.py
@@ -81,11 +81,21 @@
 
 @asynccontextmanager
 async def scene(
-    folder: Path, hosts: int = 4, delay: float = 0.03, operators: bool = False, works: list[Work] = WORKS
+    folder: Path,
+    hosts: int = 4,
+    delay: float = 0.03,
+    operators: bool = False,
+    works: list[Work] = WORKS,
 ) -> AsyncIterator[Scene]:
     builds = Builds(folder / "build")
     async with Stage(
-        folder, works, hosts=hosts, delay=delay, sockets=SOCKETS, upgrades=FILE, path=builds.folder,
+        folder,
+        works,
+        hosts=hosts,
+        delay=delay,
+        sockets=SOCKETS,
+        upgrades=FILE,
+        path=builds.folder,
         operators=operators,
     ) as stage:
         yield Scene(stage, builds)
@@ -99,7 +109,9 @@
     async def watch() -> None:
         while True:
             held = here.stage.gateway.processes()
-            counts.append(sum(count for pid, count in held.items() if pid != here.stage.gateway.pid))
+            counts.append(
+                sum(count for pid, count in held.items() if pid != here.stage.gateway.pid)
+            )
             await asyncio.sleep(0.002)
 
     watching = asyncio.ensure_future(watch())
@@ -113,7 +125,9 @@
     """Every request has its one answer, and the hosts saw what the gateway may have sent. A machine that
     stands still for longer than an aim brings refusals with or without an upgrade, so a few are let pass."""
     whole = total(tally(load.records, WORKS).values())
-    assert whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed + whole.unanswered
+    assert (
+        whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed + whole.unanswered
+    )
     assert (whole.late, whole.failed) == (0, 0)
     assert whole.refused <= 0.05 * whole.sent
     assert whole.unanswered <= lost
@@ -143,13 +157,16 @@
         assert before[0] in here.workers()
 
 
-@pytest.mark.parametrize(("broken", "why"), [
-    ("cannot be imported", "it ended with 1"),
-    ("exits at once", "it ended with 3"),
-    ("needs too much memory", "250 are allowed"),
-    ("speaks an older version", "it ended with -9"),
-    ("fails its self-test", "self-test: status-check: answered with 500, 200 was wanted"),
-])
+@pytest.mark.parametrize(
+    ("broken", "why"),
+    [
+        ("cannot be imported", "it ended with 1"),
+        ("exits at once", "it ended with 3"),
+        ("needs too much memory", "250 are allowed"),
+        ("speaks an older version", "it ended with -9"),
+        ("fails its self-test", "self-test: status-check: answered with 500, 200 was wanted"),
+    ],
+)
 @on_loop
 async def test_a_broken_build_changes_nothing(tmp_path: Path, broken: str, why: str) -> None:
     async with scene(tmp_path) as here:
@@ -183,7 +200,9 @@
 
 
 @on_loop
-async def test_a_build_that_hangs_once_it_serves_is_ended_and_the_old_one_serves(tmp_path: Path) -> None:
+async def test_a_build_that_hangs_once_it_serves_is_ended_and_the_old_one_serves(
+    tmp_path: Path,
+) -> None:
     async with scene(tmp_path) as here:
         before = here.workers()
         became, load = await here.under_load("hangs once it serves", rate=80.0)
@@ -194,13 +213,25 @@
         assert {record.status for record in load.records[-20:]} == {200}
 
 
-@pytest.mark.parametrize(("who", "kind"), [
-    ("new", "Hello"), ("new", "Ready"), ("new", "Taken"), ("new", "Prepared"), ("new", "Held"),
-    ("new", "Kept"),
-    ("old", "State"), ("old", "Yielded"), ("old", "Connections"), ("old", "Release"),
-])
+@pytest.mark.parametrize(
+    ("who", "kind"),
+    [
+        ("new", "Hello"),
+        ("new", "Ready"),
+        ("new", "Taken"),
+        ("new", "Prepared"),
+        ("new", "Held"),
+        ("new", "Kept"),
+        ("old", "State"),
+        ("old", "Yielded"),
+        ("old", "Connections"),
+        ("old", "Release"),
+    ],
+)
 @on_loop
-async def test_either_process_killed_in_the_middle_of_a_message(tmp_path: Path, who: str, kind: str) -> None:
+async def test_either_process_killed_in_the_middle_of_a_message(
+    tmp_path: Path, who: str, kind: str
+) -> None:
     """The machines' own test walks every step; here the kernel's part is real: descriptors, ends, the
     queue."""
     async with scene(tmp_path) as here:
@@ -219,7 +250,9 @@
 
 
 @on_loop
-async def test_open_requests_stay_and_a_second_one_of_the_same_id_is_not_sent(tmp_path: Path) -> None:
+async def test_open_requests_stay_and_a_second_one_of_the_same_id_is_not_sent(
+    tmp_path: Path,
+) -> None:
     """A client that asks again through the new process, while the old one has an attempt out."""
     async with scene(tmp_path, hosts=2, works=PATIENT) as here:
         for host in here.stage.hosts:
@@ -284,7 +317,9 @@
         await until(lambda: len(load.records) > 30)
         upgrading = asyncio.ensure_future(here.upgrade())
         await until(lambda: len(here.workers()) == 2)
-        while when == "as it stands by" and not any("stands by" in line for line in await here.status()):
+        while when == "as it stands by" and not any(
+            "stands by" in line for line in await here.status()
+        ):
             await asyncio.sleep(0.005)
         gateway.reconfigure(discovery=f"127.0.0.1:{other.port}")
         os.kill(gateway.pid, signal.SIGHUP)
@@ -336,7 +371,9 @@
             asking = asyncio.ensure_future(load.closed_loop((SOCKETS - RESERVED) // 2, 6.0))
             await until(lambda: len(load.records) > 1000)
             assert [await here.upgrade(broken) for broken in ("", "exits at once", "")] == [
-                "", "it ended with 3", ""
+                "",
+                "it ended with 3",
+                "",
             ]
             await asking
         whole = total(tally(load.records, WORKS).values())
@@ -405,7 +442,11 @@
             assert status == (0 if how == signal.SIGTERM else -9)
             await asking
             assert [record.status for record in load.records] == [200] * 5
-            await until(lambda workers=workers: not any(Path(f"/proc/{pid}").exists() for pid in workers))  # type: ignore[misc]
+            await until(
+                lambda workers=workers: (  # type: ignore[misc]
+                    not any(Path(f"/proc/{pid}").exists() for pid in workers)
+                )
+            )
             here.stage.hosts[0].receipts.clear()
             for host in here.stage.hosts:
                 host.receipts.clear()
@@ -422,8 +463,15 @@
 
         async def command(*words: str) -> tuple[int, str]:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "quillroad", *words, "--upgrades", str(folder / "upgrades.toml"),
-                cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT,
+                sys.executable,
+                "-m",
+                "quillroad",
+                *words,
+                "--upgrades",
+                str(folder / "upgrades.toml"),
+                cwd=ROOT,
+                stdout=subprocess.PIPE,
+                stderr=subprocess.STDOUT,
             )
             out, _ = await process.communicate()
             return process.returncode or 0, out.decode().splitlines()[-1]
@@ -439,28 +487,55 @@
         assert status == 1 and said.startswith("quillroad: no gateway at ")
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("", "control: missing"),
-    ('control = 3', "control: expected `str`, got `int`, not '3'"),
-    ('control = "/x"\n[times]\nstart = "soon"',
-     "times.start: expected a duration such as '580 ms', not 'soon'"),
-    ('control = "/x"\n[times]\nswitch = "1 min"',
-     "times.switch: needs a time from 0.05 s to 10 s, not '1 min'"),
-    ('control = "/x"\n[canary]\nfailed = 2.0', "canary.failed: expected `float` <= 1.0, not '2.0'"),
-    ('control = "/x"\n[crash]', "crash: no such field"),
-    ('control = "/x"\n[limits]\nfirst_descriptors = 600',
-     "limits.first_descriptors: needs half of the gateway's 1024 at the most, not 600"),
-    ('control = "/no/such/folder/c"',
-     "control: cannot listen on /no/such/folder/c: No such file or directory"),
-])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("", "control: missing"),
+        ("control = 3", "control: expected `str`, got `int`, not '3'"),
+        (
+            'control = "/x"\n[times]\nstart = "soon"',
+            "times.start: expected a duration such as '580 ms', not 'soon'",
+        ),
+        (
+            'control = "/x"\n[times]\nswitch = "1 min"',
+            "times.switch: needs a time from 0.05 s to 10 s, not '1 min'",
+        ),
+        (
+            'control = "/x"\n[canary]\nfailed = 2.0',
+            "canary.failed: expected `float` <= 1.0, not '2.0'",
+        ),
+        ('control = "/x"\n[crash]', "crash: no such field"),
+        (
+            'control = "/x"\n[limits]\nfirst_descriptors = 600',
+            "limits.first_descriptors: needs half of the gateway's 1024 at the most, not 600",
+        ),
+        (
+            'control = "/no/such/folder/c"',
+            "control: cannot listen on /no/such/folder/c: No such file or directory",
+        ),
+    ],
+)
 def test_a_file_that_cannot_work_is_one_line(tmp_path: Path, text: str, said: str) -> None:
     (tmp_path / "upgrades.toml").write_text(text)
-    config = (ROOT / "deploy" / "quillroad.toml").read_text().replace("127.0.0.1:8080", "127.0.0.1:0", 1)
+    config = (
+        (ROOT / "deploy" / "quillroad.toml").read_text().replace("127.0.0.1:8080", "127.0.0.1:0", 1)
+    )
     (tmp_path / "gateway.toml").write_text(config)
     done = subprocess.run(
-        [sys.executable, "-m", "quillroad", "--config", tmp_path / "gateway.toml", "--upgrades",
-         tmp_path / "upgrades.toml"],
-        cwd=ROOT, capture_output=True, text=True, timeout=20, check=False,
+        [
+            sys.executable,
+            "-m",
+            "quillroad",
+            "--config",
+            tmp_path / "gateway.toml",
+            "--upgrades",
+            tmp_path / "upgrades.toml",
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=20,
+        check=False,
     )
     assert (done.returncode, done.stderr.splitlines()[-1]) == (2, f"quillroad: {said}")
 
@@ -480,7 +555,12 @@
         "print([name for name in sys.modules if name.startswith(('quillroad.upgrade', 'msgspec', 'click'))])"
     )
     done = subprocess.run(
-        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=20, check=True
+        [sys.executable, "-c", code],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=20,
+        check=True,
     )
     assert done.stdout.strip() == "[]"
 
--- a/tests/zones/test_crossing.py
+++ b/tests/zones/test_crossing.py
@@ -30,14 +30,18 @@
 
 
 def budget(share: float = 0.1, *classes: Allowance, **changes: float) -> Budget:
-    return Budget(share, classes or (SPENDS, REFUSES), window_us=1_000_000, hold_us=100_000, **changes)
+    return Budget(
+        share, classes or (SPENDS, REFUSES), window_us=1_000_000, hold_us=100_000, **changes
+    )
 
 
 steps = st.lists(
     st.tuples(
         st.integers(0, 30_000),  # microseconds since the step before
         st.sampled_from(["first", "cross", "cross", "look"]),
-        st.integers(0, 1), st.sampled_from(list(Reason)), st.integers(0, 4),
+        st.integers(0, 1),
+        st.sampled_from(list(Reason)),
+        st.integers(0, 4),
     ),
     max_size=300,
 )
@@ -109,12 +113,16 @@
     crossing.carried(1, 5000)
     assert not crossing.allows(1, 0, Reason.SPILL) and crossing.allows(1, 0, Reason.BOUND)
     assert crossing.used(1) == pytest.approx(5.0)
-    assert not crossing.allows(1_500_000, 0, Reason.SPILL) and crossing.allows(1_700_000, 0, Reason.SPILL)
+    assert not crossing.allows(1_500_000, 0, Reason.SPILL) and crossing.allows(
+        1_700_000, 0, Reason.SPILL
+    )
 
 
 def test_a_lost_zone_is_held_lost_for_a_while_and_both_are_told_once() -> None:
     crossing = Crossing(budget())
-    lines = [crossing.look(at * 50_000, well, 4) for at, well in enumerate((4, 2, 1, 0, 4, 4, 4), 1)]
+    lines = [
+        crossing.look(at * 50_000, well, 4) for at, well in enumerate((4, 2, 1, 0, 4, 4, 4), 1)
+    ]
     assert lines == ["", "", "zone lost: well=1 of=4", "", "", "zone regained: well=4 of=4", ""]
     assert crossing.look(1_000_000, 0, 0).startswith("zone lost")  # no host at all is lost, too
 
@@ -169,7 +177,9 @@
     assert (crossing.sent[0].past, crossing.sent[1].refused) == (20, 20)
     assert stage.balancer.queued == 0
     told = [action.text for action in stage.log if isinstance(action, Log)]
-    assert told[0].startswith("zone lost: well=0") and told[1].startswith("zone budget passed: lost")
+    assert told[0].startswith("zone lost: well=0") and told[1].startswith(
+        "zone budget passed: lost"
+    )
 
 
 def test_a_repeat_bound_to_the_other_zone_goes_there_whatever_the_budget() -> None:
@@ -178,7 +188,9 @@
     listed = [Server(100, State.DRAINING, HOME), Server(101, zone=AWAY), Server(103, zone=AWAY)]
     stage = Stage(told, listed, crossing=crossing)
     number = stage.arrive()
-    stage.feed(ServerList(ListKind.CHANGES, (Server(100, zone=HOME),)))  # home is back, and can't have it
+    stage.feed(
+        ServerList(ListKind.CHANGES, (Server(100, zone=HOME),))
+    )  # home is back, and can't have it
     stage.balancer.routes[0].budget.tokens = 5.0
     stage.done(number, Outcome.ERROR)
     stage.pass_time(100_000)
@@ -192,7 +204,9 @@
     for outcome in Outcome:
         ledger.sent(0, AWAY, 100)
         carried = ledger.ended(0, AWAY, outcome, 100, 7 if outcome is Outcome.SUCCESS else 0)
-        assert carried == (0 if ENDS[outcome] == "unsent" else 107 if outcome is Outcome.SUCCESS else 100)
+        assert carried == (
+            0 if ENDS[outcome] == "unsent" else 107 if outcome is Outcome.SUCCESS else 100
+        )
     cell = ledger.cell(0, AWAY)
     assert (cell.open, cell.received, cell.unsent) == (0, 6, 2)
     assert (cell.bytes_out, cell.bytes_in) == (600, 7)
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -49,8 +49,15 @@
         self.file = folder / "report.json"
         self.budget = folder / "0" / "zones.toml"
         self.text = text.format(report=self.file)
-        self.stage = Stage(folder, WORKS, hosts=8, delay=0.02, zones=("east", "west"), budget=self.text,
-                           upgrades=upgrades)
+        self.stage = Stage(
+            folder,
+            WORKS,
+            hosts=8,
+            delay=0.02,
+            zones=("east", "west"),
+            budget=self.text,
+            upgrades=upgrades,
+        )
 
     def hosts(self, zone: str) -> list[Host]:
         return [host for host in self.stage.hosts if host.zone == zone]
@@ -77,8 +84,12 @@
         assert sum(cell.received for cell in cells) == zones.received(zone)
         assert sum(cell.open for cell in cells) == 0
     for one in told.classes:
-        assert one.crossed == sum(one.reasons.values()) == sum(c.sent for c in one.zones if not c.home)
-    assert sum(sum(minute.crossed) for minute in told.minutes) == sum(one.crossed for one in told.classes)
+        assert (
+            one.crossed == sum(one.reasons.values()) == sum(c.sent for c in one.zones if not c.home)
+        )
+    assert sum(sum(minute.crossed) for minute in told.minutes) == sum(
+        one.crossed for one in told.classes
+    )
 
 
 def accounted(zones: Zones, load: Load) -> None:
@@ -114,7 +125,9 @@
         assert status.past == 0 and 0 < status.refused <= rows["status-check"].refused
         assert rows["status-check"].refused > 0.5 * rows["status-check"].sent
         if how == "drains":
-            assert not [r for host in zones.hosts("east") for r in host.receipts if r.at > cut + 0.5]
+            assert not [
+                r for host in zones.hosts("east") for r in host.receipts if r.at > cut + 0.5
+            ]
             for host in zones.hosts("east"):
                 stage.tell(host, lifecycle="up")
         for host in zones.hosts("east"):
@@ -134,7 +147,9 @@
 
 
 @on_loop
-async def test_a_budget_is_raised_in_an_outage_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+async def test_a_budget_is_raised_in_an_outage_and_a_bad_file_changes_nothing(
+    tmp_path: Path,
+) -> None:
     zones = Zones(tmp_path)
     async with zones.stage as stage:
         for host in zones.hosts("east"):
@@ -190,8 +205,9 @@
         accounted(zones, load)
 
 
-def test_the_command_shows_a_report(tmp_path: Path, capsys: pytest.CaptureFixture[str],
-                                    monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_command_shows_a_report(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
     file = tmp_path / "r.json"
 
     def ask() -> tuple[int, str]:
@@ -204,29 +220,60 @@
     assert ask()[1].startswith(f"quillroad: {file} is no report: ")
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("", "budget: missing"),
-    ("[budget]", "budget.share: missing"),
-    ("[budget]\nshare = 1.5", "budget.share: expected `float` <= 1.0, not '1.5'"),
-    ("[budget]\nshare = 0.1\nwindow = \"0 s\"", "budget.window: needs a time from 1 s to 3600 s, not '0 s'"),
-    ("[budget]\nshare = 0.1\nper_second = -1", "budget.per_second: expected `float` >= 0.0, not '-1'"),
-    ("[budget]\nshare = 0.1\n[home]\nlost = 1", "home.lost: no such field"),
-    ("[budget]\nshare = 0.1\n[[classes]]\nname = \"other\"",
-     "classes[0].name: needs one of status-check, seat-checkout, not 'other'"),
-    ("[budget]\nshare = 0.1\n[[classes]]\nname = \"status-check\"\n[[classes]]\nname = \"status-check\"",
-     "classes[1].name: 'status-check' is there twice"),
-    ("[budget]\nshare = 0.1\n[[classes]]\nname = \"status-check\"\nwhen_lost = \"x\"",
-     "classes[0].when_lost: invalid enum value 'x', not 'x'"),
-    ("[budget]\nshare = 0.1\n[report]\nfile = \"/no/such/x\"", "report.file: no such folder: /no/such"),
-])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("", "budget: missing"),
+        ("[budget]", "budget.share: missing"),
+        ("[budget]\nshare = 1.5", "budget.share: expected `float` <= 1.0, not '1.5'"),
+        (
+            '[budget]\nshare = 0.1\nwindow = "0 s"',
+            "budget.window: needs a time from 1 s to 3600 s, not '0 s'",
+        ),
+        (
+            "[budget]\nshare = 0.1\nper_second = -1",
+            "budget.per_second: expected `float` >= 0.0, not '-1'",
+        ),
+        ("[budget]\nshare = 0.1\n[home]\nlost = 1", "home.lost: no such field"),
+        (
+            '[budget]\nshare = 0.1\n[[classes]]\nname = "other"',
+            "classes[0].name: needs one of status-check, seat-checkout, not 'other'",
+        ),
+        (
+            '[budget]\nshare = 0.1\n[[classes]]\nname = "status-check"\n[[classes]]\nname = "status-check"',
+            "classes[1].name: 'status-check' is there twice",
+        ),
+        (
+            '[budget]\nshare = 0.1\n[[classes]]\nname = "status-check"\nwhen_lost = "x"',
+            "classes[0].when_lost: invalid enum value 'x', not 'x'",
+        ),
+        (
+            '[budget]\nshare = 0.1\n[report]\nfile = "/no/such/x"',
+            "report.file: no such folder: /no/such",
+        ),
+    ],
+)
 def test_a_file_that_cannot_work_is_one_line(tmp_path: Path, text: str, said: str) -> None:
     (tmp_path / "zones.toml").write_text(text)
-    config = (ROOT / "deploy" / "quillroad.toml").read_text().replace("127.0.0.1:8080", "127.0.0.1:0", 1)
+    config = (
+        (ROOT / "deploy" / "quillroad.toml").read_text().replace("127.0.0.1:8080", "127.0.0.1:0", 1)
+    )
     (tmp_path / "gateway.toml").write_text(config.replace('zone = ""', 'zone = "east"'))
     done = subprocess.run(
-        [sys.executable, "-m", "quillroad", "--config", tmp_path / "gateway.toml", "--zones",
-         tmp_path / "zones.toml"],
-        cwd=ROOT, capture_output=True, text=True, timeout=20, check=False,
+        [
+            sys.executable,
+            "-m",
+            "quillroad",
+            "--config",
+            tmp_path / "gateway.toml",
+            "--zones",
+            tmp_path / "zones.toml",
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=20,
+        check=False,
     )
     assert (done.returncode, done.stderr.splitlines()[-1]) == (2, f"quillroad: zones.toml: {said}")
 
@@ -238,6 +285,11 @@
         "print([name for name in sys.modules if name.startswith(off)])"
     )
     done = subprocess.run(
-        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=20, check=True
+        [sys.executable, "-c", code],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=20,
+        check=True,
     )
     assert done.stdout.strip() == "[]"
