--- a/bench/admission.py
+++ b/bench/admission.py
@@ -14,8 +14,8 @@
 
 from bench.disciplines import ALL
 from bench.picture import over_time
-from quillroad.arrivals.admission import Admission, Lane
-from rig.core import SLOT_S, Core, Discipline, mix
+from quillroad.overload.admission_queue import Admission, Lane
+from testbed.core import SLOT_S, Core, Discipline, mix
 
 LANES = (Lane(2.0, 0.58), Lane(8.0, 0.75))
 UNEVEN = (Lane(2.0, 5.0), Lane(2.0, 0.05))
--- a/bench/counts.py
+++ b/bench/counts.py
@@ -20,10 +20,10 @@
 
 import uvloop
 
-from rig.account import Work
-from rig.clients import Load
-from rig.gateway import GatewayProcess, settings
-from rig.hosts import Discovery, Host
+from testbed.account import Work
+from testbed.clients import Load
+from testbed.gateway import GatewayProcess, settings
+from testbed.hosts import Discovery, Host
 
 RECORDED = Path(__file__).with_name("counts.json")
 MOST_GROWTH = 0.015  # runs of the same code lay within 0.7% of one another
@@ -48,7 +48,7 @@
             Path(name), discovery.port, settings([work], parallel_tries=False), sockets=256
         )
         gateway.tree = tree
-        await gateway.start(command=("-m", "rig.counted", str(file)))
+        await gateway.start(command=("-m", "testbed.counted", str(file)))
         load = Load(gateway.address, [work], (1,))
         reader, writer = await asyncio.open_connection(*gateway.address)
         for _ in range(requests):
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -14,8 +14,8 @@
 import random
 import sys
 
-from pinetrack.balance import Balancer
-from pinetrack.interface import (
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import (
     Alarm,
     Arrived,
     AttemptDone,
--- a/bench/disciplines.py
+++ b/bench/disciplines.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import cast
 
-from quillroad.arrivals.admission import Lane
-from rig.core import Item
+from quillroad.overload.admission_queue import Lane
+from testbed.core import Item
 
 SLICE_S = 0.002
 
--- a/bench/discovery_calls.py
+++ b/bench/discovery_calls.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from rig.service import Service, lists_after, most_calls
+from testbed.service import Service, lists_after, most_calls
 
 GRACE_S = 6.5  # a change counts as told after 6 s, and sends may go on for 0.5 s
 SEEDS = range(5)
--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -14,9 +14,9 @@
 
 import uvloop
 
-from rig.account import Work, total
-from rig.processes import run_load
-from rig.stage import Stage
+from testbed.account import Work, total
+from testbed.processes import run_load
+from testbed.stage import Stage
 
 WORKS = [
     Work("status-check", 0.58, 1.4, 2.0),
--- a/bench/fleet_processes.py
+++ b/bench/fleet_processes.py
@@ -19,10 +19,10 @@
 
 import uvloop
 
-from quillroad.fleet.report import Report, read_report
-from rig.account import Work, tally, total
-from rig.schedule import steady
-from rig.stage import Stage
+from quillroad.membership.report import Report, read_report
+from testbed.account import Work, tally, total
+from testbed.schedule import steady
+from testbed.stage import Stage
 
 WORKS = [
     Work("status-check", 0.58, 1.4, 2.0),
--- a/bench/fleet_view.py
+++ b/bench/fleet_view.py
@@ -22,14 +22,14 @@
 from pathlib import Path
 from typing import Any
 
-from lab.cuts import Cuts
-from lab.fleet import EVERYONE, Fleet
-from lab.heartbeats import Heartbeats
-from lab.net import Link, World
-from lab.phi import Phi
-from quillroad.fleet.core import Core
-from quillroad.fleet.roster import Address
-from quillroad.fleet.timing import Timing
+from quillroad.membership.core import Core
+from quillroad.membership.roster import Address
+from quillroad.membership.timing import Timing
+from simulation.cuts import Cuts
+from simulation.fleet import EVERYONE, Fleet
+from simulation.heartbeats import Heartbeats
+from simulation.net import Link, World
+from simulation.phi import Phi
 
 MOST_S = 60.0
 CALM_S = 5.0
--- a/bench/fleet_walk.py
+++ b/bench/fleet_walk.py
@@ -1,6 +1,7 @@
 """How far all orders were walked: `python -m bench.fleet_walk [--depth 8] [--closing 5] [--jobs 4]`.
 
-For three members, from each scene of `lab/walk.py`, without and with an address that reaches all: the states
+For three members, from each scene of `simulation/walk.py`, without and with an address that
+reaches all: the states
 up to `depth` steps, each checked, and those at the end of `closing` steps, from each of which a whole network
 has to bring all views to agree. Ends with 1 where something breaks what must hold, with the path to it.
 """
@@ -13,8 +14,8 @@
 from functools import partial
 from itertools import product
 
-from lab.fleet import EVERYONE
-from lab.walk import Broken, Flight, Walk
+from simulation.fleet import EVERYONE
+from simulation.walk import Broken, Flight, Walk
 
 
 def play(depth: int, closing: int, which: tuple[str, bool]) -> tuple[str, bool]:
--- a/bench/fleet_worth.py
+++ b/bench/fleet_worth.py
@@ -15,9 +15,9 @@
 
 import uvloop
 
-from rig.account import Work, tally, total
-from rig.schedule import poisson
-from rig.stage import Stage
+from testbed.account import Work, tally, total
+from testbed.schedule import poisson
+from testbed.stage import Stage
 
 WORKS = [
     Work("status-check", 0.58, 1.4, 2.0),
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -20,12 +20,12 @@
 
 import uvloop
 
-from rig.account import Work, percentile, tally, total
-from rig.clients import Load
-from rig.consul import SERVICE, Agent, Catalogue, Registered
-from rig.gateway import FileGateway, free_port
-from rig.hosts import Host
-from rig.schedule import steady
+from testbed.account import Work, percentile, tally, total
+from testbed.clients import Load
+from testbed.consul import SERVICE, Agent, Catalogue, Registered
+from testbed.gateway import FileGateway, free_port
+from testbed.hosts import Host
+from testbed.schedule import steady
 
 WORKS = [
     Work("status-check", 0.58, 1.4, 2.0),
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -17,9 +17,9 @@
 import uvloop
 
 from bench.picture import lines
-from rig.account import Work, percentile, total
-from rig.gateway import GatewayProcess, settings
-from rig.processes import HostsProcess, hold, run_load
+from testbed.account import Work, percentile, total
+from testbed.gateway import GatewayProcess, settings
+from testbed.processes import HostsProcess, hold, run_load
 
 WORKS = [
     Work("status-check", 0.58, 1.4, 2.0),
--- a/bench/path.py
+++ b/bench/path.py
@@ -20,9 +20,9 @@
 import uvloop
 
 from bench.picture import lines
-from rig.account import Work, percentile, total
-from rig.gateway import ROOT, GatewayProcess, settings
-from rig.processes import HostsProcess, run_load
+from testbed.account import Work, percentile, total
+from testbed.gateway import ROOT, GatewayProcess, settings
+from testbed.processes import HostsProcess, run_load
 
 COMPILED = ROOT / "build" / "compiled"
 FORMS = ("relay", "plain", "compiled")
--- a/bench/storm.py
+++ b/bench/storm.py
@@ -15,9 +15,9 @@
 
 import uvloop
 
-from rig.account import Work, percentile, total
-from rig.gateway import GatewayProcess, settings
-from rig.processes import HostsProcess, run_load
+from testbed.account import Work, percentile, total
+from testbed.gateway import GatewayProcess, settings
+from testbed.processes import HostsProcess, run_load
 
 WORKS = [
     Work("status-check", 0.58, 0.9, 2.0),
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -22,11 +22,11 @@
 
 import uvloop
 
-from rig.account import Record, Work, percentile, tally, total
-from rig.builds import BROKEN, Builds
-from rig.clients import Load
-from rig.schedule import steady
-from rig.stage import Stage
+from testbed.account import Record, Work, percentile, tally, total
+from testbed.builds import BROKEN, Builds
+from testbed.clients import Load
+from testbed.schedule import steady
+from testbed.stage import Stage
 
 WORKS = [
     Work("status-check", 0.58, 1.4, 2.0),
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -21,9 +21,8 @@
 import uvloop
 
 from bench.picture import over_time
-from pinetrack.balance import Balancer
-from pinetrack.crossing import Allowance, Budget, Crossing
-from pinetrack.interface import (
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import (
     Arrived,
     AttemptDone,
     Effect,
@@ -34,10 +33,11 @@
     ServerList,
     Settings,
 )
+from quillroad.balancing.zone_routing import Allowance, Budget, Crossing
 from quillroad.zones.report import Report, read_report
-from rig.account import Record, Work, percentile, tally, total
-from rig.schedule import steady
-from rig.stage import Stage
+from testbed.account import Record, Work, percentile, tally, total
+from testbed.schedule import steady
+from testbed.stage import Stage
 
 WORKS = [
     Work("status-check", 0.58, 1.4, 2.0),
--- a/quillroad/__init__.py
+++ b/quillroad/__init__.py
@@ -1,1 +1,2 @@
-"""The real gateway round the decision module `pinetrack`: sockets in and out, no decisions of its own."""
+"""The real gateway round the decision module `quillroad.balancing`: sockets in and out, no
+decisions of its own."""
--- a/quillroad/admin/admin.py
+++ b/quillroad/admin/admin.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from pinetrack.interface import ServerList
 from quillroad.admin.calls import Act, Call
 from quillroad.admin.figures import CONTENT_TYPE, Figures
 from quillroad.admin.front import PLACES, Front, Page, page
 from quillroad.admin.hands import Hands, NoSuchHostError, Told, TooManyError
-from quillroad.arrivals.acceptor import open_listener
+from quillroad.balancing.interface import ServerList
 from quillroad.config import Address
+from quillroad.overload.acceptor import open_listener
 
 if TYPE_CHECKING:
     from quillroad.gateway import Gateway
--- a/quillroad/admin/front.py
+++ b/quillroad/admin/front.py
@@ -16,8 +16,8 @@
 import httptools
 
 from quillroad.admin.calls import BadCall, Call, read_call
-from quillroad.arrivals.acceptor import Acceptor
 from quillroad.framing import BadRequestError, check_framing
+from quillroad.overload.acceptor import Acceptor
 
 log = logging.getLogger("quillroad.admin")
 
--- a/quillroad/admin/hands.py
+++ b/quillroad/admin/hands.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from pinetrack.interface import ListKind, Server, ServerList, State
+from quillroad.balancing.interface import ListKind, Server, ServerList, State
 from quillroad.config import Address
 
 MOST = 4096  # hosts out by hand, and calls back remembered: a list has fewer, and both outlive it
--- a/pinetrack/__init__.py
+++ b/quillroad/balancing/__init__.py
@@ -1,7 +1,7 @@
 """Decisions of a reverse proxy that stay good when servers fail. Start at `Balancer` and `interface`."""
 
-from pinetrack.balance import Balancer
-from pinetrack.interface import (
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import (
     Action,
     Alarm,
     Arrived,
--- a/pinetrack/balance.py
+++ b/quillroad/balancing/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of pinetrack. Its types, events and actions stand in pinetrack/interface.py."""
+"""Every decision. Its types, events and actions stand in quillroad/balancing/interface.py."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING, Any
 
-from pinetrack.interface import (
+from quillroad.balancing.interface import (
     NEVER_RAN,
     Action,
     Alarm,
@@ -42,7 +42,7 @@
 )
 
 if TYPE_CHECKING:
-    from pinetrack.crossing import Crossing, Reason
+    from quillroad.balancing.zone_routing import Crossing, Reason
 
 UNKNOWN = 0.5  # payoff of a server nothing is known of
 EXPLORE = 0.05  # share of picks that go to the lower-scored of the two drawn
--- a/pinetrack/told.py
+++ b/quillroad/balancing/platform_settings.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import Any, TypeVar
 
-from pinetrack.interface import Effect, Group, Route, Settings
+from quillroad.balancing.interface import Effect, Group, Route, Settings
 
 Choice = TypeVar("Choice", bound=Enum)
 
--- a/pinetrack/benchlink.py
+++ b/quillroad/balancing/simulator.py
@@ -1,7 +1,7 @@
 """The simulator's wire on standard input and output: decode, one Balancer for each instance, encode.
 
 No decision is made here. The dialect's words stay in this file; the library speaks of servers and attempts.
-Run as `python -m pinetrack.benchlink`. Input that is no legal batch ends the run with status 2.
+Run as `python -m quillroad.balancing.simulator`. Input that is no legal batch ends the run with status 2.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import IO, Any
 
-from pinetrack.balance import Balancer
-from pinetrack.interface import (
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import (
     Action,
     Alarm,
     Arrived,
@@ -35,7 +35,7 @@
     StreamStarted,
     Watch,
 )
-from pinetrack.told import read_settings
+from quillroad.balancing.platform_settings import read_settings
 
 OUTCOMES = {
     "success": Outcome.SUCCESS,
--- a/quillroad/cli/demo.py
+++ b/quillroad/cli/demo.py
@@ -13,9 +13,9 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from rig.account import Work, percentile, tally
-from rig.schedule import steady
-from rig.stage import Stage
+from testbed.account import Work, percentile, tally
+from testbed.schedule import steady
+from testbed.stage import Stage
 
 WORKS = [
     Work("status-check", 0.58, 1.4, 2.0),
--- a/quillroad/cli/fleet.py
+++ b/quillroad/cli/fleet.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from quillroad.fleet.report import Report, read_report
+from quillroad.membership.report import Report, read_report
 
 STALE_S = 10.0  # after which a report says nothing of now
 SHORT = {"alive": "+", "suspect": "?", "gone": "-", "left": "<", "unknown": "."}
--- a/quillroad/config/platform.py
+++ b/quillroad/config/platform.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from pinetrack.told import read_settings
+from quillroad.balancing.platform_settings import read_settings
 from quillroad.config.model import (
     BUFFERS,
     LONG_BODY,
--- a/quillroad/counts.py
+++ b/quillroad/counts.py
@@ -14,13 +14,13 @@
 from time import monotonic
 from typing import TYPE_CHECKING, Any
 
-from pinetrack.interface import Outcome
+from quillroad.balancing.interface import Outcome
 
 if TYPE_CHECKING:
     import asyncio
 
-    from quillroad.engine import Engine
-    from quillroad.upstream import Answer, Done, Host, Upstream
+    from quillroad.engine.engine import Engine
+    from quillroad.upstream.pool import Answer, Done, Host, Upstream
 
 log = logging.getLogger("quillroad.counts")
 
--- a/quillroad/membership/consul/health.py
+++ b/quillroad/discovery/consul/health.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from quillroad.config import Address
-from quillroad.membership.instance import Instance, Standing
+from quillroad.discovery.instance import Instance, Standing
 
 NODE_MAINTENANCE, SERVICE_MAINTENANCE = "_node_maintenance", "_service_maintenance:"
 MOST_ENTRIES = 20_000  # of one answer
--- a/quillroad/membership/consul/merge.py
+++ b/quillroad/discovery/consul/merge.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Hashable
 
-from quillroad.membership.instance import Health, Instance, SourceState, Standing
+from quillroad.discovery.instance import Health, Instance, SourceState, Standing
 
 ORDER = {Standing.UP: 0, Standing.DRAINING: 1, Standing.OUT: 2}
 
--- a/quillroad/membership/consul/registrar.py
+++ b/quillroad/discovery/consul/registrar.py
@@ -9,10 +9,10 @@
 from time import monotonic
 
 from quillroad.config import Config, Register
-from quillroad.membership.consul.register import Call, Entry, Registration, Where
-from quillroad.membership.fetch import FetchError, fetch
+from quillroad.discovery.consul.register import Call, Entry, Registration, Where
+from quillroad.discovery.fetch import FetchError, fetch
 
-log = logging.getLogger("quillroad.membership.consul")
+log = logging.getLogger("quillroad.discovery.consul")
 
 ANSWER_S, ANSWER_BYTES = 1.0, 64 * 1024  # of an agent, for one word
 LOOK_S = 0.1  # between two looks at whether there are hosts
--- a/quillroad/membership/consul/source.py
+++ b/quillroad/discovery/consul/source.py
@@ -10,14 +10,14 @@
 from urllib.parse import quote, urlencode
 
 from quillroad.config import Config, ConsulHosts
-from quillroad.membership.consul.agents import Agents, Limits, Verdict, judge
-from quillroad.membership.consul.health import ConsulError, Mapping, read_health
-from quillroad.membership.consul.index import Index, Pace
-from quillroad.membership.consul.merge import Views
-from quillroad.membership.fetch import FetchError, fetch
-from quillroad.membership.instance import Instance, Listener, Snapshot
-
-log = logging.getLogger("quillroad.membership.consul")
+from quillroad.discovery.consul.agents import Agents, Limits, Verdict, judge
+from quillroad.discovery.consul.health import ConsulError, Mapping, read_health
+from quillroad.discovery.consul.index import Index, Pace
+from quillroad.discovery.consul.merge import Views
+from quillroad.discovery.fetch import FetchError, fetch
+from quillroad.discovery.instance import Instance, Listener, Snapshot
+
+log = logging.getLogger("quillroad.discovery.consul")
 
 WATCHES = 2  # agents that are asked at the same time, where there are as many
 BODY_LIMIT = 32 * 1024 * 1024  # 2,000 instances are about 2 MB
--- a/quillroad/membership/feed.py
+++ b/quillroad/discovery/feed.py
@@ -6,12 +6,12 @@
 import time
 from collections.abc import Callable, Mapping, Sequence
 
-from pinetrack.interface import ServerList
+from quillroad.balancing.interface import ServerList
 from quillroad.config import Address
-from quillroad.membership.instance import Health, Listener, Snapshot, SourceState
-from quillroad.membership.reduce import Reducer
+from quillroad.discovery.instance import Health, Listener, Snapshot, SourceState
+from quillroad.discovery.reducer import Reducer
 
-log = logging.getLogger("quillroad.membership")
+log = logging.getLogger("quillroad.discovery")
 
 Update = Callable[[ServerList, dict[int, str], dict[int, Address]], None]
 
--- a/quillroad/membership/platform.py
+++ b/quillroad/discovery/platform.py
@@ -17,16 +17,16 @@
 
 import httptools
 
-from pinetrack.interface import ListKind, Server, ServerList, State
+from quillroad.balancing.interface import ListKind, Server, ServerList, State
 from quillroad.config import Address, Config, ConfigError, read_address
-from quillroad.membership.currency import SILENCE_S, Currency
-from quillroad.membership.documents import BrokenDocument, Documents
-from quillroad.membership.feed import Update
-from quillroad.membership.pacing import Pacing
-from quillroad.membership.reduce import server_number
-from quillroad.membership.salvage import leaving
-
-log = logging.getLogger("quillroad.membership.platform")
+from quillroad.discovery.feed import Update
+from quillroad.discovery.freshness import SILENCE_S, Currency
+from quillroad.discovery.json_stream import BrokenDocument, Documents
+from quillroad.discovery.partial_line_recovery import leaving
+from quillroad.discovery.poll_schedule import Pacing
+from quillroad.discovery.reducer import server_number
+
+log = logging.getLogger("quillroad.discovery.platform")
 
 STATES = {"up": State.READY, "draining": State.DRAINING, "removed": State.GONE}
 SILENT = "silent"
--- a/quillroad/membership/reduce.py
+++ b/quillroad/discovery/reducer.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from pinetrack.interface import ListKind, Server, ServerList, State
+from quillroad.balancing.interface import ListKind, Server, ServerList, State
 from quillroad.config import Address
-from quillroad.membership.instance import Instance, Snapshot, Standing
+from quillroad.discovery.instance import Instance, Snapshot, Standing
 
 REMEMBERED = 4096  # ids that left, the latest of them: one that comes back is known
 
--- a/quillroad/membership/source.py
+++ b/quillroad/discovery/source.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from quillroad.config import Config, ConsulHosts, StaticHosts
-from quillroad.membership.feed import Feed, Update
+from quillroad.discovery.feed import Feed, Update
 
 
 class Source(Protocol):
@@ -38,13 +38,13 @@
     Each brings its libraries: none but the one in use is imported."""
     feed = Feed(config.zones, config.kinds, update)
     if isinstance(config.hosts, StaticHosts):
-        from quillroad.membership.static import StaticSource  # noqa: PLC0415
+        from quillroad.discovery.static import StaticSource  # noqa: PLC0415
 
         return StaticSource(feed.listener()), feed
     if isinstance(config.hosts, ConsulHosts):
-        from quillroad.membership.consul.source import ConsulSource, told_by  # noqa: PLC0415
+        from quillroad.discovery.consul.source import ConsulSource, told_by  # noqa: PLC0415
 
         return ConsulSource(told_by(config.hosts), feed.listener(), config.seed), feed
-    from quillroad.membership.platform import Discovery  # noqa: PLC0415
+    from quillroad.discovery.platform import Discovery  # noqa: PLC0415
 
     return Discovery(config, update), None
--- a/quillroad/membership/static.py
+++ b/quillroad/discovery/static.py
@@ -5,7 +5,7 @@
 from time import monotonic
 
 from quillroad.config import Config, StaticHosts
-from quillroad.membership.instance import (
+from quillroad.discovery.instance import (
     Health,
     Instance,
     Listener,
--- a/quillroad/server.py
+++ b/quillroad/downstream/server.py
@@ -21,22 +21,22 @@
 
 import httptools
 
-from pinetrack.interface import Effect, Route
-from quillroad.arrivals.acceptor import Acceptor
-from quillroad.arrivals.admission import Admission, Lane, Waiting
-from quillroad.arrivals.age import data_age, has_ended, unacknowledged
-from quillroad.arrivals.buffers import Buffers
-from quillroad.arrivals.glance import LONGEST, glance
-from quillroad.arrivals.heap import steady
-from quillroad.arrivals.heart import Heart
-from quillroad.arrivals.room import UNHEARD_S, Room, Stage
-from quillroad.arrivals.spread import Spread
+from quillroad.balancing.interface import Effect, Route
 from quillroad.config import RESERVED, SHORT_BODY, Config, Descriptors
-from quillroad.engine import ClientRequest, Engine, OpenRequest, Reply
+from quillroad.downstream.connection_limit import UNHEARD_S, Room, Stage
+from quillroad.engine.engine import ClientRequest, Engine, OpenRequest, Reply
 from quillroad.framing import FRAMED, BadRequestError, check_framing
-from quillroad.upstream import HEAD_LIMIT, Answer, Rest
-
-log = logging.getLogger("quillroad.server")
+from quillroad.overload.acceptor import Acceptor
+from quillroad.overload.admission_queue import Admission, Lane, Waiting
+from quillroad.overload.body_budget import Buffers
+from quillroad.overload.event_loop_monitor import Heart
+from quillroad.overload.fast_path_parse import LONGEST, glance
+from quillroad.overload.heap import steady
+from quillroad.overload.retry_after import Spread
+from quillroad.overload.socket_age import data_age, has_ended, unacknowledged
+from quillroad.upstream.pool import HEAD_LIMIT, Answer, Rest
+
+log = logging.getLogger("quillroad.downstream.server")
 
 REASONS = {
     200: b"OK",
--- a/quillroad/engine.py
+++ b/quillroad/engine/engine.py
@@ -18,8 +18,8 @@
 from time import monotonic
 from typing import NamedTuple, Protocol
 
-from pinetrack.balance import Balancer
-from pinetrack.interface import (
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import (
     Action,
     Alarm,
     Arrived,
@@ -39,9 +39,9 @@
     StreamStarted,
 )
 from quillroad.config import SHORT_BODY, Address
-from quillroad.upstream import Answer, Attempt, Done, Host, Upstream
+from quillroad.upstream.pool import Answer, Attempt, Done, Host, Upstream
 
-log = logging.getLogger("quillroad.engine")
+log = logging.getLogger("quillroad.engine.engine")
 
 # Before the client's deadline by this much the attempts are timed out and the module says its last word:
 # room for the way to the client, for a loop that runs late and for a core that another gateway has just now.
--- a/quillroad/gateway.py
+++ b/quillroad/gateway.py
@@ -16,23 +16,23 @@
 
 import uvloop
 
-from pinetrack.balance import Balancer
-from quillroad.arrivals.acceptor import open_listener
-from quillroad.arrivals.heart import Heart
+from quillroad.balancing.balancer import Balancer
 from quillroad.config import Config, ConfigError, Descriptors, changed_fields
-from quillroad.duty import Duty
-from quillroad.engine import Engine
-from quillroad.inherited import inherited
-from quillroad.membership.feed import Update
-from quillroad.membership.source import open_source
-from quillroad.server import Server
-from quillroad.upstream import Upstream
+from quillroad.discovery.feed import Update
+from quillroad.discovery.source import open_source
+from quillroad.downstream.server import Server
+from quillroad.engine.engine import Engine
+from quillroad.inherited_descriptors import inherited
+from quillroad.overload.acceptor import open_listener
+from quillroad.overload.event_loop_monitor import Heart
+from quillroad.serving_state import Duty
+from quillroad.upstream.pool import Upstream
 
 if TYPE_CHECKING:
     from quillroad.admin import Admin
     from quillroad.counts import Counts
-    from quillroad.fleet.socket import Fleet
-    from quillroad.membership.consul.registrar import Registrar
+    from quillroad.discovery.consul.registrar import Registrar
+    from quillroad.membership.socket import Fleet
     from quillroad.zones.zones import Zones
 
 log = logging.getLogger("quillroad")
@@ -118,7 +118,7 @@
         self._hosts = (config.discovery, config.hosts)
         self.registrar: Registrar | None = None
         if config.register is not None:
-            from quillroad.membership.consul.registrar import Registrar  # noqa: PLC0415
+            from quillroad.discovery.consul.registrar import Registrar  # noqa: PLC0415
 
             self.registrar = Registrar(config.register, config, lambda: self.engine.ready)
         self.server = server(
@@ -136,7 +136,7 @@
             self.counts = Counts(loop, self.engine, self.upstream)
         self.fleet: Fleet | None = None
         if told := os.environ.get("QUILLROAD_FLEET"):
-            from quillroad.fleet.socket import Fleet  # noqa: PLC0415
+            from quillroad.membership.socket import Fleet  # noqa: PLC0415
 
             self.fleet = Fleet(Path(told), config, loop)
             self.fleet.attach(self.engine, lambda: self.source)
--- a/quillroad/fleet/core.py
+++ b/quillroad/membership/core.py
@@ -18,8 +18,8 @@
 
 from immutables import Map
 
-from quillroad.fleet.budget import Budget
-from quillroad.fleet.claims import (
+from quillroad.membership.budget import Budget
+from quillroad.membership.claims import (
     CHUNK,
     MOST_INCARNATION,
     Claim,
@@ -29,15 +29,15 @@
     slot,
     unpacked,
 )
-from quillroad.fleet.condition import TWIN_S, Condition, Self
-from quillroad.fleet.news import Queue
-from quillroad.fleet.roster import Address, Roster
-from quillroad.fleet.suspicion import Suspicion, shortest_s
-from quillroad.fleet.sweep import PART as SWEEPING
-from quillroad.fleet.sweep import Sweep
-from quillroad.fleet.timing import Timing
-from quillroad.fleet.view import Change, Seen, View
-from quillroad.fleet.wire import (
+from quillroad.membership.condition import TWIN_S, Condition, Self
+from quillroad.membership.news import Queue
+from quillroad.membership.roster import Address, Roster
+from quillroad.membership.suspicion import Suspicion, shortest_s
+from quillroad.membership.sweep import PART as SWEEPING
+from quillroad.membership.sweep import Sweep
+from quillroad.membership.timing import Timing
+from quillroad.membership.view import Change, Seen, View
+from quillroad.membership.wire import (
     MOST_BYTES,
     MOST_NEWS,
     MOST_TOLD,
--- a/quillroad/fleet/report.py
+++ b/quillroad/membership/report.py
@@ -8,8 +8,8 @@
 from msgspec import Struct
 
 if TYPE_CHECKING:  # who reads reports needs not what makes them
-    from quillroad.fleet.core import Core
-    from quillroad.fleet.share import Part
+    from quillroad.membership.core import Core
+    from quillroad.membership.share import Part
 
 
 class Line(Struct):
--- a/quillroad/fleet/settings.py
+++ b/quillroad/membership/settings.py
@@ -11,9 +11,9 @@
 
 from quillroad.config import Address, Config, ConfigError, read_address
 from quillroad.config.file import Duration, output_file, read_toml, within
-from quillroad.fleet.roster import Roster
-from quillroad.fleet.timing import Timing
-from quillroad.fleet.wire import MOST_BYTES, MOST_MEMBERS
+from quillroad.membership.roster import Roster
+from quillroad.membership.timing import Timing
+from quillroad.membership.wire import MOST_BYTES, MOST_MEMBERS
 
 NEEDED = 400  # bytes that probes, answers and help take in a period, in a fleet without news
 
--- a/quillroad/fleet/share.py
+++ b/quillroad/membership/share.py
@@ -9,8 +9,8 @@
 
 from typing import NamedTuple
 
-from quillroad.fleet.condition import Self
-from quillroad.fleet.view import View
+from quillroad.membership.condition import Self
+from quillroad.membership.view import View
 
 
 class Part(NamedTuple):
--- a/quillroad/fleet/socket.py
+++ b/quillroad/membership/socket.py
@@ -17,18 +17,18 @@
 
 import structlog
 
-from pinetrack.interface import Company
+from quillroad.balancing.interface import Company
 from quillroad.config import Config
-from quillroad.engine import Engine
+from quillroad.discovery.source import Source
+from quillroad.engine.engine import Engine
 from quillroad.files import Writer
-from quillroad.fleet.core import EVERYONE, Core
-from quillroad.fleet.report import make_report, write_report
-from quillroad.fleet.settings import FleetSettings, load_fleet
-from quillroad.fleet.share import Part, Share
-from quillroad.fleet.wire import MOST_BYTES
-from quillroad.membership.source import Source
-
-log = logging.getLogger("quillroad.fleet")
+from quillroad.membership.core import EVERYONE, Core
+from quillroad.membership.report import make_report, write_report
+from quillroad.membership.settings import FleetSettings, load_fleet
+from quillroad.membership.share import Part, Share
+from quillroad.membership.wire import MOST_BYTES
+
+log = logging.getLogger("quillroad.membership")
 
 MOST_READ = 64  # datagrams in one turn of the loop: a flood has no more of it than that
 TAKEN_S = 0.2  # until an address that another process holds is tried again
--- a/quillroad/fleet/suspicion.py
+++ b/quillroad/membership/suspicion.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from math import log, log10
 
-from quillroad.fleet.claims import SLOTS
+from quillroad.membership.claims import SLOTS
 
 
 def shortest_s(members: int, period_s: float, rounds: float) -> float:
--- a/quillroad/fleet/view.py
+++ b/quillroad/membership/view.py
@@ -6,8 +6,8 @@
 
 from immutables import Map
 
-from quillroad.fleet.claims import Standing
-from quillroad.fleet.condition import Self
+from quillroad.membership.claims import Standing
+from quillroad.membership.condition import Self
 
 
 class Seen(NamedTuple):
--- a/quillroad/fleet/wire.py
+++ b/quillroad/membership/wire.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from quillroad.fleet.claims import MOST_INCARNATION, SLOTS, Claim, Standing
+from quillroad.membership.claims import MOST_INCARNATION, SLOTS, Claim, Standing
 
 MOST_BYTES = 256
 VERSION = 1
--- a/quillroad/arrivals/acceptor.py
+++ b/quillroad/overload/acceptor.py
@@ -17,9 +17,9 @@
 from time import monotonic
 from typing import Generic, TypeVar
 
-from quillroad.arrivals.backoff import AcceptBackoff
+from quillroad.overload.accept_backoff import AcceptBackoff
 
-log = logging.getLogger("quillroad.arrivals")
+log = logging.getLogger("quillroad.overload")
 
 BACKLOG = 4096  # connections that wait in the kernel; it holds this to net.core.somaxconn
 PART = 0.125  # of the time since the last accepts, for these; coming up takes a connection as long again
--- a/quillroad/arrivals/heart.py
+++ b/quillroad/overload/event_loop_monitor.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from quillroad.arrivals.pulse import BEAT_S, Pulse
+from quillroad.overload.event_loop_lag import BEAT_S, Pulse
 
-log = logging.getLogger("quillroad.arrivals")
+log = logging.getLogger("quillroad.overload")
 
 
 class Heart:
--- a/quillroad/arrivals/heap.py
+++ b/quillroad/overload/heap.py
@@ -5,7 +5,7 @@
 import ctypes
 import logging
 
-log = logging.getLogger("quillroad.arrivals")
+log = logging.getLogger("quillroad.overload")
 
 M_MMAP_THRESHOLD = -3  # mallopt(3)
 # Blocks from this size on are the system's again at once. The C library raises its own limit with each long
--- a/quillroad/start.py
+++ b/quillroad/start.py
@@ -48,7 +48,7 @@
         print(f"quillroad: {error}", file=sys.stderr)
         return 2
     if config.admin is not None:  # operators may start the next process beside this one
-        from quillroad.upgrade.beside import run as run_beside  # noqa: PLC0415
+        from quillroad.upgrade.sibling_process import run as run_beside  # noqa: PLC0415
 
         return run_beside(config, again, file)
     return run(config, again, file)
--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -17,12 +17,14 @@
 from pathlib import Path
 from typing import assert_never
 
-from quillroad.arrivals.acceptor import open_listener
 from quillroad.config import Config, ConfigError
 from quillroad.gateway import start_log
+from quillroad.overload.acceptor import open_listener
 from quillroad.upgrade.canary import Canary
 from quillroad.upgrade.channel import Channel, pair, peer
-from quillroad.upgrade.keeper import (
+from quillroad.upgrade.messages import Message, Take, Welcome
+from quillroad.upgrade.settings import Upgrades, load_upgrades
+from quillroad.upgrade.supervisor import (
     Act,
     Exit,
     Join,
@@ -35,8 +37,6 @@
     Tell,
     Unlisten,
 )
-from quillroad.upgrade.messages import Message, Take, Welcome
-from quillroad.upgrade.settings import Upgrades, load_upgrades
 from quillroad.upgrade.worker import SEAT
 
 log = logging.getLogger("quillroad.upgrade")
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -11,13 +11,13 @@
 import msgspec
 from msgspec import Struct
 
-from pinetrack.balance import Balancer
-from pinetrack.interface import ListKind, Server, ServerList, State
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import ListKind, Server, ServerList, State
 from quillroad.config import Config
 from quillroad.gateway import Gateway
-from quillroad.upgrade.knowledge import Knowledge, Names, adopt, export
 from quillroad.upgrade.messages import ByHand
 from quillroad.upgrade.shared import SharedEngine
+from quillroad.upgrade.state_snapshot import Knowledge, Names, adopt, export
 
 KNOWN = ("clock", "hosts", "module", "admission")
 OPTIONAL = ("by-hand", "zones")  # of features that may be off on either side
--- a/quillroad/upgrade/selftest.py
+++ b/quillroad/upgrade/selftest.py
@@ -6,7 +6,7 @@
 import asyncio
 import dataclasses
 
-from pinetrack.interface import Effect
+from quillroad.balancing.interface import Effect
 from quillroad.config import RESERVED, Config, StaticHost, StaticHosts
 from quillroad.gateway import Gateway
 
--- a/quillroad/upgrade/settings.py
+++ b/quillroad/upgrade/settings.py
@@ -13,7 +13,7 @@
 from quillroad.config import RESERVED, ConfigError
 from quillroad.config.file import Duration, read_toml, within
 from quillroad.upgrade.canary import Tuning
-from quillroad.upgrade.keeper import Limits
+from quillroad.upgrade.supervisor import Limits
 
 NAME = re.compile(r"[A-Za-z0-9_-][A-Za-z0-9_.-]{0,62}")  # as part of a path
 Part = Annotated[float, Meta(ge=0, le=1)]
--- a/quillroad/upgrade/shared.py
+++ b/quillroad/upgrade/shared.py
@@ -11,17 +11,25 @@
 from time import monotonic
 from typing import Any
 
-from pinetrack.balance import Balancer
-from pinetrack.interface import Beside
-from quillroad.arrivals.heart import Heart
-from quillroad.arrivals.room import Stage
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import Beside
 from quillroad.config import Config, Descriptors
-from quillroad.engine import REFUSED, SERVED, ClientRequest, Engine, OpenRequest, Reply, Requester
-from quillroad.server import ClientConnection, Server
+from quillroad.downstream.connection_limit import Stage
+from quillroad.downstream.server import ClientConnection, Server
+from quillroad.engine.engine import (
+    REFUSED,
+    SERVED,
+    ClientRequest,
+    Engine,
+    OpenRequest,
+    Reply,
+    Requester,
+)
+from quillroad.overload.event_loop_monitor import Heart
 from quillroad.upgrade.canary import Counts
-from quillroad.upgrade.knowledge import out_at
 from quillroad.upgrade.messages import Out
-from quillroad.upstream import Upstream
+from quillroad.upgrade.state_snapshot import out_at
+from quillroad.upstream.pool import Upstream
 
 log = logging.getLogger("quillroad.upgrade")
 
--- a/quillroad/upgrade/beside.py
+++ b/quillroad/upgrade/sibling_process.py
@@ -20,14 +20,14 @@
 import uvloop
 
 from quillroad import admin
-from quillroad.arrivals.acceptor import open_listener
 from quillroad.config import RESERVED, Config, ConfigError
 from quillroad.gateway import start_log
+from quillroad.overload.acceptor import open_listener
 from quillroad.upgrade.messages import Ended, Hello, Message, Ready, Room, Welcome, batch_of
 from quillroad.upgrade.pair import BUSY_S, FOUND_S, OTHER, TAKEN_S, Act, Do, Pair, Say, Stage, Tell
-from quillroad.upgrade.seat import Do as SeatDo
-from quillroad.upgrade.seated import Seated
 from quillroad.upgrade.selftest import SelfTestError, selftest
+from quillroad.upgrade.supervised_worker import Seated
+from quillroad.upgrade.worker_state import Do as SeatDo
 
 log = logging.getLogger("quillroad.upgrade")
 
--- a/quillroad/upgrade/knowledge.py
+++ b/quillroad/upgrade/state_snapshot.py
@@ -19,8 +19,8 @@
 
 from msgspec import Struct
 
-from pinetrack.balance import Attempt, Balancer, Request, ServerState
-from pinetrack.interface import Arrived, Outcome, Server, State
+from quillroad.balancing.balancer import Attempt, Balancer, Request, ServerState
+from quillroad.balancing.interface import Arrived, Outcome, Server, State
 
 VERSION = 1
 
--- a/quillroad/upgrade/seated.py
+++ b/quillroad/upgrade/supervised_worker.py
@@ -17,9 +17,11 @@
 from quillroad.config import RESERVED, Config
 from quillroad.gateway import FLUSH_S, Gateway
 from quillroad.upgrade.channel import Channel
-from quillroad.upgrade.knowledge import share_budgets
 from quillroad.upgrade.messages import ByHand, Connections, Message, State, batch_of
-from quillroad.upgrade.seat import (
+from quillroad.upgrade.sections import by_hand, read, write
+from quillroad.upgrade.shared import Moves, MovingServer, SharedEngine, settled
+from quillroad.upgrade.state_snapshot import share_budgets
+from quillroad.upgrade.worker_state import (
     Act,
     Adopt,
     Back,
@@ -36,8 +38,6 @@
     ToKeeper,
     ToOther,
 )
-from quillroad.upgrade.sections import by_hand, read, write
-from quillroad.upgrade.shared import Moves, MovingServer, SharedEngine, settled
 
 log = logging.getLogger("quillroad.upgrade")
 
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -27,8 +27,8 @@
     Unfit,
     Welcome,
 )
-from quillroad.upgrade.seated import Seated
 from quillroad.upgrade.selftest import SelfTestError, selftest
+from quillroad.upgrade.supervised_worker import Seated
 
 log = logging.getLogger("quillroad.upgrade")
 
--- a/quillroad/upstream.py
+++ b/quillroad/upstream/pool.py
@@ -19,12 +19,12 @@
 
 import httptools
 
-from pinetrack.interface import Outcome
-from quillroad.arrivals.age import data_age
-from quillroad.arrivals.heap import steady
-from quillroad.arrivals.heart import Heart
+from quillroad.balancing.interface import Outcome
 from quillroad.config import SHORT_BODY, Address, Descriptors
 from quillroad.framing import FRAMED
+from quillroad.overload.event_loop_monitor import Heart
+from quillroad.overload.heap import steady
+from quillroad.overload.socket_age import data_age
 
 HEAD_LIMIT = 16 * 1024
 FOLLOW_S = 0.025  # bulk+slow+pieces, seed 5: 99 of 100 short answers were whole 12 ms after their first byte
--- a/quillroad/zones/report.py
+++ b/quillroad/zones/report.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Struct
 
-from pinetrack.crossing import Crossing, Reason, Sent
+from quillroad.balancing.zone_routing import Crossing, Reason, Sent
 from quillroad.zones.ledger import Cell, Ledger
 
 MINUTES = 60  # that a report looks back
--- a/quillroad/zones/settings.py
+++ b/quillroad/zones/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from pinetrack.crossing import Allowance, Budget
+from quillroad.balancing.zone_routing import Allowance, Budget
 from quillroad.config import Config, ConfigError
 from quillroad.config.file import Duration, output_file, read_toml, within
 
--- a/quillroad/zones/zones.py
+++ b/quillroad/zones/zones.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
-from pinetrack.crossing import Crossing
-from pinetrack.interface import Carried, Outcome
+from quillroad.balancing.interface import Carried, Outcome
+from quillroad.balancing.zone_routing import Crossing
 from quillroad.config import Config, ConfigError
-from quillroad.engine import Engine
+from quillroad.engine.engine import Engine
 from quillroad.files import put
-from quillroad.upstream import Answer, Done, Host
+from quillroad.upstream.pool import Answer, Done, Host
 from quillroad.zones.ledger import Ledger
 from quillroad.zones.report import Minutes, Report, make_report
 from quillroad.zones.settings import ZoneSettings, load_zones
--- a/scripts/compile.py
+++ b/scripts/compile.py
@@ -17,29 +17,29 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 BUILD, DONE = ROOT / "build" / "compiled.new", ROOT / "build" / "compiled"
-PACKAGES = ("pinetrack", "quillroad")
+PACKAGES = ("quillroad",)
 HOT = (
-    "pinetrack/balance.py",
-    "pinetrack/crossing.py",
-    "pinetrack/interface.py",
-    "quillroad/arrivals/admission.py",
-    "quillroad/arrivals/age.py",
-    "quillroad/arrivals/glance.py",
-    "quillroad/arrivals/heart.py",
-    "quillroad/arrivals/pulse.py",
-    "quillroad/arrivals/room.py",
-    "quillroad/arrivals/spread.py",
+    "quillroad/balancing/balancer.py",
+    "quillroad/balancing/zone_routing.py",
+    "quillroad/balancing/interface.py",
+    "quillroad/overload/admission_queue.py",
+    "quillroad/overload/socket_age.py",
+    "quillroad/overload/fast_path_parse.py",
+    "quillroad/overload/event_loop_monitor.py",
+    "quillroad/overload/event_loop_lag.py",
+    "quillroad/downstream/connection_limit.py",
+    "quillroad/overload/retry_after.py",
     "quillroad/framing.py",
-    "quillroad/engine.py",
-    "quillroad/server.py",
-    "quillroad/upstream.py",
+    "quillroad/engine/engine.py",
+    "quillroad/downstream/server.py",
+    "quillroad/upstream/pool.py",
     "quillroad/upgrade/shared.py",  # it extends engine and server, which only compiled classes can
 )
 # That a compiled module loads, decides and keeps its types: it runs before anything is served by it.
 CHECK = """
-import quillroad.server, quillroad.engine, quillroad.upstream
-from pinetrack.balance import Balancer
-from pinetrack.interface import *
+import quillroad.downstream.server, quillroad.engine.engine, quillroad.upstream.pool
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import *
 b = Balancer(Settings(routes=(Route(aim_us=500_000, deadline_us=900_000),)), 1)
 b.handle(1, [ServerList(ListKind.FULL, (Server(1), Server(2)))])
 for n in range(2000):
--- a/lab/cuts.py
+++ b/simulation/cuts.py
@@ -14,12 +14,12 @@
 
 from immutables import Map
 
-from quillroad.fleet.claims import Standing
-from quillroad.fleet.condition import Self
-from quillroad.fleet.roster import Address, Roster
-from quillroad.fleet.timing import Timing
-from quillroad.fleet.view import Change, Seen, View
-from quillroad.fleet.wire import MOST_NEWS, VERSION, Datagram, Kind, News, decode, encode
+from quillroad.membership.claims import Standing
+from quillroad.membership.condition import Self
+from quillroad.membership.roster import Address, Roster
+from quillroad.membership.timing import Timing
+from quillroad.membership.view import Change, Seen, View
+from quillroad.membership.wire import MOST_NEWS, VERSION, Datagram, Kind, News, decode, encode
 
 RINGS, HIGH, LOW = 10, 9, 4
 MISSED = 4  # periods without an answer
--- a/lab/fleet.py
+++ b/simulation/fleet.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from lab.net import World
-from quillroad.fleet.claims import Standing
-from quillroad.fleet.core import EVERYONE as TO_ALL
-from quillroad.fleet.core import Core
-from quillroad.fleet.roster import Address, Roster
-from quillroad.fleet.timing import Timing
-from quillroad.fleet.view import Change, View
+from quillroad.membership.claims import Standing
+from quillroad.membership.core import EVERYONE as TO_ALL
+from quillroad.membership.core import Core
+from quillroad.membership.roster import Address, Roster
+from quillroad.membership.timing import Timing
+from quillroad.membership.view import Change, View
+from simulation.net import World
 
 EVERYONE: Address = (
     "10.255.255.255",
--- a/lab/heartbeats.py
+++ b/simulation/heartbeats.py
@@ -6,12 +6,12 @@
 
 from immutables import Map
 
-from quillroad.fleet.claims import Standing
-from quillroad.fleet.condition import Self
-from quillroad.fleet.roster import Address, Roster
-from quillroad.fleet.timing import Timing
-from quillroad.fleet.view import Change, Seen, View
-from quillroad.fleet.wire import VERSION, Datagram, Kind, decode, encode
+from quillroad.membership.claims import Standing
+from quillroad.membership.condition import Self
+from quillroad.membership.roster import Address, Roster
+from quillroad.membership.timing import Timing
+from quillroad.membership.view import Change, Seen, View
+from quillroad.membership.wire import VERSION, Datagram, Kind, decode, encode
 
 MISSED = 5
 
--- a/lab/phi.py
+++ b/simulation/phi.py
@@ -11,10 +11,10 @@
 from math import erfc, inf, log10, sqrt
 from statistics import fmean, pstdev
 
-from lab.heartbeats import Heartbeats
-from quillroad.fleet.roster import Address, Roster
-from quillroad.fleet.timing import Timing
-from quillroad.fleet.wire import decode
+from quillroad.membership.roster import Address, Roster
+from quillroad.membership.timing import Timing
+from quillroad.membership.wire import decode
+from simulation.heartbeats import Heartbeats
 
 KEPT = 100  # intervals of each
 THRESHOLD = 8.0  # the value that Cassandra and Akka began with
--- a/lab/schedule.py
+++ b/simulation/schedule.py
@@ -14,11 +14,11 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from lab.fleet import EVERYONE, Fleet, Member, Part
-from lab.net import Link, World
-from quillroad.fleet.claims import Standing
-from quillroad.fleet.core import Core
-from quillroad.fleet.timing import Timing
+from quillroad.membership.claims import Standing
+from quillroad.membership.core import Core
+from quillroad.membership.timing import Timing
+from simulation.fleet import EVERYONE, Fleet, Member, Part
+from simulation.net import Link, World
 
 START_S, CALM_S, SETTLE_S = 15.0, 5.0, 60.0
 SLOW_S = 3.0  # by which each step of a slow member, and each datagram to it, is late at most
--- a/lab/walk.py
+++ b/simulation/walk.py
@@ -13,12 +13,12 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from lab.fleet import address
-from quillroad.fleet.claims import Standing
-from quillroad.fleet.condition import Self
-from quillroad.fleet.core import EVERYONE, Core
-from quillroad.fleet.roster import Address, Roster
-from quillroad.fleet.timing import Timing
+from quillroad.membership.claims import Standing
+from quillroad.membership.condition import Self
+from quillroad.membership.core import EVERYONE, Core
+from quillroad.membership.roster import Address, Roster
+from quillroad.membership.timing import Timing
+from simulation.fleet import address
 
 DELAY_S = 0.001  # of what arrives once the network is whole
 CLOSING_S = 60.0  # until all agree from there on
--- a/rig/__main__.py
+++ b/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rig hosts|load|ration|relay JSON`: stand-ins and load as processes, each with its core.
+"""`python -m testbed hosts|load|ration|relay JSON`: stand-ins and load as processes, each with its core.
 
 `hosts` starts stand-in hosts and a discovery, prints one JSON line with its port, and serves until its
 standard input ends; then it prints how much each host received. `load` sends what its JSON says and prints
@@ -17,12 +17,12 @@
 
 import uvloop
 
-from rig import schedule
-from rig.account import Work, tally
-from rig.clients import Load
-from rig.hosts import Discovery, Host
-from rig.ration import ration
-from rig.relay import run_relay
+from testbed import schedule
+from testbed.account import Work, tally
+from testbed.clients import Load
+from testbed.hosts import Discovery, Host
+from testbed.ration import ration
+from testbed.relay import run_relay
 
 
 async def run_hosts(told: dict[str, Any]) -> None:
--- a/rig/beside.py
+++ b/testbed/beside.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, Self
 
-from rig.gateway import GatewayProcess, free_port
+from testbed.gateway import GatewayProcess, free_port
 
 YES_S = 6.0  # in which operators want the new process's yes
 END_S = 4.0  # after SIGTERM, until SIGKILL: the longest deadline and room
--- a/rig/builds.py
+++ b/testbed/builds.py
@@ -32,13 +32,13 @@
 
 BROKEN = {
     "": "",
-    "cannot be imported": 'sys.modules["quillroad.engine"] = None',
+    "cannot be imported": 'sys.modules["quillroad.engine.engine"] = None',
     "exits at once": "os._exit(3)",
     "hangs before it is ready": "time.sleep(60)",
     "needs too much memory": 'HELD = b"x" * (300 << 20)',
     "speaks an older version": "import quillroad.upgrade.messages as m; m.VERSION = 0",
     "fails its self-test": """
-    import quillroad.engine as e
+    import quillroad.engine.engine as e
     def accept(self, request, reply, client=None):
         reply(e.Reply(500))
     e.Engine.accept = accept""",
@@ -50,7 +50,7 @@
         return opened
     s.SharedEngine.accept = accept""",
     "hangs once it serves": """
-    import quillroad.upgrade.seated as w
+    import quillroad.upgrade.supervised_worker as w
     word = w.Seated._word
     def hang(self, what):
         word(self, what)
--- a/rig/clients.py
+++ b/testbed/clients.py
@@ -1,7 +1,8 @@
 """Clients that speak the gateway's HTTP: open-loop by a schedule, and closed-loop; a record each request.
 
-A client sends one request at a time on a connection and never asks again by itself. What the rig can't send
-in time is the rig's own fault and shows in `lag`.
+A client sends one request at a time on a connection and never asks again by itself. What the
+testbed can't send
+in time is the testbed's own fault and shows in `lag`.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 from collections.abc import Iterable, Sequence
 from typing import cast
 
-from quillroad.arrivals.age import Socket, data_age
-from rig.account import Record, Work
+from quillroad.overload.socket_age import Socket, data_age
+from testbed.account import Record, Work
 
 GRACE_S = 0.5  # past the deadline, for late answers to show that they are late
 
--- a/rig/core.py
+++ b/testbed/core.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Sequence
 from typing import Protocol, cast
 
-from quillroad.arrivals.admission import Lane
+from quillroad.overload.admission_queue import Lane
 
 Item = tuple[float, int, int]  # when it came, class, tenant
 POLL_S = 0.00002  # a turn with nothing to do
--- a/rig/counted.py
+++ b/testbed/counted.py
@@ -1,4 +1,4 @@
-"""`python -m rig.counted FILE`: the gateway with every call of its code counted, told as JSON at its end.
+"""`python -m testbed.counted FILE`: the gateway with every call of its code counted, told as JSON at its end.
 
 Counted are calls of Python functions of the gateway's packages, calls of built-in functions from them
 (sys.setprofile) and the interpreter's instructions in them (sys.settrace): figures that do not depend on the
@@ -14,12 +14,13 @@
 from types import FrameType
 from typing import Any
 
-import pinetrack
 import quillroad
+import quillroad.balancing
 from quillroad.__main__ import main
 
 OURS = tuple(
-    str(Path(package.__file__ or "").parent) + os.sep for package in (pinetrack, quillroad)
+    str(Path(package.__file__ or "").parent) + os.sep
+    for package in (quillroad.balancing, quillroad)
 )
 
 
--- a/rig/gateway.py
+++ b/testbed/gateway.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, Self
 
-from rig.account import Work
+from testbed.account import Work
 
 ROOT = Path(__file__).parent.parent
 TICK = os.sysconf("SC_CLK_TCK")
--- a/rig/hosts.py
+++ b/testbed/hosts.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from rig.account import Receipt
-from rig.lines import gateway_at
+from testbed.account import Receipt
+from testbed.lines import gateway_at
 
 HOSTS_AT = b'"127.0.0.1:'
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/rig/lines.py
+++ b/testbed/lines.py
@@ -131,7 +131,7 @@
                     self._pump(gateway, target, "back", back, writer),
                 )
             except (OSError, asyncio.CancelledError):
-                pass  # an end was reset, or the rig ends: so does the other end
+                pass  # an end was reset, or the testbed ends: so does the other end
             finally:
                 self._tasks.discard(task)
                 for end in (writer, on):
--- a/rig/processes.py
+++ b/testbed/processes.py
@@ -1,4 +1,4 @@
-"""Starts the rig's own processes and joins what they tell."""
+"""Starts the testbed's own processes and joins what they tell."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from rig.account import Tally, Work
-from rig.gateway import ROOT
+from testbed.account import Tally, Work
+from testbed.gateway import ROOT
 
 PERIOD_S = (
     0.05  # of a ration: the kernel counts a running process's time every few milliseconds only
@@ -22,7 +22,7 @@
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "rig",
+        "testbed",
         *command,
         cwd=ROOT,
         stdin=PIPE,
--- a/rig/relay.py
+++ b/testbed/relay.py
@@ -2,7 +2,8 @@
 
 Each gateway has an address of its own here for each other one: what it sends there goes on to that other's
 own socket, and comes from the address that this other has for it. So each meets the others under addresses
-of its own, and nothing passes that was not let through. Runs as a process: `python -m rig relay JSON`, told
+of its own, and nothing passes that was not let through. Runs as a process: `python -m testbed
+relay JSON`, told
 how many gateways there are and where they listen; prints where each reaches the others, then takes one JSON
 object a line. Losses and delays come from one seed.
 """
@@ -21,7 +22,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from rig.lines import LineRule, Lines
+from testbed.lines import LineRule, Lines
 
 Part = Annotated[float, Meta(ge=0, le=1)]
 HELD = 10_000  # datagrams that wait for their time: more than that are lost
@@ -217,7 +218,7 @@
         self.everyone: list[str] = []
 
     async def start(self) -> RelayProcess:
-        from rig.processes import start_part  # noqa: PLC0415
+        from testbed.processes import start_part  # noqa: PLC0415
 
         self._process = await start_part("relay", json.dumps(self._told))
         assert self._process.stdout is not None
--- a/rig/service.py
+++ b/testbed/service.py
@@ -7,8 +7,8 @@
 import random
 from dataclasses import dataclass, field
 
-from quillroad.membership.currency import SILENCE_S, Currency
-from quillroad.membership.pacing import Pacing
+from quillroad.discovery.freshness import SILENCE_S, Currency
+from quillroad.discovery.poll_schedule import Pacing
 
 PATIENCE_S = 2.0  # that a call waits at most
 END_S = 60.0
--- a/rig/stage.py
+++ b/testbed/stage.py
@@ -11,13 +11,13 @@
 from socket import SOCK_DGRAM
 from typing import Any
 
-from rig.account import Drain, Receipt, Work, broken_rules
-from rig.clients import Load
-from rig.gateway import GatewayProcess, free_port, settings
-from rig.hosts import Discovery, Host
-from rig.lines import address_of
-from rig.processes import hold
-from rig.relay import RelayProcess
+from testbed.account import Drain, Receipt, Work, broken_rules
+from testbed.clients import Load
+from testbed.gateway import GatewayProcess, free_port, settings
+from testbed.hosts import Discovery, Host
+from testbed.lines import address_of
+from testbed.processes import hold
+from testbed.relay import RelayProcess
 
 
 class Stage:
--- a/tests/admin/test_decisions.py
+++ b/tests/admin/test_decisions.py
@@ -6,11 +6,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pinetrack.interface import ListKind, Server, ServerList, State
 from quillroad.admin.calls import Act, BadCall, Call, read_call
 from quillroad.admin.hands import MOST, Hands, NoSuchHostError, TooManyError
+from quillroad.balancing.interface import ListKind, Server, ServerList, State
 from quillroad.config import Address
-from quillroad.duty import Duty
+from quillroad.serving_state import Duty
 
 NAMES = ["a", "b", "c", "d"]
 
--- a/tests/admin/test_front.py
+++ b/tests/admin/test_front.py
@@ -14,7 +14,7 @@
 from quillroad.admin import front
 from quillroad.admin.calls import Call
 from quillroad.admin.front import PLACES, Front, Page, page
-from quillroad.arrivals.acceptor import open_listener
+from quillroad.overload.acceptor import open_listener
 from tests.net import Message, World, answer, hang, on_loop, read_message, serve_ok, until, world
 
 ADMIN = "127.0.0.1:0"
--- a/tests/helpers.py
+++ b/tests/balancing/helpers.py
@@ -4,9 +4,8 @@
 
 from typing import Any
 
-from pinetrack.balance import Balancer
-from pinetrack.crossing import Crossing
-from pinetrack.interface import (
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import (
     Action,
     Alarm,
     Arrived,
@@ -22,6 +21,7 @@
     SetAlarm,
     Settings,
 )
+from quillroad.balancing.zone_routing import Crossing
 
 AIM_US = 200_000
 DEADLINE_US = 1_000_000
--- a/tests/rulecheck.py
+++ b/tests/balancing/rulecheck.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from pinetrack.interface import (
+from quillroad.balancing.interface import (
     Action,
     Arrived,
     AttemptDone,
--- a/tests/test_told.py
+++ b/tests/balancing/test_platform_settings.py
@@ -14,10 +14,10 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from pinetrack.told import MOST, read_settings
+from quillroad.balancing.platform_settings import MOST, read_settings
 from quillroad.config import ConfigError, load
+from tests.balancing.test_property import WORK_US, World
 from tests.net import Client, config_data, hang, on_loop, serve_ok, told_settings, world
-from tests.test_property import WORK_US, World
 
 NAMES = st.lists(st.text("abcxyz-", min_size=1, max_size=6), unique=True, min_size=1, max_size=5)
 
--- a/tests/test_property.py
+++ b/tests/balancing/test_property.py
@@ -10,9 +10,9 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from pinetrack import balance
-from pinetrack.balance import Balancer
-from pinetrack.interface import (
+from quillroad.balancing import balancer as balance
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import (
     Alarm,
     Arrived,
     AttemptDone,
@@ -33,7 +33,7 @@
     Settings,
     State,
 )
-from tests.rulecheck import Checker, RuleBroken
+from tests.balancing.rulecheck import Checker, RuleBroken
 
 WORK_US = 20_000
 TICK_US = 5_000
--- a/tests/test_ramp.py
+++ b/tests/balancing/test_slow_start.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from pinetrack.balance import Balancer
-from pinetrack.interface import (
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import (
     Alarm,
     Arrived,
     AttemptDone,
@@ -25,7 +25,7 @@
     SetAlarm,
     Settings,
 )
-from tests.helpers import DEADLINE_US, Stage, route, settings
+from tests.balancing.helpers import DEADLINE_US, Stage, route, settings
 from tests.net import hang, on_loop, world
 
 WINDOW_US, COLD_US, WORK_US = 1_000_000, 6_000_000, 20_000
--- a/tests/test_cold_fleet.py
+++ b/tests/balancing/test_slow_start_fleet.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from rig.account import Work, tally, total
-from rig.schedule import poisson
-from rig.stage import Stage
+from testbed.account import Work, tally, total
+from testbed.schedule import poisson
+from testbed.stage import Stage
 from tests.net import on_loop_within
 
 WORKS = [
--- a/tests/test_settings.py
+++ b/tests/config/test_platform.py
@@ -6,9 +6,18 @@
 
 import pytest
 
-from pinetrack.interface import Effect, Group, Outcome, Route, Send, Server, Settings, StreamStarted
-from pinetrack.told import read_settings
-from tests.helpers import Stage, route, settings
+from quillroad.balancing.interface import (
+    Effect,
+    Group,
+    Outcome,
+    Route,
+    Send,
+    Server,
+    Settings,
+    StreamStarted,
+)
+from quillroad.balancing.platform_settings import read_settings
+from tests.balancing.helpers import Stage, route, settings
 
 
 @pytest.mark.parametrize(
--- a/tests/membership/test_consul.py
+++ b/tests/discovery/test_consul.py
@@ -13,15 +13,15 @@
 import consul as public
 import pytest
 
-from quillroad.arrivals.acceptor import open_listener
 from quillroad.config import ConsulHosts
+from quillroad.discovery.consul.agents import Limits
+from quillroad.discovery.consul.index import Pace
+from quillroad.discovery.consul.source import ConsulSource, Told
+from quillroad.discovery.feed import Feed
+from quillroad.discovery.instance import Health, Listener, Snapshot, Standing
 from quillroad.gateway import Gateway
-from quillroad.membership.consul.agents import Limits
-from quillroad.membership.consul.index import Pace
-from quillroad.membership.consul.source import ConsulSource, Told
-from quillroad.membership.feed import Feed
-from quillroad.membership.instance import Health, Listener, Snapshot, Standing
-from rig.consul import SERVICE, Agent, Catalogue, Registered
+from quillroad.overload.acceptor import open_listener
+from testbed.consul import SERVICE, Agent, Catalogue, Registered
 from tests.net import Client, FakeHost, make_config, on_loop, serve_ok, until
 
 GRACE_S = 0.5  # rule 3
--- a/tests/membership/test_consul_rules.py
+++ b/tests/discovery/test_consul_rules.py
@@ -10,11 +10,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.membership.consul.agents import Agents, Limits, Verdict, judge
-from quillroad.membership.consul.health import ConsulError, Mapping, read_health
-from quillroad.membership.consul.index import Index, Pace
-from quillroad.membership.instance import Standing
-from rig.consul import Registered
+from quillroad.discovery.consul.agents import Agents, Limits, Verdict, judge
+from quillroad.discovery.consul.health import ConsulError, Mapping, read_health
+from quillroad.discovery.consul.index import Index, Pace
+from quillroad.discovery.instance import Standing
+from testbed.consul import Registered
 
 
 def test_indexes_follow_the_published_rules() -> None:
--- a/tests/membership/test_crowd.py
+++ b/tests/discovery/test_crowd.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from rig.account import Work, tally, total
-from rig.hosts import CrowdedDiscovery
-from rig.schedule import steady
-from rig.stage import Stage
+from testbed.account import Work, tally, total
+from testbed.hosts import CrowdedDiscovery
+from testbed.schedule import steady
+from testbed.stage import Stage
 from tests.net import on_loop
 
 WORKS = [
--- a/tests/membership/test_documents.py
+++ b/tests/discovery/test_json_stream.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.membership.documents import BrokenDocument, Documents
+from quillroad.discovery.json_stream import BrokenDocument, Documents
 
 LIMIT = 100_000
 VALUES = st.recursive(
--- a/tests/test_discovery.py
+++ b/tests/discovery/test_platform.py
@@ -11,9 +11,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.membership import platform as discovery
-from quillroad.membership.reduce import server_number
-from quillroad.membership.salvage import leaving
+from quillroad.discovery import platform as discovery
+from quillroad.discovery.partial_line_recovery import leaving
+from quillroad.discovery.reducer import server_number
 from tests.net import (
     Client,
     FakeDiscovery,
--- a/tests/membership/test_pacing.py
+++ b/tests/discovery/test_poll_schedule.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.membership.currency import (
+from quillroad.discovery.freshness import (
     AGENT_CALLS,
     AGENT_S,
     ANSWER_S,
@@ -17,7 +17,7 @@
     TOLD_S,
     Currency,
 )
-from quillroad.membership.pacing import (
+from quillroad.discovery.poll_schedule import (
     AGENT_MOST_S,
     BROKEN_S,
     FEW,
@@ -29,7 +29,7 @@
     ROUND_S,
     Pacing,
 )
-from rig.service import END_S, Service, lists_after, most_calls
+from testbed.service import END_S, Service, lists_after, most_calls
 
 LEFT_S = TOLD_S - ANSWER_S
 GRACE_S = TOLD_S + 0.5  # in which sends to a host that leaves have to end
--- a/tests/membership/test_program.py
+++ b/tests/discovery/test_program.py
@@ -11,8 +11,8 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from rig.consul import SERVICE, Agent, Catalogue, Registered
-from rig.gateway import free_port
+from testbed.consul import SERVICE, Agent, Catalogue, Registered
+from testbed.gateway import free_port
 from tests.net import Client, FakeHost, on_loop, serve_ok, until
 
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/membership/test_register.py
+++ b/tests/discovery/test_register.py
@@ -15,10 +15,10 @@
 
 from quillroad.config import Register, StaticHost, StaticHosts
 from quillroad.config.file import load_file
+from quillroad.discovery.consul.register import LEAVE_S, Entry, Registration, Where
 from quillroad.gateway import Gateway
-from quillroad.membership.consul.register import LEAVE_S, Entry, Registration, Where
-from rig.consul import Agent, Catalogue
-from rig.gateway import ROOT
+from testbed.consul import Agent, Catalogue
+from testbed.gateway import ROOT
 from tests.net import make_config, on_loop, until
 
 ENTRY = Entry("q-1", "q", "127.0.0.1", 8080, 15.0)
--- a/tests/membership/test_silence.py
+++ b/tests/discovery/test_silence.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from quillroad.membership.currency import TOLD_S
-from rig.account import Work, tally, total
-from rig.hosts import CrowdedDiscovery, Discovery
-from rig.schedule import steady
-from rig.stage import Stage
+from quillroad.discovery.freshness import TOLD_S
+from testbed.account import Work, tally, total
+from testbed.hosts import CrowdedDiscovery, Discovery
+from testbed.schedule import steady
+from testbed.stage import Stage
 from tests.net import on_loop_within, until
 
 WORKS = [
--- a/tests/test_room.py
+++ b/tests/downstream/test_connection_limit.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.arrivals.room import RESTED_S, UNHEARD_S, WRITTEN_S, Room, Stage
+from quillroad.downstream.connection_limit import RESTED_S, UNHEARD_S, WRITTEN_S, Room, Stage
 
 LONG = 10 * UNHEARD_S
 
--- a/tests/test_long.py
+++ b/tests/downstream/test_long_bodies.py
@@ -17,10 +17,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quillroad.arrivals.age import unacknowledged
 from quillroad.config import SHORT_BODY
-from quillroad.server import UNREAD_S
-from quillroad.upstream import SETTLE_S
+from quillroad.downstream.server import UNREAD_S
+from quillroad.overload.socket_age import unacknowledged
+from quillroad.upstream.pool import SETTLE_S
 from tests.net import BOUND_S, Client, Message, World, hang, on_loop, reset, serve_ok, until, world
 
 OPS = {"admin_addr": "127.0.0.1:0"}  # what allows long bodies
@@ -406,7 +406,7 @@
 def test_memory_of_long_bodies_goes_back_to_the_system() -> None:
     """Freed blocks below one that stays: the heap's end could not move down past that."""
     program = """
-from quillroad.arrivals.heap import steady
+from quillroad.overload.heap import steady
 def rss():
     return int(open("/proc/self/statm").read().split()[1]) * 4096
 steady()
--- a/tests/fleet/test_claims.py
+++ b/tests/membership/test_claims.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.fleet.claims import (
+from quillroad.membership.claims import (
     CHUNK,
     MOST_INCARNATION,
     NOTHING,
--- a/tests/fleet/test_core.py
+++ b/tests/membership/test_core.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from lab.fleet import EVERYONE, Fleet, Member
-from lab.net import Link, World
-from quillroad.fleet.claims import LEAP, MOST_INCARNATION, USUAL_INCARNATION, Claim, Standing
-from quillroad.fleet.condition import Self
-from quillroad.fleet.core import Core
-from quillroad.fleet.roster import Roster
-from quillroad.fleet.wire import VERSION, Datagram, Kind, News, encode
+from quillroad.membership.claims import LEAP, MOST_INCARNATION, USUAL_INCARNATION, Claim, Standing
+from quillroad.membership.condition import Self
+from quillroad.membership.core import Core
+from quillroad.membership.roster import Roster
+from quillroad.membership.wire import VERSION, Datagram, Kind, News, encode
+from simulation.fleet import EVERYONE, Fleet, Member
+from simulation.net import Link, World
 
 SEEDS = (1, 2, 3)
 
--- a/tests/fleet/test_followers.py
+++ b/tests/membership/test_followers.py
@@ -7,13 +7,13 @@
 from pathlib import Path
 from typing import Any, cast
 
-from pinetrack.interface import Company
+from quillroad.balancing.interface import Company
 from quillroad.config import Config, Peers
-from quillroad.engine import Engine
-from quillroad.fleet.share import Part
-from quillroad.fleet.socket import Fleet
-from quillroad.membership.source import Source
-from rig.gateway import free_port
+from quillroad.discovery.source import Source
+from quillroad.engine.engine import Engine
+from quillroad.membership.share import Part
+from quillroad.membership.socket import Fleet
+from testbed.gateway import free_port
 from tests.net import make_config, on_loop, told_settings
 
 
--- a/tests/fleet/test_lines.py
+++ b/tests/membership/test_lines.py
@@ -8,12 +8,12 @@
 import msgspec
 import pytest
 
-from rig.account import tally, total
-from rig.hosts import Host
-from rig.lines import LineRule, Lines, address_of, gateway_at
-from rig.schedule import steady
-from rig.stage import Stage
-from tests.fleet.test_processes import SIZE, USED, WORKS, agreed, ended, marks
+from testbed.account import tally, total
+from testbed.hosts import Host
+from testbed.lines import LineRule, Lines, address_of, gateway_at
+from testbed.schedule import steady
+from testbed.stage import Stage
+from tests.membership.test_processes import SIZE, USED, WORKS, agreed, ended, marks
 from tests.net import on_loop, on_loop_within, until
 
 ASK = b"GET / HTTP/1.1\r\nRequest-Id: %b\r\n\r\n"
--- a/tests/fleet/test_many_faults.py
+++ b/tests/membership/test_many_faults.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from rig.schedule import steady
-from rig.stage import Stage
-from tests.fleet.test_processes import (
+from testbed.schedule import steady
+from testbed.stage import Stage
+from tests.membership.test_processes import (
     SIZE,
     USED,
     WORKS,
--- a/tests/fleet/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -13,11 +13,11 @@
 import msgspec
 import pytest
 
-from quillroad.fleet.report import Report, read_report
-from rig.account import Work, tally, total
-from rig.gateway import GatewayProcess, settings
-from rig.schedule import steady
-from rig.stage import Stage
+from quillroad.membership.report import Report, read_report
+from testbed.account import Work, tally, total
+from testbed.gateway import GatewayProcess, settings
+from testbed.schedule import steady
+from testbed.stage import Stage
 from tests.net import on_loop, until
 from tests.upgrade.quick import FILE
 
--- a/tests/fleet/test_relay.py
+++ b/tests/membership/test_relay.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from rig.relay import Relay, Rule, read_script
+from testbed.relay import Relay, Rule, read_script
 from tests.net import on_loop, until
 
 SCRIPT = """
--- a/tests/fleet/test_schedules.py
+++ b/tests/membership/test_schedules.py
@@ -8,14 +8,14 @@
 import msgspec
 import pytest
 
-from lab.schedule import Schedule, Step, broken, draw, read_schedule, smaller, write_schedule
-from quillroad.fleet import core as core_module
-from quillroad.fleet.budget import Budget
-from quillroad.fleet.claims import Claim, Standing
-from quillroad.fleet.condition import Condition, Self
-from quillroad.fleet.core import Core
-from quillroad.fleet.suspicion import Suspicion
-from quillroad.fleet.view import Seen
+from quillroad.membership import core as core_module
+from quillroad.membership.budget import Budget
+from quillroad.membership.claims import Claim, Standing
+from quillroad.membership.condition import Condition, Self
+from quillroad.membership.core import Core
+from quillroad.membership.suspicion import Suspicion
+from quillroad.membership.view import Seen
+from simulation.schedule import Schedule, Step, broken, draw, read_schedule, smaller, write_schedule
 
 SEEDS = range(1000, 1040)
 
--- a/tests/fleet/test_share.py
+++ b/tests/membership/test_share.py
@@ -4,10 +4,10 @@
 
 from immutables import Map
 
-from quillroad.fleet.claims import Standing
-from quillroad.fleet.condition import Self
-from quillroad.fleet.share import Part, Share
-from quillroad.fleet.view import Seen, View
+from quillroad.membership.claims import Standing
+from quillroad.membership.condition import Self
+from quillroad.membership.share import Part, Share
+from quillroad.membership.view import Seen, View
 
 ALIVE, SUSPECT, GONE, UNKNOWN = Standing.ALIVE, Standing.SUSPECT, Standing.GONE, Standing.UNKNOWN
 
--- a/tests/fleet/test_sweep.py
+++ b/tests/membership/test_sweep.py
@@ -5,11 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.fleet.condition import BRISK, Condition
-from quillroad.fleet.core import LIGHT_LOSSY
-from quillroad.fleet.suspicion import Suspicion
-from quillroad.fleet.sweep import AFTER_S, REST_S, STEP_S, SWEPT, SWEPT_S, Sweep
-from tests.fleet.test_core import core, ends, settled
+from quillroad.membership.condition import BRISK, Condition
+from quillroad.membership.core import LIGHT_LOSSY
+from quillroad.membership.suspicion import Suspicion
+from quillroad.membership.sweep import AFTER_S, REST_S, STEP_S, SWEPT, SWEPT_S, Sweep
+from tests.membership.test_core import core, ends, settled
 
 
 def swept(dead: float) -> float:
--- a/tests/fleet/test_walk.py
+++ b/tests/membership/test_walk.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from lab.fleet import EVERYONE
-from lab.walk import Broken, Draws, Flight, State, Step, Walk
-from quillroad.fleet.roster import Address
-from tests.fleet.test_schedules import FAULTS
+from quillroad.membership.roster import Address
+from simulation.fleet import EVERYONE
+from simulation.walk import Broken, Draws, Flight, State, Step, Walk
+from tests.membership.test_schedules import FAULTS
 
 SCENES = (
     "all start",
--- a/tests/fleet/test_ways.py
+++ b/tests/membership/test_ways.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from lab.cuts import Cuts
-from lab.fleet import Fleet
-from lab.heartbeats import Heartbeats
-from lab.net import Link, World
-from lab.phi import PAUSE_PERIODS, THRESHOLD, Phi
-from quillroad.fleet.roster import Roster
-from quillroad.fleet.timing import Timing
-from quillroad.fleet.wire import VERSION, Datagram, Kind, encode
+from quillroad.membership.roster import Roster
+from quillroad.membership.timing import Timing
+from quillroad.membership.wire import VERSION, Datagram, Kind, encode
+from simulation.cuts import Cuts
+from simulation.fleet import Fleet
+from simulation.heartbeats import Heartbeats
+from simulation.net import Link, World
+from simulation.phi import PAUSE_PERIODS, THRESHOLD, Phi
 
 ROSTER = Roster([("10.0.0.0", 1), ("10.0.0.1", 1)], 0)
 
--- a/tests/fleet/test_wire.py
+++ b/tests/membership/test_wire.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.fleet.budget import Budget
-from quillroad.fleet.wire import (
+from quillroad.membership.budget import Budget
+from quillroad.membership.wire import (
     MOST_BYTES,
     MOST_MEMBERS,
     VERSION,
--- a/tests/test_admission.py
+++ b/tests/overload/test_admission_queue.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quillroad.arrivals.admission import Admission, Lane, Quota, Tuning
-from quillroad.arrivals.glance import Glance, glance
-from quillroad.arrivals.spread import Spread
-from rig.core import Core, mix
+from quillroad.overload.admission_queue import Admission, Lane, Quota, Tuning
+from quillroad.overload.fast_path_parse import Glance, glance
+from quillroad.overload.retry_after import Spread
+from testbed.core import Core, mix
 
 STATUS, CHECKOUT = 0, 1
 LANES = (Lane(2.0, 0.58), Lane(8.0, 0.75))
--- a/tests/test_overload.py
+++ b/tests/overload/test_overload.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from rig.account import Tally, Work, tally, total
-from rig.clients import Load
-from rig.ration import ration, used_s
-from rig.schedule import steady, steps
-from rig.stage import Stage
+from testbed.account import Tally, Work, tally, total
+from testbed.clients import Load
+from testbed.ration import ration, used_s
+from testbed.schedule import steady, steps
+from testbed.stage import Stage
 from tests.net import Client, Message, on_loop, serve_ok, told_settings, until, world
 
 WORKS = [
--- a/tests/test_storms.py
+++ b/tests/overload/test_storms.py
@@ -7,9 +7,9 @@
 import time
 from pathlib import Path
 
-from rig.account import Work, tally, total
-from rig.schedule import steady, steps
-from rig.stage import Stage
+from testbed.account import Work, tally, total
+from testbed.schedule import steady, steps
+from testbed.stage import Stage
 from tests.net import on_loop, until
 
 WORKS = [
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -11,7 +11,7 @@
 
 from bench.fleet import read
 from quillroad.counts import Counts
-from quillroad.engine import Engine
+from quillroad.engine.engine import Engine
 from tests.net import on_loop, serve_ok, told_settings, until, world
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from quillroad import server
-from quillroad.arrivals.acceptor import Acceptor, open_listener
+from quillroad.downstream import server
 from quillroad.gateway import ACCEPT_S, END_S, FLUSH_S
+from quillroad.overload.acceptor import Acceptor, open_listener
 from tests.net import (
     Client,
     FakeDiscovery,
--- a/tests/upgrade/test_machines.py
+++ b/tests/upgrade/test_machines.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from quillroad.config import RESERVED
-from quillroad.upgrade import keeper as k
+from quillroad.upgrade import supervisor as k
 from quillroad.upgrade.canary import Canary, Counts, Tuning, bounds
 from quillroad.upgrade.messages import (
     VERSION,
@@ -28,7 +28,7 @@
     Unfit,
     Welcome,
 )
-from quillroad.upgrade.seat import (
+from quillroad.upgrade.worker_state import (
     Act,
     Adopt,
     Back,
--- a/tests/upgrade/test_pair.py
+++ b/tests/upgrade/test_pair.py
@@ -18,16 +18,16 @@
 from quillroad.config import RESERVED
 from quillroad.upgrade.messages import Hello, Message, Out, State, batch_of
 from quillroad.upgrade.pair import NEWCOMER, Act, Do, Pair, Say, Stage, Tell
-from quillroad.upgrade.seat import Act as SeatAct
-from quillroad.upgrade.seat import Adopt, Export, Limit, Seat, ToKeeper, ToOther
-from quillroad.upgrade.seat import Do as SeatDo
-from rig.account import Record, Work, broken_rules, tally, total
-from rig.beside import BesideGateway
-from rig.builds import Builds
-from rig.clients import Load
-from rig.gateway import settings
-from rig.hosts import Discovery, Host
-from rig.schedule import steady
+from quillroad.upgrade.worker_state import Act as SeatAct
+from quillroad.upgrade.worker_state import Adopt, Export, Limit, Seat, ToKeeper, ToOther
+from quillroad.upgrade.worker_state import Do as SeatDo
+from testbed.account import Record, Work, broken_rules, tally, total
+from testbed.beside import BesideGateway
+from testbed.builds import Builds
+from testbed.clients import Load
+from testbed.gateway import settings
+from testbed.hosts import Discovery, Host
+from testbed.schedule import steady
 from tests.net import on_loop, until
 
 
--- a/tests/upgrade/test_sections.py
+++ b/tests/upgrade/test_sections.py
@@ -11,10 +11,10 @@
 import msgspec
 import pytest
 
-from pinetrack.interface import State
+from quillroad.balancing.interface import State
 from quillroad.config import ConsulHosts
+from quillroad.discovery.instance import Instance, Snapshot, Standing
 from quillroad.gateway import Gateway
-from quillroad.membership.instance import Instance, Snapshot, Standing
 from quillroad.upgrade.messages import Out
 from quillroad.upgrade.sections import KNOWN, read, write
 from quillroad.upgrade.shared import MovingServer, SharedEngine
--- a/tests/upgrade/test_knowledge.py
+++ b/tests/upgrade/test_state_snapshot.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pinetrack.balance import Balancer
-from pinetrack.interface import (
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import (
     Action,
     Arrived,
     Beside,
@@ -20,7 +20,7 @@
     ServerList,
     State,
 )
-from quillroad.upgrade.knowledge import (
+from quillroad.upgrade.state_snapshot import (
     VERSION,
     Knowledge,
     Names,
@@ -29,9 +29,9 @@
     out_at,
     share_budgets,
 )
-from tests.helpers import Stage, route
-from tests.helpers import settings as told_settings
-from tests.test_property import World
+from tests.balancing.helpers import Stage, route
+from tests.balancing.helpers import settings as told_settings
+from tests.balancing.test_property import World
 
 NAMES = Names(("acme", "zeta"), ("two-core", "three-core"))
 
--- a/tests/upgrade/test_upgrades.py
+++ b/tests/upgrade/test_upgrades.py
@@ -17,17 +17,17 @@
 
 import pytest
 
-from quillroad.arrivals.room import RESTING_PART
 from quillroad.config import RESERVED, ConfigError
+from quillroad.downstream.connection_limit import RESTING_PART
 from quillroad.upgrade.messages import batch_of
 from quillroad.upgrade.settings import load_upgrades
-from rig.account import Work, tally, total
-from rig.builds import Builds
-from rig.clients import Load
-from rig.gateway import ROOT
-from rig.hosts import Discovery
-from rig.schedule import steady
-from rig.stage import Stage
+from testbed.account import Work, tally, total
+from testbed.builds import Builds
+from testbed.clients import Load
+from testbed.gateway import ROOT
+from testbed.hosts import Discovery
+from testbed.schedule import steady
+from testbed.stage import Stage
 from tests.net import on_loop, until
 from tests.upgrade.quick import FILE
 
--- a/tests/zones/test_crossing.py
+++ b/tests/zones/test_crossing.py
@@ -8,8 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pinetrack.crossing import FREE, Allowance, Budget, Crossing, Reason
-from pinetrack.interface import (
+from quillroad.balancing.interface import (
     Effect,
     Group,
     ListKind,
@@ -21,9 +20,10 @@
     ServerList,
     State,
 )
+from quillroad.balancing.zone_routing import FREE, Allowance, Budget, Crossing, Reason
 from quillroad.zones.ledger import ENDS, Ledger
 from quillroad.zones.report import MINUTES, Minutes
-from tests.helpers import Stage, route, settings
+from tests.balancing.helpers import Stage, route, settings
 
 SPENDS, REFUSES = Allowance(), Allowance(spends=False, keep=0.5)
 HOME, AWAY = 0, 1
