--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -102,5 +102,5 @@
     (tmp_path / "quillroad" / "gateway.py").write_text("changed = True\n")
     assert build() != ""
     assert (
-        tmp_path / "build" / "compiled" / "quillroad" / "engine.py"
+        tmp_path / "build" / "compiled" / "quillroad" / "gateway.py"
     ).read_text() == "changed = True\n"
