--- a/tests/recordings/documents.py
+++ b/tests/recordings/documents.py
@@ -13,6 +13,8 @@
     "hand-over packet heads": Kind(upgrade.packet_heads),
     "hand-over sections": Kind(upgrade.sections, upgrade.reencode_section),
     "hand-over sections by a gateway": Kind(upgrade.written_by_a_gateway, upgrade.reencode_section),
+    "hand-over documents of older writers": Kind(upgrade.older_documents),
+    "upgrade status": Kind(upgrade.status_lines),
     "balancer knowledge": Kind(upgrade.knowledge, upgrade.reencode_knowledge),
     "fleet datagrams": Kind(fleet.datagrams, fleet.reencode_datagram),
     "fleet exchange": Kind(fleet.exchange, fleet.reencode_datagram),
--- a/tests/recordings/fleet.py
+++ b/tests/recordings/fleet.py
@@ -138,7 +138,7 @@
                 ),
             )
             report = make_report(core, "n1", Part(1, 3), True, 100.0, 1_700_000_000.5)
-            told[f"{state.name}, {standing.name}"] = write_report(report).decode()
+            told[f"{state.value}, {standing.name.lower()}"] = write_report(report).decode()
     return told
 
 
--- a/tests/recordings/test_documents.py
+++ b/tests/recordings/test_documents.py
@@ -78,6 +78,11 @@
     assert upgrade.adopt_and_export(adopted, work=False) == adopted
 
 
+def test_every_meaning_of_an_alarm_is_taken_over() -> None:
+    told, taken = upgrade.alarms_after_adoption()
+    assert told == taken
+
+
 def record() -> None:
     told = {name: built(name) for name in KINDS}
     FILE.write_text(json.dumps(told, indent=1, ensure_ascii=False) + "\n", encoding="utf-8")
--- a/tests/recordings/upgrade.py
+++ b/tests/recordings/upgrade.py
@@ -15,6 +15,8 @@
 from pinetrack.balance import Balancer
 from pinetrack.interface import Effect, Outcome, Server, State
 from quillroad.gateway import Gateway
+from quillroad.upgrade.canary import Canary
+from quillroad.upgrade.keeper import Keeper, Limits, Phase, Worker
 from quillroad.upgrade.knowledge import (
     ALARMS,
     AttemptKnown,
@@ -289,6 +291,69 @@
     return _encode(balancer, work)
 
 
+DEFAULT_STRUCTS: tuple[Struct, ...] = (
+    *DEFAULT_MESSAGES,
+    ServerKnown(1, 2, 3, 4, 5, 6.5, None, 7.5, 8),
+    RouteKnown("", 1.5, 2.5, 3, 4.5),
+    AttemptKnown(1, 2, None, True, False, True),
+    RequestKnown(1, 2, 3.5, 4, True, 5, 6, False, True),
+    Work([], [], [], [], 1, 2),
+    Knowledge(0, [], []),
+    Hosts([]),
+    Lanes(1.5, 2.5),
+)
+
+
+def alarms_after_adoption() -> tuple[list[str], list[str]]:
+    """The meanings of alarms that a document tells, and those that a balancer takes over."""
+    alarms = [(100 + place, meaning, -1) for place, meaning in enumerate(ALARMS)]
+    stage = _seeded_stage()
+    queues: list[tuple[list[int], list[int]]] = [([], []) for _ in stage.told.routes]
+    work = Work([], queues, [[] for _ in stage.told.routes], alarms, 200, 0)
+    balancer = Balancer(stage.told, 99)
+    adopt(balancer, Knowledge(0, [], [], work=work), NAMES)
+    told = export(balancer, NAMES, work=True).work
+    assert told is not None
+    return list(ALARMS), [meaning for _, meaning, _ in told.alarms]
+
+
+def _without_defaults(struct: Struct) -> Any:
+    """What an older writer sent that had none of the fields with defaults."""
+    fields = [field for field in msgspec.structs.fields(type(struct)) if field.required]
+    told = msgspec.msgpack.decode(msgspec.msgpack.encode(struct))
+    if isinstance(told, dict):
+        return {field.encode_name: told[field.encode_name] for field in fields}
+    tags = 1 if struct.__struct_config__.tag is not None else 0
+    return told[: tags + len(fields)]
+
+
+def older_documents() -> Documents:
+    """The shortest form of each document, and what it becomes when it is read and written again."""
+    told: dict[str, bytes | str] = {}
+    for struct in DEFAULT_STRUCTS:
+        short = msgspec.msgpack.encode(_without_defaults(struct))
+        whole = msgspec.msgpack.encode(msgspec.msgpack.decode(short, type=type(struct)))
+        tag = struct.__struct_config__.tag
+        name = str(tag) if tag is not None else f"{len(told)}"
+        told[name] = f"{short.hex()} becomes {whole.hex()}"
+    return told
+
+
+def status_lines() -> Documents:
+    """What `quillroad status` is told, in each phase of an upgrade."""
+    told: dict[str, bytes | str] = {}
+    for phase in Phase:
+        numbers = range(1, 5)
+        workers = {
+            n: Worker(n, 5.5, memory_mb=6.5 + n, open=7 + n, connections=8 * n) for n in numbers
+        }
+        keeper = Keeper(Limits(), Canary(), phase, workers, 1, 2, 3, {1}, {4: 9.5})
+        told[phase.value] = "\n".join(keeper.status())
+        keeper.last = "it ended with 3"
+        told[f"{phase.value}, after an upgrade"] = "\n".join(keeper.status())
+    return told
+
+
 SOURCE = ("127.0.0.1:1", 62)  # the one of `make_config(1)`, so that its position counts
 SECTIONS: dict[str, Struct] = {
     "clock": Clock(61_000_001),
