--- a/tests/recordings/command_line.py
+++ b/tests/recordings/command_line.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from quillroad.fleet.report import write_report
+from quillroad.membership.report import write_report
+from tests.config.test_file import CONSUL, GOOD
 from tests.recordings import fleet, zones
 from tests.recordings.kinds import Documents
-from tests.test_config_file import CONSUL, GOOD
 
 ROOT = Path(__file__).parent.parent.parent
 PROGRAM = ROOT / "quillroad"
--- a/tests/recordings/consul.py
+++ b/tests/recordings/consul.py
@@ -5,7 +5,7 @@
 import dataclasses
 
 from quillroad.config import Register
-from quillroad.membership.consul.registrar import Registrar
+from quillroad.discovery.consul.registrar import Registrar
 from tests.net import make_config
 from tests.recordings.kinds import Documents
 
--- a/tests/recordings/fleet.py
+++ b/tests/recordings/fleet.py
@@ -11,16 +11,16 @@
 
 from immutables import Map
 
-from quillroad.fleet.claims import Claim, Claims, Standing
-from quillroad.fleet.condition import Self
-from quillroad.fleet.core import Core
-from quillroad.fleet.report import Line, Report, make_report, read_report, write_report
-from quillroad.fleet.roster import Roster
-from quillroad.fleet.share import Part
-from quillroad.fleet.socket import Fleet
-from quillroad.fleet.timing import Timing
-from quillroad.fleet.view import Change, Seen, View
-from quillroad.fleet.wire import VERSION, Datagram, Kind, News, decode, encode
+from quillroad.membership.claims import Claim, Claims, Standing
+from quillroad.membership.condition import Self
+from quillroad.membership.core import Core
+from quillroad.membership.report import Line, Report, make_report, read_report, write_report
+from quillroad.membership.roster import Roster
+from quillroad.membership.share import Part
+from quillroad.membership.socket import Fleet
+from quillroad.membership.timing import Timing
+from quillroad.membership.view import Change, Seen, View
+from quillroad.membership.wire import VERSION, Datagram, Kind, News, decode, encode
 from tests.net import make_config
 from tests.recordings.kinds import Documents
 
--- a/tests/recordings/operators.py
+++ b/tests/recordings/operators.py
@@ -8,10 +8,10 @@
 from typing import Any, cast
 from unittest.mock import patch
 
-from pinetrack.interface import ListKind, Outcome, Server, ServerList
 from quillroad.admin.calls import Act, BadCall, Call, read_call
 from quillroad.admin.figures import GAUGES, OUTCOMES, Figures
 from quillroad.admin.front import REASONS, Page, page
+from quillroad.balancing.interface import ListKind, Outcome, Server, ServerList
 from quillroad.counts import Counts
 from quillroad.gateway import Gateway
 from tests.admin import test_decisions
--- a/tests/recordings/rejections.py
+++ b/tests/recordings/rejections.py
@@ -12,15 +12,17 @@
 from pathlib import Path
 from typing import Any
 
-from pinetrack.interface import Route, Settings
-from pinetrack.told import read_settings
+from quillroad.balancing.interface import Route, Settings
+from quillroad.balancing.platform_settings import read_settings
 from quillroad.config import Config, ConfigError, load
 from quillroad.config.file import load_file
-from quillroad.fleet.settings import load_fleet
+from quillroad.membership.settings import load_fleet
 from quillroad.upgrade.settings import load_upgrades
 from quillroad.zones.settings import load_zones
-from tests import test_config_file, test_settings, test_told
-from tests.fleet import test_settings as test_fleet_settings
+from tests.balancing import test_platform_settings
+from tests.config import test_file as test_config_file
+from tests.config import test_platform as test_platform_config
+from tests.membership import test_settings as test_fleet_settings
 from tests.net import config_data, make_config, told_settings
 from tests.recordings.kinds import Documents, parameters
 from tests.upgrade import test_upgrades
@@ -143,16 +145,20 @@
     """Settings of the platform with one value replaced by what makes no sense, or that contradict
     themselves."""
     told = {}
-    for path in parameters(test_told.test_a_value_that_cannot_work_is_named_in_one_line):
-        for junk in test_told.JUNK:
-            settings = copy.deepcopy(test_told.WHOLE)
+    for path in parameters(
+        test_platform_settings.test_a_value_that_cannot_work_is_named_in_one_line
+    ):
+        for junk in test_platform_settings.JUNK:
+            settings = copy.deepcopy(test_platform_settings.WHOLE)
             part: Any = settings
             for key in path[:-1]:
                 part = part[key]
             part[path[-1]] = junk
             name = f"{'.'.join(map(str, path))} is {junk!r}"
             told[name] = _of_platform(config_data(1, settings=settings))
-    for changes, _ in parameters(test_told.test_settings_that_contradict_themselves_name_the_field):
+    for changes, _ in parameters(
+        test_platform_settings.test_settings_that_contradict_themselves_name_the_field
+    ):
         told[repr(changes)] = _of_platform(config_data(1, settings=told_settings(**changes)))
     return told
 
@@ -182,9 +188,9 @@
 def module_settings() -> Documents:
     """The decision package's own checks of its settings."""
     told = {}
-    for _, values in parameters(test_settings.test_bad_settings_name_the_field):
+    for _, values in parameters(test_platform_config.test_bad_settings_name_the_field):
         told[f"settings {values}"] = _line(partial(Settings, **values), ValueError)
-    for values in parameters(test_settings.test_bad_routes_name_the_field):
+    for values in parameters(test_platform_config.test_bad_routes_name_the_field):
         told[f"route {values}"] = _line(partial(Route, **values), ValueError)
     told["a class without semantics"] = _line(
         lambda: read_settings({"lanes": [{"deadline": 5}]}), ValueError
--- a/tests/recordings/upgrade.py
+++ b/tests/recordings/upgrade.py
@@ -12,23 +12,10 @@
 import msgspec
 from msgspec import Struct
 
-from pinetrack.balance import Balancer
-from pinetrack.interface import Effect, Outcome, Server, State
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.interface import Effect, Outcome, Server, State
 from quillroad.gateway import Gateway
 from quillroad.upgrade.canary import Canary
-from quillroad.upgrade.keeper import Keeper, Limits, Phase, Worker
-from quillroad.upgrade.knowledge import (
-    ALARMS,
-    AttemptKnown,
-    Knowledge,
-    Names,
-    RequestKnown,
-    RouteKnown,
-    ServerKnown,
-    Work,
-    adopt,
-    export,
-)
 from quillroad.upgrade.messages import (
     ByHand,
     Come,
@@ -73,7 +60,20 @@
     write,
 )
 from quillroad.upgrade.shared import MovingServer, SharedEngine
-from tests.helpers import Stage, route, settings
+from quillroad.upgrade.state_snapshot import (
+    ALARMS,
+    AttemptKnown,
+    Knowledge,
+    Names,
+    RequestKnown,
+    RouteKnown,
+    ServerKnown,
+    Work,
+    adopt,
+    export,
+)
+from quillroad.upgrade.supervisor import Keeper, Limits, Phase, Worker
+from tests.balancing.helpers import Stage, route, settings
 from tests.net import make_config
 from tests.recordings.kinds import Documents
 
--- a/tests/recordings/zones.py
+++ b/tests/recordings/zones.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from pinetrack.crossing import Allowance, Budget, Crossing, Reason
-from pinetrack.interface import Outcome
+from quillroad.balancing.interface import Outcome
+from quillroad.balancing.zone_routing import Allowance, Budget, Crossing, Reason
 from quillroad.zones.ledger import Ledger
 from quillroad.zones.report import (
     ClassLine,
