--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -16,55 +16,71 @@
 
 from quillroad.balancing.balancer import Balancer
 from quillroad.balancing.interface import (
-    Alarm,
-    Arrived,
-    AttemptDone,
-    Beside,
-    Cancel,
-    Departed,
-    Effect,
+    AttemptFinished,
+    CancelAttempt,
+    ClientDisconnected,
+    DeduplicationScope,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
     Event,
-    Group,
-    ListKind,
+    Idempotency,
     Outcome,
+    RequestArrived,
     Route,
-    Send,
-    Server,
-    ServerList,
-    SetAlarm,
+    SendAttempt,
+    SetTimer,
     Settings,
-    State,
+    SiblingAttempts,
+    TimerFired,
+    UpdateKind,
 )
 
 ROUTES = (
-    Route("status", Effect.SAFE, 580_000, 1_400_000, 2.0),
-    Route("seat", Effect.KEYED, 750_000, 1_900_000, 8.0, group=Group.ALL, memory_span_us=6_000_000),
-    Route("local", Effect.KEYED, 400_000, 900_000, 1.0, group=Group.ZONE, memory_span_us=2_000_000),
-    Route("once", Effect.UNSAFE, None, 3_000_000, 1.0),
+    Route("status", Idempotency.IDEMPOTENT, 580_000, 1_400_000, 2.0),
+    Route(
+        "seat",
+        Idempotency.KEYED,
+        750_000,
+        1_900_000,
+        8.0,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window_us=6_000_000,
+    ),
+    Route(
+        "local",
+        Idempotency.KEYED,
+        400_000,
+        900_000,
+        1.0,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window_us=2_000_000,
+    ),
+    Route("once", Idempotency.NON_IDEMPOTENT, None, 3_000_000, 1.0),
 )
 TOLD = Settings(
     routes=ROUTES,
-    balancers=2,
-    number=1,
+    gateway_count=2,
+    gateway_index=1,
     tenant_quotas_per_s=(300.0, 40.0),
-    over_quota_worth=0.05,
+    over_quota_weight=0.05,
     max_attempts=4,
-    parallel_tries=True,
-    cancelling=True,
-    retry_after=True,
+    hedging_allowed=True,
+    cancellation_allowed=True,
+    retry_after_allowed=True,
     max_retry_after_us=600_000,
-    cold_us=3_000_000,
-    cold_from=0.2,
-    fall_multiple=3.0,
-    price_cross_zone=0.02,
+    warm_up_us=3_000_000,
+    initial_capacity=0.2,
+    overload_multiple=3.0,
+    cross_zone_cost=0.02,
 )
 BAD = (
     Outcome.ERROR,
-    Outcome.FULL,
+    Outcome.REJECTED,
     Outcome.CONNECT_FAILED,
     Outcome.RESET,
     Outcome.TIMEOUT,
-    Outcome.MOOT,
+    Outcome.NOT_SENT,
 )
 
 
@@ -74,7 +90,7 @@
     now, count, pending = 1_000_000, 0, list[tuple[int, int, Event]]()
     tries: dict[int, int] = {}
     number = 0
-    lines = {i: Server(i, zone=i % 2, kind=i % 3) for i in range(servers)}
+    lines = {i: Endpoint(i, zone=i % 2, machine_type=i % 3) for i in range(servers)}
 
     def later(at: int, event: Event) -> None:
         nonlocal number
@@ -86,23 +102,27 @@
         for action in module.handle(now, [event]):
             count += 1
             told.update(repr(action).encode())
-            if isinstance(action, SetAlarm):
-                later(now + action.delay_us, Alarm(action.tag))
-            elif isinstance(action, Send):
+            if isinstance(action, SetTimer):
+                later(now + action.delay_us, TimerFired(action.timer_id))
+            elif isinstance(action, SendAttempt):
                 attempt = tries.get(action.request, 0)
                 tries[action.request] = attempt + 1
                 wrong = chance.random() < (
-                    0.5 if action.server % 5 == (now // 4_000_000) % 5 else 0.02
+                    0.5 if action.endpoint % 5 == (now // 4_000_000) % 5 else 0.02
                 )
                 took = int(chance.expovariate(1 / 30_000)) + (
                     chance.randrange(900_000) if wrong else 500
                 )
                 outcome = chance.choice(BAD) if wrong else Outcome.SUCCESS
-                later(now + took, AttemptDone(action.request, attempt, outcome, took, not wrong))
-            elif isinstance(action, Cancel):
-                later(now, AttemptDone(action.request, action.attempt, Outcome.CANCELLED, 1, True))
+                later(
+                    now + took, AttemptFinished(action.request, attempt, outcome, took, not wrong)
+                )
+            elif isinstance(action, CancelAttempt):
+                later(
+                    now, AttemptFinished(action.request, action.attempt, Outcome.CANCELLED, 1, True)
+                )
 
-    feed(ServerList(ListKind.FULL, tuple(lines.values())))
+    feed(EndpointUpdate(UpdateKind.FULL, tuple(lines.values())))
     for request in range(requests):
         arrives = now + int(chance.expovariate(1 / 2_500))
         while pending and pending[0][0] <= arrives:
@@ -113,7 +133,7 @@
         route = chance.choices(range(4), (6, 3, 1, 1))[0]
         wait = ROUTES[route].deadline_us - chance.randrange(200_000)
         feed(
-            Arrived(
+            RequestArrived(
                 request,
                 route,
                 now + wait,
@@ -124,16 +144,20 @@
             )
         )
         if chance.random() < 0.01:
-            later(now + chance.randrange(50_000), Departed(request))
+            later(now + chance.randrange(50_000), ClientDisconnected(request))
         if chance.random() < 0.005:
             some = chance.randrange(servers)
-            state = chance.choice((State.READY, State.DRAINING, State.GONE))
+            state = chance.choice(
+                (EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED)
+            )
             started = now if chance.random() < 0.5 else lines[some].started_us
-            lines[some] = lines[some]._replace(state=state, started_us=started)
-            feed(ServerList(ListKind.CHANGES, (lines[some],)))
+            lines[some] = lines[some]._replace(status=state, started_us=started)
+            feed(EndpointUpdate(UpdateKind.INCREMENTAL, (lines[some],)))
         if chance.random() < 0.002:
             feed(
-                Beside({chance.randrange(servers): (chance.randrange(3), 0)}, chance.random() < 0.7)
+                SiblingAttempts(
+                    {chance.randrange(servers): (chance.randrange(3), 0)}, chance.random() < 0.7
+                )
             )
     return told.hexdigest(), count
 
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -23,15 +23,15 @@
 from bench.picture import over_time
 from quillroad.balancing.balancer import Balancer
 from quillroad.balancing.interface import (
-    Arrived,
-    AttemptDone,
-    Effect,
-    ListKind,
+    AttemptFinished,
+    Endpoint,
+    EndpointUpdate,
+    Idempotency,
     Outcome,
+    RequestArrived,
     Route,
-    Server,
-    ServerList,
     Settings,
+    UpdateKind,
 )
 from quillroad.balancing.zone_routing import Allowance, Budget, Crossing
 from quillroad.zones.report import Report, read_report
@@ -198,19 +198,26 @@
 def cost(hosts: int, on: bool, requests: int = 20_000) -> float:
     """Microseconds of CPU time that the module takes for a request, with `hosts` half of which are away."""
     told = Settings(
-        routes=(Route(name="r", effect=Effect.SAFE, aim_us=580_000, deadline_us=1_400_000),),
+        routes=(
+            Route(
+                name="r",
+                idempotency=Idempotency.IDEMPOTENT,
+                latency_objective_us=580_000,
+                deadline_us=1_400_000,
+            ),
+        ),
         max_attempts=4,
-        parallel_tries=True,
-        cancelling=True,
+        hedging_allowed=True,
+        cancellation_allowed=True,
     )
     module = Balancer(told, 1, Crossing(Budget(0.05, (Allowance(),))) if on else None)
-    servers = tuple(Server(i, zone=i % 2) for i in range(hosts))
-    module.handle(1, [ServerList(ListKind.FULL, servers)])
+    servers = tuple(Endpoint(i, zone=i % 2) for i in range(hosts))
+    module.handle(1, [EndpointUpdate(UpdateKind.FULL, servers)])
     began = time.process_time()
     for number in range(requests):
         now = 1_000 + 500 * number
-        module.handle(now, [Arrived(number, 0, now + 1_400_000)])
-        module.handle(now + 400, [AttemptDone(number, 0, Outcome.SUCCESS, 400, True)])
+        module.handle(now, [RequestArrived(number, 0, now + 1_400_000)])
+        module.handle(now + 400, [AttemptFinished(number, 0, Outcome.SUCCESS, 400, True)])
         module.alarms.clear()
     return (time.process_time() - began) / requests * 1e6
 
--- a/quillroad/admin/admin.py
+++ b/quillroad/admin/admin.py
@@ -11,7 +11,7 @@
 from quillroad.admin.figures import CONTENT_TYPE, Figures
 from quillroad.admin.front import PLACES, Front, Page, page
 from quillroad.admin.hands import Hands, NoSuchHostError, Told, TooManyError
-from quillroad.balancing.interface import ServerList
+from quillroad.balancing.interface import EndpointUpdate
 from quillroad.config import Address
 from quillroad.overload.acceptor import open_listener
 
@@ -57,7 +57,7 @@
         self.front.stop()
 
     def told(
-        self, servers: ServerList, names: dict[int, str], addresses: dict[int, Address]
+        self, servers: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
         """A source tells of hosts."""
         self._update(self.hands.lay(servers, names, addresses))
--- a/quillroad/admin/hands.py
+++ b/quillroad/admin/hands.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from quillroad.balancing.interface import ListKind, Server, ServerList, State
+from quillroad.balancing.interface import Endpoint, EndpointStatus, EndpointUpdate, UpdateKind
 from quillroad.config import Address
 
 MOST = 4096  # hosts out by hand, and calls back remembered: a list has fewer, and both outlive it
@@ -29,7 +29,7 @@
 class Told(NamedTuple):
     """What the engine takes."""
 
-    servers: ServerList
+    servers: EndpointUpdate
     names: dict[int, str]
     addresses: dict[int, Address]
 
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         self.out: dict[str, int] = {}  # since when (Unix time, us)
         self._back: dict[str, Back] = {}  # of hosts that were put back, the oldest first
-        self._told: dict[int, tuple[Server, str, Address]] = {}
+        self._told: dict[int, tuple[Endpoint, str, Address]] = {}
         self._numbers: dict[str, int] = {}
         self._version = 0
 
@@ -61,20 +61,20 @@
         """How many of those out are in the list."""
         return sum(name in self._numbers for name in self.out)
 
-    def told(self, number: int) -> Server | None:
+    def told(self, number: int) -> Endpoint | None:
         """A host's line as its source tells it; None where it is not listed."""
         line = self._told.get(number)
         return None if line is None else line[0]
 
     def lay(
-        self, servers: ServerList, names: Mapping[int, str], addresses: Mapping[int, Address]
+        self, servers: EndpointUpdate, names: Mapping[int, str], addresses: Mapping[int, Address]
     ) -> Told:
         """What the engine is to take in place of what a source tells."""
-        if servers.kind is not ListKind.CHANGES:
+        if servers.kind is not UpdateKind.INCREMENTAL:
             self._told, self._numbers = {}, {}
         shown = []
-        for server in servers.servers:
-            if server.state is State.GONE:
+        for server in servers.endpoints:
+            if server.status is EndpointStatus.REMOVED:
                 self._told.pop(server.id, None)
                 self._numbers.pop(names[server.id], None)
                 shown.append(server)
@@ -86,7 +86,7 @@
             )
             shown.append(self._shown(server, name))
         self._version = servers.version
-        return Told(servers._replace(servers=tuple(shown)), dict(names), dict(addresses))
+        return Told(servers._replace(endpoints=tuple(shown)), dict(names), dict(addresses))
 
     def maint(self, name: str, now_us: int) -> Told | None:
         """Take a host out; None where it is out already. `now_us` is Unix time. Raises `NoSuchHostError`,
@@ -127,9 +127,9 @@
         while len(self._back) > MOST:
             del self._back[next(iter(self._back))]
 
-    def _shown(self, server: Server, name: str) -> Server:
+    def _shown(self, server: Endpoint, name: str) -> Endpoint:
         if name in self.out:
-            server = server._replace(state=State.DRAINING)
+            server = server._replace(status=EndpointStatus.DRAINING)
         back = self._back.get(name)
         if back is not None and (server.started_us or 0) < back.went_us:
             server = server._replace(started_us=back.came_us)
@@ -138,8 +138,10 @@
     def _change(self, names: list[str]) -> Told:
         lines = [self._told[self._numbers[name]] for name in names]
         return Told(
-            ServerList(
-                ListKind.CHANGES, tuple(self._shown(s, name) for s, name, _ in lines), self._version
+            EndpointUpdate(
+                UpdateKind.INCREMENTAL,
+                tuple(self._shown(s, name) for s, name, _ in lines),
+                self._version,
             ),
             {s.id: name for s, name, _ in lines},
             {s.id: address for s, _, address in lines},
--- a/quillroad/balancing/balancer.py
+++ b/quillroad/balancing/balancer.py
@@ -14,31 +14,31 @@
 from quillroad.balancing.interface import (
     NEVER_RAN,
     Action,
-    Alarm,
-    Arrived,
-    AttemptDone,
-    Beside,
-    Cancel,
-    Carried,
-    Company,
-    Departed,
-    Effect,
+    AttemptFinished,
+    CancelAttempt,
+    ClientDisconnected,
+    CrossZoneBytes,
+    DeduplicationScope,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
     Event,
     Fail,
-    Group,
-    ListKind,
-    Log,
+    GatewayCountChanged,
+    Idempotency,
+    LogMessage,
     Outcome,
-    Refuse,
+    Reject,
+    RequestArrived,
     Route,
-    Send,
-    Server,
-    ServerList,
-    SetAlarm,
+    SendAttempt,
+    SetTimer,
     Settings,
-    State,
+    SiblingAttempts,
     StreamStarted,
-    Watch,
+    TimerFired,
+    UpdateKind,
+    WatchEndpoints,
 )
 
 if TYPE_CHECKING:
@@ -123,7 +123,7 @@
 class RouteState:
     def __init__(self, spec: Route) -> None:
         self.spec, self.budget, self.latency = spec, TokenBucket(1.0), LatencyTracker(128)
-        self.patience_us = spec.aim_us or spec.deadline_us
+        self.patience_us = spec.latency_objective_us or spec.deadline_us
         self.cost_us = self.patience_us / 4  # uncrowded latency; a cautious guess until learned
         self.samples, self.try_us = 0, 0.0  # answers learned from; how long clients wait, smoothed
         self.due: deque[tuple[int, Attempt]] = deque()  # attempts by the time they are overdue
@@ -135,7 +135,7 @@
 
 
 class ServerState:
-    def __init__(self, spec: Server) -> None:
+    def __init__(self, spec: Endpoint) -> None:
         self.spec, self.payoff = spec, UNKNOWN
         self.order = zlib.crc32(b"%d" % spec.id)  # its place in the order common to all balancers
         self.in_flight = self.overdue = 0  # own attempts out, and those of them past their aim
@@ -177,15 +177,17 @@
 class Request:
     """A client's request, kept until its final answer and the last outcome of its attempts."""
 
-    def __init__(self, event: Arrived, route: RouteState, now_us: int, over: bool) -> None:
+    def __init__(self, event: RequestArrived, route: RouteState, now_us: int, over: bool) -> None:
         self.id, self.route, self.number = event.request, route, event.route
-        self.cost_us, self.over = float(event.work_us or route.cost_us), over
-        self.useful_us = event.give_up_us  # an answer after this is worth nothing
-        if route.spec.aim_us is not None and not route.spec.late_worth:
-            aim_us = route.spec.aim_us + int(route.spec.aim_stretch * self.cost_us)
+        self.cost_us, self.over = float(event.work_estimate_us or route.cost_us), over
+        self.useful_us = event.deadline_us  # an answer after this is worth nothing
+        if route.spec.latency_objective_us is not None and not route.spec.late_weight:
+            aim_us = route.spec.latency_objective_us + int(
+                route.spec.objective_stretch * self.cost_us
+            )
             self.useful_us = min(self.useful_us, now_us + aim_us)
         self.attempts: list[Attempt] = []
-        self.out, self.groups, self.long = 0, 0, event.long
+        self.out, self.groups, self.long = 0, 0, event.long_body
         self.closed = self.left = False  # has its final answer, or needs none; its client has gone
 
     def may_have_run(self) -> list[Attempt]:
@@ -195,15 +197,15 @@
 def may_refuse(request: Request) -> bool:
     """Rule 2: a refusal says that trying again is harmless, so nothing harmful may have run."""
     spec = request.route.spec
-    repeatable = spec.effect is Effect.SAFE or (
-        spec.effect is Effect.KEYED and spec.group is Group.ALL
+    repeatable = spec.idempotency is Idempotency.IDEMPOTENT or (
+        spec.idempotency is Idempotency.KEYED and spec.deduplication_scope is DeduplicationScope.ALL
     )
     return repeatable or not request.may_have_run()
 
 
 def classify(request: Request, outcome: Outcome) -> bool:
     """Whether an outcome is retryable: unseen work always, any failure where repeats do no harm."""
-    return outcome in NEVER_RAN or request.route.spec.effect is not Effect.UNSAFE
+    return outcome in NEVER_RAN or request.route.spec.idempotency is not Idempotency.NON_IDEMPOTENT
 
 
 class Balancer:
@@ -223,18 +225,21 @@
         self.one_zone = True  # all servers are in the own zone
         # A turn holds one request of the dearest route at the coldest, and is no longer than the told window.
         safe_us = (
-            COLD_SAFETY * settings.fall_multiple * settings.cold_from * settings.fall_window_us
+            COLD_SAFETY
+            * settings.overload_multiple
+            * settings.initial_capacity
+            * settings.overload_window_us
         )
         turns = max(1, int(safe_us / max(r.cost_us for r in self.routes)))
         self.turn_us = max(
-            1, settings.fall_window_us // turns
+            1, settings.overload_window_us // turns
         )  # a deadline of 1 us makes millions of turns
         self.requests: dict[int, Request] = {}
         self.actions: list[Action] = []
         self.alarms: dict[int, tuple[Callable[[Any], None], Any]] = {}
         self.tags = self.queued = self.failed_calls = 0
         self.quotas = [TokenBucket(q) for q in settings.tenant_quotas_per_s]
-        self.span_us, self.mean_payoff = MEMORY * settings.ask_within_us, UNKNOWN
+        self.span_us, self.mean_payoff = MEMORY * settings.poll_interval_us, UNKNOWN
         self.recent, self.counted_us, self.admitted = (
             0.0,
             0,
@@ -247,9 +252,12 @@
         self.pace: dict[
             int, float
         ] = {}  # of each kind of machine: mean log2 of latency over route cost
-        self.number, self.balancers = settings.number, settings.balancers  # as they are now
+        self.number, self.balancers = (
+            settings.gateway_index,
+            settings.gateway_count,
+        )  # as they are now
         # Own share of a server's concurrency limit.
-        self.limit = (LIMIT if settings.balancers <= LIMIT else SHARED) / settings.balancers
+        self.limit = (LIMIT if settings.gateway_count <= LIMIT else SHARED) / settings.gateway_count
         self.crowding = 1.0  # latency in a full server over the uncrowded one, smoothed
         self.warms = True  # the turns at cold servers are ours
         self.room = max(1.0, self.limit)  # own places at each server drawn from
@@ -288,30 +296,30 @@
     def alarm(self, delay_us: float, act: Callable[[Any], None], about: Any = None) -> None:
         self.tags += 1
         self.alarms[self.tags] = (act, about)
-        self.actions.append(SetAlarm(max(0, int(delay_us)), self.tags))
+        self.actions.append(SetTimer(max(0, int(delay_us)), self.tags))
 
-    def on_alarm(self, event: Alarm) -> None:
-        act, about = self.alarms.pop(event.tag, (lambda _: None, None))
+    def on_alarm(self, event: TimerFired) -> None:
+        act, about = self.alarms.pop(event.timer_id, (lambda _: None, None))
         act(about)
 
-    def on_list(self, event: ServerList) -> None:
-        if event.kind is ListKind.FAILED:
+    def on_list(self, event: EndpointUpdate) -> None:
+        if event.kind is UpdateKind.FAILED:
             # Guards against calls piling up on discovery, one service for all: waits grow, with jitter.
             self.failed_calls = min(self.failed_calls + 1, 9)
-            wait_us = min(self.settings.ask_within_us / 4, 100_000 * 2.0**self.failed_calls)
+            wait_us = min(self.settings.poll_interval_us / 4, 100_000 * 2.0**self.failed_calls)
             return self.alarm(wait_us * (0.5 + self.random.random()), self.watch)
         self.failed_calls = 0
-        if event.kind is ListKind.CACHED and self.settings.discovery_asks:
-            self.actions.append(Watch())
-        if event.kind is not ListKind.CHANGES:
-            self.servers = {i: self.servers[i] for i, *_ in event.servers if i in self.servers}
-        for line in event.servers:
+        if event.kind is UpdateKind.CACHED and self.settings.discovery_is_polled:
+            self.actions.append(WatchEndpoints())
+        if event.kind is not UpdateKind.INCREMENTAL:
+            self.servers = {i: self.servers[i] for i, *_ in event.endpoints if i in self.servers}
+        for line in event.endpoints:
             known = self.servers.get(line.id)
-            if line.state is State.GONE:
+            if line.status is EndpointStatus.REMOVED:
                 self.servers.pop(line.id, None)
             elif known is None or (line.started_us or 0) > (known.spec.started_us or 0):
                 self.servers[line.id] = ServerState(line)
-                self.pace.setdefault(line.kind, 0.0)
+                self.pace.setdefault(line.machine_type, 0.0)
             else:
                 known.spec = line
         self.sort_out(self.now)
@@ -321,44 +329,47 @@
     def sort_out(self, now_us: int) -> None:
         """What follows from the servers as they are listed. Rule 3: a draining or departed server leaves the
         candidates with the event that tells of it."""
-        ready = [s for s in self.servers.values() if s.spec.state is State.READY]
+        ready = [s for s in self.servers.values() if s.spec.status is EndpointStatus.READY]
         self.candidates = sorted(ready, key=lambda s: s.order)
         self.cold = [s for s in self.candidates if self.is_cold(s, now_us)]
         # Most fleets: then no pick needs to look at all servers for those of the own zone.
         self.one_zone = all(s.spec.zone == self.settings.zone for s in self.servers.values())
 
     def watch(self, _: object) -> None:
-        self.actions.append(Watch())
+        self.actions.append(WatchEndpoints())
 
-    def on_beside(self, event: Beside) -> None:
+    def on_beside(self, event: SiblingAttempts) -> None:
         """What another process of this gateway has out counts as ours: guards against two that each fill a
         server's limit, and, by `warms`, against two that use one turn at a cold server."""
-        self.warms, self.beside = event.warms, sum(out - late for out, late in event.out.values())
+        self.warms, self.beside = (
+            event.owns_slow_start,
+            sum(out - late for out, late in event.in_flight.values()),
+        )
         for s in self.servers.values():
-            out, late = event.out.get(s.spec.id, (0, 0))
+            out, late = event.in_flight.get(s.spec.id, (0, 0))
             s.in_flight, s.overdue = s.in_flight + out - s.beside[0], s.overdue + late - s.beside[1]
             s.beside = (out, late)
 
-    def on_company(self, event: Company) -> None:
+    def on_company(self, event: GatewayCountChanged) -> None:
         """Others came or went: own share of what servers bear together stays what was learned of the whole.
         Guards against windows of a tenth for three that are left of ten, until each has learned it anew."""
-        self.limit *= self.balancers / event.balancers
-        self.number, self.balancers = event.number, event.balancers
+        self.limit *= self.balancers / event.gateway_count
+        self.number, self.balancers = event.gateway_index, event.gateway_count
 
-    def on_arrived(self, event: Arrived) -> None:
+    def on_arrived(self, event: RequestArrived) -> None:
         route = self.routes[event.route]
         self.recent = 1.0 + self.recent * math.exp((self.counted_us - self.now) / self.span_us)
         self.counted_us = self.now
-        left_us = event.give_up_us - self.now
+        left_us = event.deadline_us - self.now
         route.try_us += (left_us - route.try_us) * (SMOOTH if route.try_us else 1.0)
-        request = Request(event, route, self.now, event.repeat or self.over_quota(event.tenant))
+        request = Request(event, route, self.now, event.is_retry or self.over_quota(event.tenant))
         self.requests[request.id] = request
         self.mean_cost_us += (request.cost_us - self.mean_cost_us) / 64
         weight = min(1.0, request.cost_us / self.mean_cost_us / 256)
         self.blocking_share += (self.blocks(route) - self.blocking_share) * weight
         # With no marks, a try that ends sooner than most by more than the aim is a repeat and has lost it.
-        lost = not self.settings.clients_mark_repeats and left_us < route.try_us - route.patience_us
-        if lost and not route.spec.late_worth:
+        lost = not self.settings.clients_mark_retries and left_us < route.try_us - route.patience_us
+        if lost and not route.spec.late_weight:
             self.finish(request, "refused_late")
         elif self.limit >= 1.0 and self.random.random() > self.admitted:
             # In a window what is out is bounded: no jam is fed, and hosts that fail say nothing of one.
@@ -371,7 +382,7 @@
         if not 0 <= tenant < len(self.quotas):
             return bool(self.quotas)
         rate, quota = (
-            self.settings.tenant_quotas_per_s[tenant] / self.settings.balancers,
+            self.settings.tenant_quotas_per_s[tenant] / self.settings.gateway_count,
             self.quotas[tenant],
         )
         quota.earn(rate / 1e6 * (self.now - quota.filled_us), max(1.0, rate))
@@ -409,7 +420,9 @@
         """The order in which what waits is sent: worth for cost first; over-quota tenants, marked repeats
         last."""
         return (
-            (-self.settings.over_quota_worth if over else -1.0) * route.spec.worth / route.cost_us
+            (-self.settings.over_quota_weight if over else -1.0)
+            * route.spec.priority_weight
+            / route.cost_us
         )
 
     def out_of_reach(self, request: Request) -> bool:
@@ -438,25 +451,27 @@
     def finish(self, request: Request, why: str) -> None:
         """Rule 1: the one place that gives a final answer of our own."""
         self.count(why)
-        wait_us = self.settings.max_retry_after_us if self.settings.retry_after else 0
+        wait_us = self.settings.max_retry_after_us if self.settings.retry_after_allowed else 0
         if request.route.denied and self.crossing is not None and not request.attempts:
             self.crossing.refuse(request.number)
         self.actions.append(
-            Refuse(request.id, wait_us) if may_refuse(request) else Fail(request.id)
+            Reject(request.id, wait_us) if may_refuse(request) else Fail(request.id)
         )
         self.close(request)
 
     def close(self, request: Request) -> None:
         """Nothing is sent from here on. The first terminal outcome calls off the copies still out."""
-        if not request.closed and self.settings.cancelling:
+        if not request.closed and self.settings.cancellation_allowed:
             self.actions += [
-                Cancel(request.id, i) for i, a in enumerate(request.attempts) if not a.outcome
+                CancelAttempt(request.id, i)
+                for i, a in enumerate(request.attempts)
+                if not a.outcome
             ]
         request.closed = True
         if not request.out:
             self.requests.pop(request.id, None)
 
-    def on_departed(self, event: Departed) -> None:
+    def on_departed(self, event: ClientDisconnected) -> None:
         if (request := self.requests.get(event.request)) is not None:
             request.left = True
             self.close(request)
@@ -468,7 +483,7 @@
         return server is not None
 
     def parallel(self, spec: Route) -> bool:
-        return self.settings.parallel_tries and spec.effect is not Effect.UNSAFE
+        return self.settings.hedging_allowed and spec.idempotency is not Idempotency.NON_IDEMPOTENT
 
     def may_send(self, request: Request, server: ServerState) -> bool:
         """The one gate before every send: rule 2, then 3, then 4."""
@@ -476,17 +491,20 @@
         spent = len(request.attempts) >= self.settings.max_attempts
         if request.closed or spent or (request.out and not self.parallel(spec)):
             return False
-        if spec.effect is not Effect.SAFE and (ran := request.may_have_run()):
+        if spec.idempotency is not Idempotency.IDEMPOTENT and (ran := request.may_have_run()):
             there, here = ran[0].server.spec, server.spec
             same = {
-                Group.ALL: True,
-                Group.ZONE: there.zone == here.zone,
-                Group.CELL: there.cell == here.cell,
+                DeduplicationScope.ALL: True,
+                DeduplicationScope.ZONE: there.zone == here.zone,
+                DeduplicationScope.CELL: there.cell == here.cell,
             }
-            known = same[spec.group] and self.now < ran[0].sent_us + spec.memory_span_us
-            if spec.effect is Effect.UNSAFE or not known:
+            known = (
+                same[spec.deduplication_scope]
+                and self.now < ran[0].sent_us + spec.deduplication_window_us
+            )
+            if spec.idempotency is Idempotency.NON_IDEMPOTENT or not known:
                 return False
-        if server.spec.state is not State.READY or not self.may_warm(request, server):
+        if server.spec.status is not EndpointStatus.READY or not self.may_warm(request, server):
             return False
         return (
             self.crossing is None
@@ -506,8 +524,8 @@
     def why_cross(self, request: Request, crossing: Crossing) -> Reason:
         spec = request.route.spec
         ran = (
-            spec.effect is Effect.KEYED
-            and spec.group is not Group.ALL
+            spec.idempotency is Idempotency.KEYED
+            and spec.deduplication_scope is not DeduplicationScope.ALL
             and bool(request.may_have_run())
         )
         return crossing.why(ran, bool(request.out))
@@ -516,20 +534,22 @@
         """How the own zone is. What is listed counts as known, drained or not, so that a zone that is drained
         away is lost like one that fails."""
         home = [s for s in self.servers.values() if not self.abroad(s)]
-        well = sum(s.spec.state is State.READY and s.well(self.now) for s in home)
+        well = sum(s.spec.status is EndpointStatus.READY and s.well(self.now) for s in home)
         self.tell(crossing.look(self.now, well, len(home)))
 
     def tell(self, line: str) -> None:
         if line:
-            self.actions.append(Log(line))
+            self.actions.append(LogMessage(line))
 
-    def on_carried(self, event: Carried) -> None:
+    def on_carried(self, event: CrossZoneBytes) -> None:
         if self.crossing is not None:
             self.crossing.carried(self.now, event.size)
 
     def is_cold(self, s: ServerState, now_us: int | None = None) -> bool:
         now_us = self.now if now_us is None else now_us
-        return bool(s.spec.started_us) and now_us < (s.spec.started_us or 0) + self.settings.cold_us
+        return (
+            bool(s.spec.started_us) and now_us < (s.spec.started_us or 0) + self.settings.warm_up_us
+        )
 
     def may_warm(self, request: Request, s: ServerState) -> bool:
         """Rule 4, slow start: balancers take turns at a cold server, by its id and start and their numbers.
@@ -539,13 +559,15 @@
         if not self.warms:
             return False
         told, since_us = self.settings, max(0, self.now - (s.spec.started_us or 0))
-        if ((turn := since_us // self.turn_us) + s.order) % told.balancers != told.number:
+        if (
+            (turn := since_us // self.turn_us) + s.order
+        ) % told.gateway_count != told.gateway_index:
             return False
         if (s.spec.started_us or 0) + turn * self.turn_us < (self.born_us or 0):
             return False  # guards against a turn that was used up by the process before this one
-        warmth = told.cold_from + (1.0 - told.cold_from) * since_us / told.cold_us
+        warmth = told.initial_capacity + (1.0 - told.initial_capacity) * since_us / told.warm_up_us
         if turn != s.turn:
-            s.turn, s.turn_us = turn, COLD_SAFETY * told.fall_multiple * warmth * self.turn_us
+            s.turn, s.turn_us = turn, COLD_SAFETY * told.overload_multiple * warmth * self.turn_us
         return request.cost_us <= min(s.turn_us, warmth * (request.useful_us - self.now))
 
     def pick(self, request: Request) -> ServerState | None:
@@ -614,7 +636,7 @@
             return list(islice((s for s in ring if s.well(self.now)), width)) or ring[:width]
         ring = [s for s in ring if s.well(self.now)] or ring
         # Local ones come in by the price of a crossing, against the misses that load shedding would bear.
-        most = round(width * min(LOCAL, told.price_cross_zone / (1.0 - TARGET)))
+        most = round(width * min(LOCAL, told.cross_zone_cost / (1.0 - TARGET)))
         local = [s for s in ring if s.spec.zone == told.zone][:most]
         return local + [s for s in ring if s not in local][: width - len(local)]
 
@@ -665,7 +687,9 @@
         start = int(self.random.random() * n)
         if len(self.pace) > 1 and 0 < n < len(self.candidates):
             # Drawn by the speed of its kind: in a window too few are in flight for the discount to tell.
-            start = self.random.choices(range(n), [2.0 ** -self.pace[s.spec.kind] for s in pool])[0]
+            start = self.random.choices(
+                range(n), [2.0 ** -self.pace[s.spec.machine_type] for s in pool]
+            )[0]
         room = max(1.0, part * self.room)
         for i in range(start, start + n):
             s = pool[i % n]
@@ -698,7 +722,7 @@
         return self.candidates[:k] if self.blocks(route) else self.candidates[k:]
 
     def score(self, s: ServerState) -> float:
-        crossing = self.settings.price_cross_zone * self.abroad(s)
+        crossing = self.settings.cross_zone_cost * self.abroad(s)
         return (self.payoff(s) - crossing) / (1.0 + s.taken() / self.room)
 
     def send(self, request: Request, server: ServerState) -> None:
@@ -721,7 +745,7 @@
         server.turn_us -= request.cost_us
         bounded = self.cold or len(request.attempts) > 1  # else neither rule tells of a time
         latest_us = self.latest_us(request, server) if bounded else 0
-        self.actions.append(Send(request.id, server.spec.id, 0, latest_us))
+        self.actions.append(SendAttempt(request.id, server.spec.id, 0, latest_us))
         if request.long:
             return  # guards against a server that reads slowly counting as silent, and against a copy of all
         route.due.append((self.now + route.patience_us, attempt))
@@ -735,9 +759,9 @@
         """Until when its first byte may go out: rules 2 and 4 count from when it reaches the server, and a
         connection may come up late. 0: any time will do."""
         ends = []
-        if len(request.attempts) > 1 and request.route.spec.effect is Effect.KEYED:
+        if len(request.attempts) > 1 and request.route.spec.idempotency is Idempotency.KEYED:
             ran = [a for a in request.attempts[:-1] if a.outcome not in NEVER_RAN]
-            ends += [ran[0].sent_us + request.route.spec.memory_span_us] if ran else []
+            ends += [ran[0].sent_us + request.route.spec.deduplication_window_us] if ran else []
         if self.cold and self.is_cold(server):
             ends.append((server.spec.started_us or 0) + (server.turn + 1) * self.turn_us)
         return min(ends, default=0)
@@ -749,14 +773,14 @@
             self.count("copies")
             self.send(request, server)
 
-    def on_done(self, event: AttemptDone) -> None:
+    def on_done(self, event: AttemptFinished) -> None:
         request = self.requests.get(event.request)
         if request is None or (attempt := request.attempts[event.attempt]).outcome is not None:
             return
         attempt.outcome = event.outcome
         request.out -= 1
         self.learn(request, attempt, event)
-        if event.closed or event.outcome is Outcome.SUCCESS or request.closed:
+        if event.answered or event.outcome is Outcome.SUCCESS or request.closed:
             self.close(request)
         elif (
             not request.out
@@ -785,18 +809,18 @@
         if (request := self.requests.get(event.request)) is not None:
             request.closed = True  # the answer is the client's now
 
-    def learn(self, request: Request, attempt: Attempt, event: AttemptDone) -> None:
+    def learn(self, request: Request, attempt: Attempt, event: AttemptFinished) -> None:
         """What an outcome says of its server, its kind and its route."""
         s, outcome, route = attempt.server, event.outcome, request.route
         s.overdue, s.in_flight = s.overdue - attempt.late, s.in_flight - 1
         if not attempt.lost and (self.limit >= 1.0 or not self.haunts(request, attempt, outcome)):
             self.flying -= 1
-        if outcome is Outcome.CANCELLED or outcome is Outcome.MOOT:
+        if outcome is Outcome.CANCELLED or outcome is Outcome.NOT_SENT:
             return
         shared = self.limit < 1.0 and not self.is_cold(
             s
         )  # in a turn at a cold server nobody else sends
-        if shared and outcome is not Outcome.FULL and (places := self.places()) < 1.0:
+        if shared and outcome is not Outcome.REJECTED and (places := self.places()) < 1.0:
             self.pause(min(event.elapsed_us, route.patience_us) * (1.0 / places - 1.0))
         if request.long and outcome is Outcome.TIMEOUT:
             return
@@ -808,7 +832,7 @@
             if shared:
                 self.sense(event.elapsed_us > SLOW * route.cost_us)
             pace = math.log2(max(event.elapsed_us / route.cost_us, 0.01))
-            self.pace[s.spec.kind] += (pace - self.pace[s.spec.kind]) * SMOOTH
+            self.pace[s.spec.machine_type] += (pace - self.pace[s.spec.machine_type]) * SMOOTH
             route.samples += 1
             if (
                 attempt.alone or route.samples < 64
@@ -818,16 +842,20 @@
             # In a window it is others that fill a server: own answers tell nothing of how many it bears.
             if attempt.full and route.samples >= 64 and self.limit >= 1.0:
                 self.resize(event.elapsed_us / route.cost_us)
-            aim_us = route.spec.aim_us or route.latency.percentile(0.5) or event.elapsed_us
+            aim_us = (
+                route.spec.latency_objective_us or route.latency.percentile(0.5) or event.elapsed_us
+            )
             route.latency.append(event.elapsed_us)
-            if event.elapsed_us <= aim_us or route.spec.aim_us is None:
+            if event.elapsed_us <= aim_us or route.spec.latency_objective_us is None:
                 # With no aim half of all answers are slower than the median: no sign of a jam or an outlier.
                 return self.credit(
-                    s, float(event.elapsed_us <= aim_us), route.spec.aim_us is not None
+                    s,
+                    float(event.elapsed_us <= aim_us),
+                    route.spec.latency_objective_us is not None,
                 )
         if self.limit < 1.0 and outcome is not Outcome.TIMEOUT:
             self.rest(s, REST_US)
-            if outcome is Outcome.FULL and shared:
+            if outcome is Outcome.REJECTED and shared:
                 self.turned_away()
         if not attempt.late:
             # Where nobody listens there is no jam: it says that this server is gone, not to admit less.
@@ -917,17 +945,17 @@
         self.count("ejections")
         s.ejected_until_us = s.heard_us = self.now + wait_us
         s.payoff = UNKNOWN
-        self.actions.append(Log(f"eject server={s.spec.id} for_ms={wait_us // 1000}"))
+        self.actions.append(LogMessage(f"eject server={s.spec.id} for_ms={wait_us // 1000}"))
 
 
 HANDLERS: dict[type, Callable[[Balancer, Any], None]] = {
-    ServerList: Balancer.on_list,
-    Arrived: Balancer.on_arrived,
-    Departed: Balancer.on_departed,
-    AttemptDone: Balancer.on_done,
+    EndpointUpdate: Balancer.on_list,
+    RequestArrived: Balancer.on_arrived,
+    ClientDisconnected: Balancer.on_departed,
+    AttemptFinished: Balancer.on_done,
     StreamStarted: Balancer.on_stream,
-    Alarm: Balancer.on_alarm,
-    Beside: Balancer.on_beside,
-    Carried: Balancer.on_carried,
-    Company: Balancer.on_company,
+    TimerFired: Balancer.on_alarm,
+    SiblingAttempts: Balancer.on_beside,
+    CrossZoneBytes: Balancer.on_carried,
+    GatewayCountChanged: Balancer.on_company,
 }
--- a/quillroad/balancing/platform_settings.py
+++ b/quillroad/balancing/platform_settings.py
@@ -8,30 +8,30 @@
 from enum import Enum
 from typing import Any, TypeVar
 
-from quillroad.balancing.interface import Effect, Group, Route, Settings
+from quillroad.balancing.interface import DeduplicationScope, Idempotency, Route, Settings
 
 Choice = TypeVar("Choice", bound=Enum)
 
 MOST = 2**53  # of any number: up to it whole ones are exact in JSON, and a time fits every clock
 # Fields of `Settings` and `Route` by the names that the platform has for them, where these differ.
 NAMES = {
-    "number": "my_number",
+    "gateway_index": "my_number",
     "max_attempts": "limits.attempts_cap",
-    "cold_from": "guarantees.cold_from",
-    "fall_multiple": "guarantees.fall_multiple",
-    "fall_window_us": "guarantees.tip_after",
-    "ask_within_us": "guarantees.ask_within",
-    "over_quota_worth": "over_share_worth",
+    "initial_capacity": "guarantees.cold_from",
+    "overload_multiple": "guarantees.fall_multiple",
+    "overload_window_us": "guarantees.tip_after",
+    "poll_interval_us": "guarantees.ask_within",
+    "over_quota_weight": "over_share_worth",
     "max_retry_after_us": "limits.max_retry_after",
     "drain_grace_us": "guarantees.drain_grace",
-    "cold_us": "guarantees.cold",
+    "warm_up_us": "guarantees.cold",
     "tenant_quotas_per_s": "orgs[].quota_per_s",
-    "route.aim_us": "goal_time",
+    "route.latency_objective_us": "goal_time",
     "route.deadline_us": "deadline",
-    "route.worth": "importance",
-    "route.late_worth": "late_worth",
-    "route.memory_span_us": "memory_span",
-    "route.aim_stretch": "aim_stretch",
+    "route.priority_weight": "importance",
+    "route.late_weight": "late_worth",
+    "route.deduplication_window_us": "memory_span",
+    "route.objective_stretch": "aim_stretch",
 }
 
 
@@ -114,18 +114,18 @@
     deadline_us = lane.maybe_whole("deadline")
     if deadline_us is None:
         raise ValueError(f"{lane.at('deadline')}: missing")
-    effect = lane.choice("semantics", Effect, None)
+    effect = lane.choice("semantics", Idempotency, None)
     values: dict[str, Any] = {
         "name": lane.text("name"),
-        "effect": effect,
-        "aim_us": lane.maybe_whole("goal_time"),
+        "idempotency": effect,
+        "latency_objective_us": lane.maybe_whole("goal_time"),
         "deadline_us": deadline_us,
-        "worth": lane.number("importance", 1.0),
-        "late_worth": lane.number("late_worth", 0.0),
-        "group": lane.choice("group", Group, Group.ALL),
-        "memory_span_us": lane.whole("memory_span", 0),
+        "priority_weight": lane.number("importance", 1.0),
+        "late_weight": lane.number("late_worth", 0.0),
+        "deduplication_scope": lane.choice("group", DeduplicationScope, DeduplicationScope.ALL),
+        "deduplication_window_us": lane.whole("memory_span", 0),
         "stream": lane.flag("stream"),
-        "aim_stretch": lane.number("aim_stretch", 0.0),
+        "objective_stretch": lane.number("aim_stretch", 0.0),
     }
     try:
         return Route(**values)
@@ -144,28 +144,28 @@
             raise ValueError(f"lanes[{i}].name: {name!r:.60} stands there twice")
     values: dict[str, Any] = {
         "routes": routes,
-        "balancers": told.whole("balancers", 1),
-        "number": told.whole("my_number", 0),
+        "gateway_count": told.whole("balancers", 1),
+        "gateway_index": told.whole("my_number", 0),
         "zone": told.whole("zone", 0),
-        "discovery_asks": told.text("discovery") == "ask",
+        "discovery_is_polled": told.text("discovery") == "ask",
         "tenant_quotas_per_s": tuple(org.number("quota_per_s", 0.0) for org in told.parts("orgs")),
-        "over_quota_worth": told.number("over_share_worth", 1.0),
+        "over_quota_weight": told.number("over_share_worth", 1.0),
         "max_attempts": limits.whole("attempts_cap", 3),
-        "parallel_tries": limits.flag("parallel_tries"),
-        "cancelling": limits.flag("cancelling"),
+        "hedging_allowed": limits.flag("parallel_tries"),
+        "cancellation_allowed": limits.flag("cancelling"),
         "probing": limits.flag("probing"),
-        "retry_after": limits.flag("retry_after"),
+        "retry_after_allowed": limits.flag("retry_after"),
         "max_retry_after_us": limits.whole("max_retry_after", 0),
-        "ask_within_us": rules.whole("ask_within", 10_000_000),
+        "poll_interval_us": rules.whole("ask_within", 10_000_000),
         "drain_grace_us": rules.whole("drain_grace", 0),
-        "cold_us": rules.whole("cold", 0),
-        "cold_from": rules.number("cold_from", 1.0),
-        "fall_multiple": rules.number("fall_multiple", 1.0),
-        "fall_window_us": rules.whole("tip_after", 1_000_000),
+        "warm_up_us": rules.whole("cold", 0),
+        "initial_capacity": rules.number("cold_from", 1.0),
+        "overload_multiple": rules.number("fall_multiple", 1.0),
+        "overload_window_us": rules.whole("tip_after", 1_000_000),
         "answer_slack_us": rules.whole("answer_slack", 0),
-        "price_cross_zone": told.part("prices").number("cross_zone", 0.0),
+        "cross_zone_cost": told.part("prices").number("cross_zone", 0.0),
         "warm_keys": told.part("specifics").flag("warm_keys"),
-        "clients_mark_repeats": told.part("clients").flag("marks_retry"),
+        "clients_mark_retries": told.part("clients").flag("marks_retry"),
         "hints_are_sizes": told.text("weight_kind") in ("nominal", "rough"),
         "weight_whole": mix.number("whole", 1.0),
         "weight_worst_class": mix.number("worst_class", 0.0),
--- a/quillroad/balancing/simulator.py
+++ b/quillroad/balancing/simulator.py
@@ -14,41 +14,41 @@
 from quillroad.balancing.balancer import Balancer
 from quillroad.balancing.interface import (
     Action,
-    Alarm,
-    Arrived,
-    AttemptDone,
-    Cancel,
-    Departed,
+    AttemptFinished,
+    CancelAttempt,
+    ClientDisconnected,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
     Event,
     Fail,
-    ListKind,
-    Log,
+    HealthCheckFinished,
+    LogMessage,
     Outcome,
-    Probe,
-    ProbeDone,
-    Refuse,
-    Send,
-    Server,
-    ServerList,
-    SetAlarm,
-    State,
+    Reject,
+    RequestArrived,
+    SendAttempt,
+    SetTimer,
+    StartHealthCheck,
     StreamStarted,
-    Watch,
+    TimerFired,
+    UpdateKind,
+    WatchEndpoints,
 )
 from quillroad.balancing.platform_settings import read_settings
 
 OUTCOMES = {
     "success": Outcome.SUCCESS,
     "failure": Outcome.ERROR,
-    "overloaded": Outcome.FULL,
+    "overloaded": Outcome.REJECTED,
     "timed_out": Outcome.TIMEOUT,
     "unreachable": Outcome.CONNECT_FAILED,
     "broken": Outcome.RESET,
     "withdrawn": Outcome.CANCELLED,
-    "void": Outcome.MOOT,
+    "void": Outcome.NOT_SENT,
 }
-STATES = {state.value: state for state in State}
-LIST_KINDS = {kind.value: kind for kind in ListKind}
+STATES = {state.value: state for state in EndpointStatus}
+LIST_KINDS = {kind.value: kind for kind in UpdateKind}
 
 
 class BadInput(Exception):
@@ -67,47 +67,49 @@
     return value
 
 
-def _server(entry: list[Any]) -> Server:
-    return Server(
+def _server(entry: list[Any]) -> Endpoint:
+    return Endpoint(
         id=_whole(entry[0]),
         started_us=_at(entry, 1),
         cell=_at(entry, 2, 0),
-        kind=_at(entry, 3, 0),
-        hint=_at(entry, 4, 1.0),
-        state=STATES[_at(entry, 5, 1)],
+        machine_type=_at(entry, 3, 0),
+        weight=_at(entry, 4, 1.0),
+        status=STATES[_at(entry, 5, 1)],
         zone=_at(entry, 6, 0),
     )
 
 
-def _arrived(m: list[Any]) -> Arrived:
+def _arrived(m: list[Any]) -> RequestArrived:
     bits = _at(m, 4, 0)
     work = _at(m, 6) if bits & 1 else None
     tenant, repeat = _at(m, 7, 0), bool(bits & 2)
-    return Arrived(
+    return RequestArrived(
         _whole(m[1]), _whole(_at(m, 2, 0)), _whole(m[3]), _at(m, 5), work, tenant, repeat
     )
 
 
 READERS: dict[str, Callable[[list[Any]], Event]] = {
     "job_in": _arrived,
-    "verdict": lambda m: AttemptDone(
+    "verdict": lambda m: AttemptFinished(
         _whole(m[1]), _whole(m[5]), OUTCOMES[m[4]], _whole(m[6]), bool(m[3]), _at(m, 7)
     ),
     "streaming": lambda m: StreamStarted(_whole(m[1]), _whole(m[2]), _whole(m[4])),
-    "hangup": lambda m: Departed(_whole(m[1])),
-    "alarm": lambda m: Alarm(_whole(m[1])),
-    "ping_result": lambda m: ProbeDone(_whole(m[1]), OUTCOMES[m[3]], _whole(m[2]), _at(m, 4)),
+    "hangup": lambda m: ClientDisconnected(_whole(m[1])),
+    "alarm": lambda m: TimerFired(_whole(m[1])),
+    "ping_result": lambda m: HealthCheckFinished(
+        _whole(m[1]), OUTCOMES[m[3]], _whole(m[2]), _at(m, 4)
+    ),
 }
 
 WRITERS: dict[type, Callable[[Any], list[Any]]] = {
-    Send: lambda a: ["route", a.request, a.server, a.timeout_us],
-    Refuse: lambda a: ["deny", a.request, a.retry_after_us],
+    SendAttempt: lambda a: ["route", a.request, a.endpoint, a.timeout_us],
+    Reject: lambda a: ["deny", a.request, a.retry_after_us],
     Fail: lambda a: ["finish_error", a.request],
-    Cancel: lambda a: ["revoke", a.request, a.attempt],
-    Probe: lambda a: ["test", a.server],
-    SetAlarm: lambda a: ["sleep", a.delay_us, a.tag],
-    Watch: lambda a: ["stream_changes", a.on],
-    Log: lambda a: ["log", a.text],
+    CancelAttempt: lambda a: ["revoke", a.request, a.attempt],
+    StartHealthCheck: lambda a: ["test", a.endpoint],
+    SetTimer: lambda a: ["sleep", a.delay_us, a.timer_id],
+    WatchEndpoints: lambda a: ["stream_changes", a.enabled],
+    LogMessage: lambda a: ["log", a.text],
 }
 
 
@@ -116,7 +118,7 @@
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
-        self.ledgers: dict[int, tuple[Server, ...]] = {}
+        self.ledgers: dict[int, tuple[Endpoint, ...]] = {}
 
     def reply(self, batch: Any) -> dict[str, Any]:
         """The reply to one batch."""
@@ -152,8 +154,8 @@
                     self.ledgers[message[1]] = tuple(map(_server, message[2]))
                 elif name == "endpoints":
                     kind = LIST_KINDS[message[2]]
-                    lines = () if kind is ListKind.FAILED else self.ledgers[message[1]]
-                    events.append(ServerList(kind, lines, _at(message, 3, 0)))
+                    lines = () if kind is UpdateKind.FAILED else self.ledgers[message[1]]
+                    events.append(EndpointUpdate(kind, lines, _at(message, 3, 0)))
                 elif name in ("provision", "detach"):
                     self._run(now_us, number, events, decisions)
                     events = []
@@ -182,7 +184,7 @@
     def _check(self, number: int, event: Event) -> None:
         """An instance must have started, and a class or tenant lie within its settings; 0 always does."""
         told = self._started(number).settings
-        if isinstance(event, Arrived):
+        if isinstance(event, RequestArrived):
             if not 0 <= event.route < max(1, len(told.routes)):
                 raise BadInput(f"class {event.route} is not in the settings")
             if not 0 <= event.tenant < max(1, len(told.tenant_quotas_per_s)):
--- a/quillroad/config/file.py
+++ b/quillroad/config/file.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from quillroad.balancing.interface import Effect, Group, Route, Settings
+from quillroad.balancing.interface import DeduplicationScope, Idempotency, Route, Settings
 from quillroad.config.model import (
     LONG_BODY,
     SHORT_BODY,
@@ -237,13 +237,13 @@
         routes.append(
             Route(
                 name=one.name,
-                effect=Effect(one.repeat),
-                aim_us=aim_us,
+                idempotency=Idempotency(one.repeat),
+                latency_objective_us=aim_us,
                 deadline_us=deadline_us,
-                worth=one.worth,
-                late_worth=one.late_worth,
-                group=Group(one.remembered_by),
-                memory_span_us=remembers_us,
+                priority_weight=one.worth,
+                late_weight=one.late_worth,
+                deduplication_scope=DeduplicationScope(one.remembered_by),
+                deduplication_window_us=remembers_us,
             )
         )
     return tuple(routes)
@@ -342,21 +342,21 @@
         raise ConfigError("connections: needs times above 0 for connect and idle")
     settings = Settings(
         routes=_routes(told.classes),
-        balancers=told.peers.gateways,
-        number=told.peers.number,
+        gateway_count=told.peers.gateways,
+        gateway_index=told.peers.number,
         zone=zones.index(told.gateway.zone) if told.gateway.zone else 0,
         tenant_quotas_per_s=tuple(tenant.per_second for tenant in told.tenants),
-        over_quota_worth=told.tries.over_share_worth,
+        over_quota_weight=told.tries.over_share_worth,
         max_attempts=told.tries.attempts,
-        parallel_tries=told.tries.second_copies,
-        cancelling=True,
-        retry_after=retry_after_us > 0,
+        hedging_allowed=told.tries.second_copies,
+        cancellation_allowed=True,
+        retry_after_allowed=retry_after_us > 0,
         max_retry_after_us=retry_after_us,
-        cold_us=microseconds(told.starts.cold, "starts.cold"),
-        cold_from=told.starts.cold_from,
-        fall_multiple=told.starts.fall_multiple,
-        fall_window_us=window_us,
-        clients_mark_repeats=told.tries.marked_by_clients,
+        warm_up_us=microseconds(told.starts.cold, "starts.cold"),
+        initial_capacity=told.starts.cold_from,
+        overload_multiple=told.starts.fall_multiple,
+        overload_window_us=window_us,
+        clients_mark_retries=told.tries.marked_by_clients,
     )
     return Config(
         name=told.gateway.name,
--- a/quillroad/discovery/feed.py
+++ b/quillroad/discovery/feed.py
@@ -6,14 +6,14 @@
 import time
 from collections.abc import Callable, Mapping, Sequence
 
-from quillroad.balancing.interface import ServerList
+from quillroad.balancing.interface import EndpointUpdate
 from quillroad.config import Address
 from quillroad.discovery.instance import Health, Listener, Snapshot, SourceState
 from quillroad.discovery.reducer import Reducer
 
 log = logging.getLogger("quillroad.discovery")
 
-Update = Callable[[ServerList, dict[int, str], dict[int, Address]], None]
+Update = Callable[[EndpointUpdate, dict[int, str], dict[int, Address]], None]
 
 
 class Feed:
@@ -43,7 +43,7 @@
         for line in reduced.refused[:5]:
             log.warning("list %d: %s", snapshot.version, line)
         shown = ", ".join(
-            f"{reduced.names[s.id]} {s.state.name.lower()}" for s in reduced.servers.servers
+            f"{reduced.names[s.id]} {s.status.name.lower()}" for s in reduced.servers.endpoints
         )
         log.info("list %d: %s", snapshot.version, shown[:2000] or "nothing")
         self._update(*reduced[:3])
--- a/quillroad/discovery/platform.py
+++ b/quillroad/discovery/platform.py
@@ -17,7 +17,7 @@
 
 import httptools
 
-from quillroad.balancing.interface import ListKind, Server, ServerList, State
+from quillroad.balancing.interface import Endpoint, EndpointStatus, EndpointUpdate, UpdateKind
 from quillroad.config import Address, Config, ConfigError, read_address
 from quillroad.discovery.feed import Update
 from quillroad.discovery.freshness import SILENCE_S, Currency
@@ -28,7 +28,11 @@
 
 log = logging.getLogger("quillroad.discovery.platform")
 
-STATES = {"up": State.READY, "draining": State.DRAINING, "removed": State.GONE}
+STATES = {
+    "up": EndpointStatus.READY,
+    "draining": EndpointStatus.DRAINING,
+    "removed": EndpointStatus.REMOVED,
+}
 SILENT = "silent"
 LATE_S = 0.05  # for what lies in the kernel when a time is up: timers run before sockets are read
 CONNECT_S = 1.0
@@ -63,7 +67,7 @@
         self._zones = {name: i for i, name in enumerate(config.zones)}
         self._kinds = {name: i for i, name in enumerate(config.kinds)}
         self._generation = 0
-        self._held: dict[str, Server] = {}  # the list as it stands
+        self._held: dict[str, Endpoint] = {}  # the list as it stands
         self._addresses: dict[str, Address] = {}
         self._whole_due = False  # the version held is another discovery's
         self._documents = Documents(LIST_LIMIT)
@@ -77,10 +81,10 @@
         self._task: asyncio.Task[None] | None = None
         told = config.settings
         # Where lists are pushed each gateway has an agent of its own, and company with nobody.
-        self._shared = told.discovery_asks
+        self._shared = told.discovery_is_polled
         self._pacing = Pacing(
-            told.balancers if self._shared else 1,
-            told.number,
+            told.gateway_count if self._shared else 1,
+            told.gateway_index,
             random.Random(config.seed).random,
             own=not self._shared,
         )
@@ -94,7 +98,7 @@
         """Serve by the list as this gateway last had it until discovery's first answer."""
         if config.known:
             try:
-                self._take(config.known, ListKind.CACHED)
+                self._take(config.known, UpdateKind.CACHED)
             except Malformed as error:
                 raise ConfigError(f"known: {error}") from None
 
@@ -255,14 +259,14 @@
         if not isinstance(data, dict):
             raise Malformed(f"no object: {document[:60]!r}")
         whole = data.get("reset") or self._whole_due
-        self._take(data, ListKind.FULL if whole else ListKind.CHANGES)
+        self._take(data, UpdateKind.FULL if whole else UpdateKind.INCREMENTAL)
         self._whole_due = False
 
-    def _take(self, data: Mapping[str, Any], kind: ListKind) -> None:
+    def _take(self, data: Mapping[str, Any], kind: UpdateKind) -> None:
         generation, entries = data.get("generation"), data.get("instances")
         if type(generation) is not int or not isinstance(entries, list):
             raise Malformed("generation or instances missing")
-        servers: list[Server] = []
+        servers: list[Endpoint] = []
         names: dict[int, str] = {}
         addresses: dict[int, Address] = {}
         for entry in entries:
@@ -272,26 +276,26 @@
             if address is not None:
                 addresses[server.id] = address
         self._generation = generation
-        if kind is not ListKind.CHANGES:
+        if kind is not UpdateKind.INCREMENTAL:
             self._held, self._addresses = {}, {}
         for server in servers:
             name = names[server.id]
-            if server.state is State.GONE:
+            if server.status is EndpointStatus.REMOVED:
                 self._held.pop(name, None)
                 self._addresses.pop(name, None)
             else:
                 self._held[name], self._addresses[name] = server, addresses[server.id]
-        shown = ", ".join(f"{names[s.id]} ({s.id}) {s.state.name.lower()}" for s in servers)
+        shown = ", ".join(f"{names[s.id]} ({s.id}) {s.status.name.lower()}" for s in servers)
         log.info("list %d (%s): %s", generation, kind.name.lower(), shown[:2000] or "nothing")
-        self._update(ServerList(kind, tuple(servers), generation), names, addresses)
+        self._update(EndpointUpdate(kind, tuple(servers), generation), names, addresses)
 
     def _salvage(self, line: bytes) -> None:
         """Stop sending to the hosts that a broken line says are leaving. They count as draining, so that a
         later whole line can say otherwise; where the list stands is not moved on."""
         servers = [
-            self._held[name]._replace(state=State.DRAINING)
+            self._held[name]._replace(status=EndpointStatus.DRAINING)
             for name in leaving(line)
-            if name in self._held and self._held[name].state is State.READY
+            if name in self._held and self._held[name].status is EndpointStatus.READY
         ]
         if not servers:
             return
@@ -300,24 +304,26 @@
         self._held.update({names[s.id]: s for s in servers})
         told = {s.id: names[s.id] for s in servers}
         self._update(
-            ServerList(ListKind.CHANGES, tuple(servers), self._generation),
+            EndpointUpdate(UpdateKind.INCREMENTAL, tuple(servers), self._generation),
             told,
             {number: self._addresses[name] for number, name in told.items()},
         )
 
-    def _entry(self, entry: Any) -> tuple[Server, str, Address | None]:
+    def _entry(self, entry: Any) -> tuple[Endpoint, str, Address | None]:
         try:
             name, state = str(entry["instanceId"]), STATES[entry["lifecycle"]]
             address = (
-                None if state is State.GONE else read_address(entry.get("hostPort"), "hostPort")
+                None
+                if state is EndpointStatus.REMOVED
+                else read_address(entry.get("hostPort"), "hostPort")
             )
-            server = Server(
+            server = Endpoint(
                 id=server_number(name),
-                state=state,
+                status=state,
                 zone=self._zones.get(entry.get("zone"), -1),
                 cell=int(entry.get("cell") or 0),
-                kind=self._kinds.get(entry.get("machineType"), -1),
-                hint=float(entry.get("weight") or 1.0),
+                machine_type=self._kinds.get(entry.get("machineType"), -1),
+                weight=float(entry.get("weight") or 1.0),
                 started_us=int(entry.get("startedAtMs") or 0) * 1000,
             )
         except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as error:
--- a/quillroad/discovery/reducer.py
+++ b/quillroad/discovery/reducer.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from quillroad.balancing.interface import ListKind, Server, ServerList, State
+from quillroad.balancing.interface import Endpoint, EndpointStatus, EndpointUpdate, UpdateKind
 from quillroad.config import Address
 from quillroad.discovery.instance import Instance, Snapshot, Standing
 
@@ -26,7 +26,7 @@
 class Reduced(NamedTuple):
     """What the engine takes, with a plain line for each entry that was not believed."""
 
-    servers: ServerList
+    servers: EndpointUpdate
     names: dict[int, str]
     addresses: dict[int, Address]
     refused: tuple[str, ...]
@@ -56,10 +56,12 @@
         self._known: dict[str, _Known] = {}
         self._first = True
 
-    def reduce(self, snapshot: Snapshot, now_us: int, kind: ListKind = ListKind.FULL) -> Reduced:
+    def reduce(
+        self, snapshot: Snapshot, now_us: int, kind: UpdateKind = UpdateKind.FULL
+    ) -> Reduced:
         """The whole list as it is now; `now_us` is Unix time in microseconds."""
         believed, refused = self._believed(snapshot.instances)
-        servers: list[Server] = []
+        servers: list[Endpoint] = []
         names: dict[int, str] = {}
         addresses: dict[int, Address] = {}
         for instance in believed.values():
@@ -69,13 +71,15 @@
             number = server_number(instance.id)
             names[number], addresses[number] = instance.id, instance.address
             servers.append(
-                Server(
+                Endpoint(
                     id=number,
-                    state=State.READY if instance.standing is Standing.UP else State.DRAINING,
+                    status=EndpointStatus.READY
+                    if instance.standing is Standing.UP
+                    else EndpointStatus.DRAINING,
                     zone=self._zones.get(instance.zone, -1),
                     cell=instance.cell,
-                    kind=self._kinds.get(instance.kind, -1),
-                    hint=instance.weight,
+                    machine_type=self._kinds.get(instance.kind, -1),
+                    weight=instance.weight,
                     started_us=started_us,
                 )
             )
@@ -85,7 +89,7 @@
         self._forget(believed)
         self._first = False
         return Reduced(
-            ServerList(kind, tuple(servers), snapshot.version), names, addresses, tuple(refused)
+            EndpointUpdate(kind, tuple(servers), snapshot.version), names, addresses, tuple(refused)
         )
 
     def _believed(self, instances: Sequence[Instance]) -> tuple[dict[str, Instance], list[str]]:
--- a/quillroad/downstream/server.py
+++ b/quillroad/downstream/server.py
@@ -21,7 +21,7 @@
 
 import httptools
 
-from quillroad.balancing.interface import Effect, Route
+from quillroad.balancing.interface import Idempotency, Route
 from quillroad.config import RESERVED, SHORT_BODY, Config, Descriptors
 from quillroad.downstream.connection_limit import UNHEARD_S, Room, Stage
 from quillroad.engine.engine import ClientRequest, Engine, OpenRequest, Reply
@@ -759,7 +759,11 @@
 
 def _within_us(route: Route) -> int:
     """The time in which an answer has worth."""
-    return route.aim_us if route.aim_us and not route.late_worth else route.deadline_us
+    return (
+        route.latency_objective_us
+        if route.latency_objective_us and not route.late_weight
+        else route.deadline_us
+    )
 
 
 def _places(descriptors: Descriptors) -> int:
@@ -783,19 +787,19 @@
         self._descriptors, self._make_room = descriptors, make_room
         places = _places(descriptors)
         self._routes = {route.name: i for i, route in enumerate(config.settings.routes)}
-        self._effects = [route.effect for route in config.settings.routes]
+        self._effects = [route.idempotency for route in config.settings.routes]
         self._deadlines = [route.deadline_us / 1e6 for route in config.settings.routes]
         self.retry_after_us = (
-            config.settings.max_retry_after_us if config.settings.retry_after else 0
+            config.settings.max_retry_after_us if config.settings.retry_after_allowed else 0
         )
         self.longest_body = config.longest_body
         self.buffers = Buffers(config.buffers)
         self._tenants = {name: i for i, name in enumerate(config.tenants)}
         told = config.settings
         self.admission = Admission(
-            [Lane(route.worth, _within_us(route) / 1e6) for route in told.routes],
-            told.over_quota_worth,
-            [quota / told.balancers for quota in told.tenant_quotas_per_s],
+            [Lane(route.priority_weight, _within_us(route) / 1e6) for route in told.routes],
+            told.over_quota_weight,
+            [quota / told.gateway_count for quota in told.tenant_quotas_per_s],
             config.cores,
             places,
         )
@@ -1119,7 +1123,10 @@
             single[lower] = value
             if lower not in HOP_BY_HOP:
                 kept.append(name + b": " + value)
-        safe, keyed = self._effects[route] is Effect.SAFE, self._effects[route] is Effect.KEYED
+        safe, keyed = (
+            self._effects[route] is Idempotency.IDEMPOTENT,
+            self._effects[route] is Idempotency.KEYED,
+        )
         if method != (b"GET" if safe else b"POST"):
             raise BadRequestError(400, "wrong method for the class")
         if safe and body:
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -21,22 +21,22 @@
 from quillroad.balancing.balancer import Balancer
 from quillroad.balancing.interface import (
     Action,
-    Alarm,
-    Arrived,
-    AttemptDone,
-    Cancel,
-    Departed,
+    AttemptFinished,
+    CancelAttempt,
+    ClientDisconnected,
+    EndpointStatus,
+    EndpointUpdate,
     Event,
     Fail,
-    ListKind,
-    Log,
+    LogMessage,
     Outcome,
-    Refuse,
-    Send,
-    ServerList,
-    SetAlarm,
-    State,
+    Reject,
+    RequestArrived,
+    SendAttempt,
+    SetTimer,
     StreamStarted,
+    TimerFired,
+    UpdateKind,
 )
 from quillroad.config import SHORT_BODY, Address
 from quillroad.upstream.pool import Answer, Attempt, Done, Host, Upstream
@@ -149,7 +149,7 @@
     @property
     def cold_us(self) -> int:
         """For so long after its start a host may be cold, in microseconds."""
-        return self._balancer.settings.cold_us
+        return self._balancer.settings.warm_up_us
 
     @property
     def queued(self) -> int:
@@ -213,7 +213,7 @@
         request = opened.request
         give_up_us = self._epoch_us + int(opened.give_up * 1e6)
         self.feed(
-            Arrived(
+            RequestArrived(
                 opened.number,
                 request.route,
                 give_up_us,
@@ -229,7 +229,7 @@
         """The client has gone."""
         if opened.reply is not None:
             self._settle(opened)
-            self.feed(Departed(opened.number))
+            self.feed(ClientDisconnected(opened.number))
             self._forget(opened)
 
     def _overdue(self, opened: OpenRequest) -> None:
@@ -239,18 +239,18 @@
         elif opened.reply is not None:
             log.error("request %s: no decision by its deadline", opened.request.id)
             self._answer(opened, Reply(TIMED_OUT))
-            self.feed(Departed(opened.number))
+            self.feed(ClientDisconnected(opened.number))
             self._forget(opened)
 
     # From the list of hosts.
 
     def update(
-        self, servers: ServerList, names: dict[int, str], addresses: dict[int, Address]
+        self, servers: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
         """A list takes effect on the sockets first: what it ends must not get a byte more."""
-        whole = servers.kind is not ListKind.CHANGES
-        named = {s.id for s in servers.servers}
-        told = {s.id: s for s in servers.servers if s.state is not State.GONE}
+        whole = servers.kind is not UpdateKind.INCREMENTAL
+        named = {s.id for s in servers.endpoints}
+        told = {s.id: s for s in servers.endpoints if s.status is not EndpointStatus.REMOVED}
         for number, host in list(self.hosts.items()):
             line = told.get(number)
             gone = line is None and (whole or number in named)
@@ -265,7 +265,7 @@
             if current.started_us != server.started_us:
                 current.started_us = server.started_us
                 current.drop_idle()  # they lead to the process before, and may hang for ever
-            if server.state is State.DRAINING:
+            if server.status is EndpointStatus.DRAINING:
                 self._upstream.retire(current)
             else:
                 current.ready = True
@@ -295,52 +295,56 @@
             # One request's fault must not take the gateway down. What was decided before it still counts.
             log.exception("the module failed on %s", type(event).__name__)
             actions = self._balancer.actions
-            if isinstance(event, Arrived | AttemptDone | StreamStarted):
+            if isinstance(event, RequestArrived | AttemptFinished | StreamStarted):
                 self._fail(event.request)
-                self._events.append(Departed(event.request))  # or the module would keep it for ever
+                self._events.append(
+                    ClientDisconnected(event.request)
+                )  # or the module would keep it for ever
         for action in actions:
             try:
                 self._perform(action)
             except Exception:
                 log.exception("could not carry out %s", type(action).__name__)
-                if isinstance(action, Send | Refuse | Fail | Cancel):
+                if isinstance(action, SendAttempt | Reject | Fail | CancelAttempt):
                     self._fail(action.request)
 
     def _fail(self, number: int) -> None:
         opened = self._open.get(number)
         if opened is not None and opened.reply is not None:
             self._answer(opened, Reply(FAILED))
-            self._events.append(Departed(number))
+            self._events.append(ClientDisconnected(number))
             self._forget(opened)
 
     def _perform(self, action: Action) -> None:
-        if isinstance(action, Send):
+        if isinstance(action, SendAttempt):
             self._send(action)
-        elif isinstance(action, SetAlarm):
-            self._loop.call_at(monotonic() + action.delay_us / 1e6, self._alarm, Alarm(action.tag))
-        elif isinstance(action, Cancel):
+        elif isinstance(action, SetTimer):
+            self._loop.call_at(
+                monotonic() + action.delay_us / 1e6, self._alarm, TimerFired(action.timer_id)
+            )
+        elif isinstance(action, CancelAttempt):
             opened = self._open.get(action.request)
             attempt = opened.attempts[action.attempt] if opened is not None else None
             if attempt is not None:
                 attempt.cancel()
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, Reject | Fail):
             opened = self._open.get(action.request)
             if opened is not None and opened.reply is not None:
-                refused = isinstance(action, Refuse)
-                retry_after_us = action.retry_after_us if isinstance(action, Refuse) else 0
+                refused = isinstance(action, Reject)
+                retry_after_us = action.retry_after_us if isinstance(action, Reject) else 0
                 self._answer(opened, Reply(REFUSED if refused else FAILED, None, retry_after_us))
                 self._forget(opened)
-        elif isinstance(action, Log):
+        elif isinstance(action, LogMessage):
             log.info("%s", action.text)
         # `Watch` asks for what the gateway always does; `Probe` the module never asks for.
 
-    def _alarm(self, alarm: Alarm) -> None:
+    def _alarm(self, alarm: TimerFired) -> None:
         if self._heart.stalled():
             self._heart.hold(self.feed, alarm)
         else:
             self.feed(alarm)
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: SendAttempt) -> None:
         opened = self._open.get(action.request)
         if opened is None:
             return
@@ -354,12 +358,12 @@
             and client.gone()
         ):
             self.depart(opened)
-        host = self.hosts.get(action.server)
-        latest = (action.latest_us - self._epoch_us) / 1e6 if action.latest_us else math.inf
+        host = self.hosts.get(action.endpoint)
+        latest = (action.send_by_us - self._epoch_us) / 1e6 if action.send_by_us else math.inf
         if opened.reply is None or host is None or started > latest:
             opened.attempts.append(None)
             self._events.append(
-                AttemptDone(action.request, number, Outcome.MOOT, 0, opened.reply is None)
+                AttemptFinished(action.request, number, Outcome.NOT_SENT, 0, opened.reply is None)
             )
             return
         left_s = max(0.0, opened.give_up - started)
@@ -382,7 +386,7 @@
             # A fault of ours that may have come after the first byte: the module must not take it for unsent.
             log.exception("request %s could not be sent", opened.request.id)
             opened.attempts.append(None)
-            self._events.append(AttemptDone(action.request, number, Outcome.RESET, 0))
+            self._events.append(AttemptFinished(action.request, number, Outcome.RESET, 0))
             return
         opened.out += 1
         opened.attempts.append(attempt)
@@ -403,7 +407,7 @@
             late = monotonic() >= opened.request.expires
             self._answer(opened, Reply(TIMED_OUT) if late else Reply(SERVED, answer))
         elapsed_us = max(1, int((at - started) * 1e6))
-        self.feed(AttemptDone(opened.number, number, outcome, elapsed_us, opened.reply is None))
+        self.feed(AttemptFinished(opened.number, number, outcome, elapsed_us, opened.reply is None))
         self._forget(opened)
 
     # The end of a request.
--- a/quillroad/membership/settings.py
+++ b/quillroad/membership/settings.py
@@ -90,7 +90,7 @@
     if not 2 <= len(addresses) <= MOST_MEMBERS:
         raise ConfigError(f"{field}: needs 2 to {MOST_MEMBERS} addresses, not {len(addresses)}")
     try:
-        roster = Roster(addresses, config.settings.number, everyone)
+        roster = Roster(addresses, config.settings.gateway_index, everyone)
     except ValueError as error:
         raise ConfigError(f"{field}: {error}") from None
     return FleetSettings(
--- a/quillroad/membership/socket.py
+++ b/quillroad/membership/socket.py
@@ -17,7 +17,7 @@
 
 import structlog
 
-from quillroad.balancing.interface import Company
+from quillroad.balancing.interface import GatewayCountChanged
 from quillroad.config import Config
 from quillroad.discovery.source import Source
 from quillroad.engine.engine import Engine
@@ -55,7 +55,7 @@
         self.settings: FleetSettings | None = load_fleet(path, config)
         self.core: Core | None = None
         told = config.settings
-        self._told = Part(told.number, told.balancers)
+        self._told = Part(told.gateway_index, told.gateway_count)
         self.part = self._told
         self._share: Share | None = None
         self._engine: Engine | None = None
@@ -263,7 +263,7 @@
         rounds = self.part if settings.rounds else self._told
         before, self._given = self._given, (windows, source, rounds)
         if windows != before[0]:
-            self._engine.feed(Company(windows.number, windows.of))
+            self._engine.feed(GatewayCountChanged(windows.number, windows.of))
         if (source, rounds) != before[1:]:
             source.divide(rounds.number, rounds.of)
 
@@ -279,7 +279,7 @@
 
     def _note(self, event: str, **facts: object) -> None:
         if self._events is not None:
-            self._events.info(event, gateway=self._config.settings.number, **facts)
+            self._events.info(event, gateway=self._config.settings.gateway_index, **facts)
 
     def _tell_changes(self) -> None:
         core = self.core
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import ListKind, Server, ServerList, State
+from quillroad.balancing.interface import Endpoint, EndpointStatus, EndpointUpdate, UpdateKind
 from quillroad.config import Config
 from quillroad.gateway import Gateway
 from quillroad.upgrade.messages import ByHand
@@ -147,7 +147,7 @@
     return gateway.engine
 
 
-def _listed(gateway: Gateway, number: int) -> Server:
+def _listed(gateway: Gateway, number: int) -> Endpoint:
     """A host as its source tells it, under whatever operators have done."""
     told = gateway.admin.hands.told(number) if gateway.admin is not None else None
     return told or _engine(gateway).balancer.servers[number].spec
@@ -157,8 +157,16 @@
     return Names(config.tenants, config.kinds)
 
 
-def _line(spec: Server) -> tuple[int, int, int, int, int, float, int | None]:
-    return spec.id, spec.state.value, spec.zone, spec.cell, spec.kind, spec.hint, spec.started_us
+def _line(spec: Endpoint) -> tuple[int, int, int, int, int, float, int | None]:
+    return (
+        spec.id,
+        spec.status.value,
+        spec.zone,
+        spec.cell,
+        spec.machine_type,
+        spec.weight,
+        spec.started_us,
+    )
 
 
 def _clock(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
@@ -181,11 +189,11 @@
     if told.source and told.source == source:
         gateway.source.resume(told.position)
     servers = tuple(
-        Server(h.id, State(h.state), h.zone, h.cell, h.kind, h.hint, h.started_us)
+        Endpoint(h.id, EndpointStatus(h.state), h.zone, h.cell, h.kind, h.hint, h.started_us)
         for h in told.lines
     )
     gateway.update(
-        ServerList(ListKind.FULL, servers, told.position),
+        EndpointUpdate(UpdateKind.FULL, servers, told.position),
         {h.id: h.name for h in told.lines},
         {h.id: h.address for h in told.lines},
     )
--- a/quillroad/upgrade/selftest.py
+++ b/quillroad/upgrade/selftest.py
@@ -6,7 +6,7 @@
 import asyncio
 import dataclasses
 
-from quillroad.balancing.interface import Effect
+from quillroad.balancing.interface import Idempotency
 from quillroad.config import RESERVED, Config, StaticHost, StaticHosts
 from quillroad.gateway import Gateway
 
@@ -64,7 +64,7 @@
         for route in config.settings.routes:
             try:
                 async with asyncio.timeout(WITHIN_S):
-                    status = await _ask(gateway.port, route.name, route.effect)
+                    status = await _ask(gateway.port, route.name, route.idempotency)
             except (TimeoutError, OSError, asyncio.IncompleteReadError, ValueError) as error:
                 raise SelfTestError(f"self-test: {route.name}: {error or 'no answer'}") from None
             if status != 200:
@@ -80,10 +80,10 @@
             await asyncio.wait(served, timeout=WITHIN_S)
 
 
-async def _ask(port: int, name: str, effect: Effect) -> int:
+async def _ask(port: int, name: str, effect: Idempotency) -> int:
     """The status of one request; a body that is not the host's counts as 0."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    safe = effect is Effect.SAFE
+    safe = effect is Idempotency.IDEMPOTENT
     lines = [
         f"{'GET' if safe else 'POST'} /{name}/self-test HTTP/1.1",
         "Host: self-test",
@@ -91,7 +91,7 @@
         "Request-Timeout-Ms: 5000",
         "Connection: close",
     ]
-    if effect is Effect.KEYED:
+    if effect is Idempotency.KEYED:
         lines.append("Idempotency-Key: self-test")
     if not safe:
         lines.append("Content-Length: 0")
--- a/quillroad/upgrade/shared.py
+++ b/quillroad/upgrade/shared.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import Beside
+from quillroad.balancing.interface import SiblingAttempts
 from quillroad.config import Config, Descriptors
 from quillroad.downstream.connection_limit import Stage
 from quillroad.downstream.server import ClientConnection, Server
@@ -75,18 +75,18 @@
         self.elsewhere.update(out.opened)
         self.elsewhere.difference_update(out.ended)
         self._beside = {server: (count, late) for server, count, late in out.at}
-        self.feed(Beside(self._beside, warms))
+        self.feed(SiblingAttempts(self._beside, warms))
 
     def learn_warms(self, warms: bool) -> None:
         """Whose the turns at cold hosts are has changed."""
         if warms is not self._balancer.warms:
-            self.feed(Beside(self._beside, warms))
+            self.feed(SiblingAttempts(self._beside, warms))
 
     def alone(self) -> None:
         """There is no other process at work."""
         self.elsewhere.clear()
         self._told, self._known, self._beside = {}, set(), {}
-        self.feed(Beside())
+        self.feed(SiblingAttempts())
 
     def out(self) -> Out | None:
         """What has changed since this was asked last; None for nothing."""
--- a/quillroad/upgrade/state_snapshot.py
+++ b/quillroad/upgrade/state_snapshot.py
@@ -20,7 +20,7 @@
 from msgspec import Struct
 
 from quillroad.balancing.balancer import Attempt, Balancer, Request, ServerState
-from quillroad.balancing.interface import Arrived, Outcome, Server, State
+from quillroad.balancing.interface import Endpoint, EndpointStatus, Outcome, RequestArrived
 
 VERSION = 1
 
@@ -143,7 +143,7 @@
         now_us=balancer.now,
         servers=servers.known,
         routes=told,
-        balancers=balancer.settings.balancers,
+        balancers=balancer.settings.gateway_count,
         quotas={
             name: (bucket.tokens, bucket.filled_us)
             for name, bucket in zip(names.tenants, balancer.quotas, strict=False)
@@ -204,7 +204,7 @@
     if told.born_us is not None:
         balancer.born_us = told.born_us
     if told.work is not None:
-        _open(balancer, told.work, [state or ServerState(Server(-1)) for state in states])
+        _open(balancer, told.work, [state or ServerState(Endpoint(-1)) for state in states])
     return left
 
 
@@ -237,7 +237,7 @@
         balancer.mean_cost_us = max(1.0, told.mean_cost_us)
     # In a window nothing is learned of it: it follows from how many share, and one of 1 would end the window.
     if told.limit is not None and balancer.limit >= 1.0:
-        balancer.limit = max(1.0, told.limit * told.balancers / balancer.settings.balancers)
+        balancer.limit = max(1.0, told.limit * told.balancers / balancer.settings.gateway_count)
     if told.chance is not None:
         balancer.random.setstate(told.chance)
 
@@ -264,11 +264,11 @@
             self.known.append(
                 ServerKnown(
                     spec.id,
-                    spec.state.value,
+                    spec.status.value,
                     spec.zone,
                     spec.cell,
-                    spec.kind,
-                    spec.hint,
+                    spec.machine_type,
+                    spec.weight,
                     spec.started_us,
                     s.payoff,
                     s.heard_us,
@@ -307,9 +307,9 @@
         if not (fresh and told.listed) and not work:
             return None
         state = ServerState(
-            Server(
+            Endpoint(
                 told.id,
-                State(told.state),
+                EndpointStatus(told.state),
                 told.zone,
                 told.cell,
                 told.kind,
@@ -390,7 +390,10 @@
     for told in work.requests:
         route = balancer.routes[told.route]
         request = Request(
-            Arrived(told.id, told.route, told.useful_us, long=told.long), route, 0, told.over
+            RequestArrived(told.id, told.route, told.useful_us, long_body=told.long),
+            route,
+            0,
+            told.over,
         )
         request.cost_us, request.useful_us = told.cost_us, told.useful_us
         request.out, request.groups, request.closed = told.out, told.groups, told.closed
--- a/quillroad/upstream/pool.py
+++ b/quillroad/upstream/pool.py
@@ -153,7 +153,7 @@
             return
         connection, task, connecting = self.connection, self.task, self.connecting
         if connecting:  # no byte went out, whatever the reason to stop
-            outcome = Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT else Outcome.MOOT
+            outcome = Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT else Outcome.NOT_SENT
         self.finish(outcome)
         if connection is not None:
             connection.drop()
@@ -169,7 +169,7 @@
     def withdraw(self) -> None:
         """The host has left service, or the client has, while the connection was coming up:
         nothing was sent."""
-        self._end(Outcome.MOOT)
+        self._end(Outcome.NOT_SENT)
 
     def finish(
         self, outcome: Outcome, answer: Answer | None = None, at: float | None = None
@@ -417,7 +417,7 @@
         if self._status == 200:
             return Outcome.SUCCESS
         if self._status in (503, 504) and self._headers.get(b"not-started") == b"1":
-            return Outcome.FULL
+            return Outcome.REJECTED
         return Outcome.ERROR
 
     # Callbacks of the parser.
@@ -600,7 +600,7 @@
                 await self._loop.create_connection(lambda: connection, *host.address)
         except TimeoutError:
             # After a stall of this process nobody knows whether the host would have been there in time.
-            attempt.finish(Outcome.MOOT if self.heart.stalled() else Outcome.CONNECT_FAILED)
+            attempt.finish(Outcome.NOT_SENT if self.heart.stalled() else Outcome.CONNECT_FAILED)
             return
         except OSError:
             attempt.finish(Outcome.CONNECT_FAILED)
@@ -608,7 +608,7 @@
         host.connecting.discard(attempt)
         if attempt.over or not host.ready or monotonic() > attempt.latest:
             connection.drop()
-            attempt.finish(Outcome.MOOT)
+            attempt.finish(Outcome.NOT_SENT)
         elif connection.closing():
             attempt.finish(Outcome.CONNECT_FAILED)
         else:
--- a/quillroad/zones/ledger.py
+++ b/quillroad/zones/ledger.py
@@ -46,10 +46,10 @@
 
 ENDS = {
     Outcome.SUCCESS: "answered",
-    Outcome.FULL: "turned_away",
+    Outcome.REJECTED: "turned_away",
     Outcome.CANCELLED: "cancelled",
     Outcome.CONNECT_FAILED: "unsent",
-    Outcome.MOOT: "unsent",
+    Outcome.NOT_SENT: "unsent",
     Outcome.RESET: "lost",
     Outcome.TIMEOUT: "lost",
     Outcome.ERROR: "failed",
--- a/quillroad/zones/settings.py
+++ b/quillroad/zones/settings.py
@@ -74,7 +74,7 @@
             "gateway.zone: the gateway's own zone is not among the zones that it is told"
         )
     classes = [by_name.get(name, _Class(name)) for name in names]
-    gateways = config.settings.balancers
+    gateways = config.settings.gateway_count
     budget = Budget(
         share=told.budget.share,
         classes=tuple(Allowance(one.when_lost == "spend", one.keep) for one in classes),
--- a/quillroad/zones/zones.py
+++ b/quillroad/zones/zones.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from quillroad.balancing.interface import Carried, Outcome
+from quillroad.balancing.interface import CrossZoneBytes, Outcome
 from quillroad.balancing.zone_routing import Crossing
 from quillroad.config import Config, ConfigError
 from quillroad.engine.engine import Engine
@@ -66,7 +66,7 @@
             route, zone, outcome, size, 0 if answer is None else len(answer.body)
         )
         if carried and zone != self._config.settings.zone and self._engine is not None:
-            self._engine.feed(Carried(carried))
+            self._engine.feed(CrossZoneBytes(carried))
         done(outcome, answer, at)
 
     def report(self) -> Report:
--- a/tests/admin/test_decisions.py
+++ b/tests/admin/test_decisions.py
@@ -8,7 +8,7 @@
 
 from quillroad.admin.calls import Act, BadCall, Call, read_call
 from quillroad.admin.hands import MOST, Hands, NoSuchHostError, TooManyError
-from quillroad.balancing.interface import ListKind, Server, ServerList, State
+from quillroad.balancing.interface import Endpoint, EndpointStatus, EndpointUpdate, UpdateKind
 from quillroad.config import Address
 from quillroad.serving_state import Duty
 
@@ -62,14 +62,14 @@
         assert changed == (duty.draining != before)
 
 
-def line(name: str, started_us: int = 0, state: State = State.READY) -> Server:
-    return Server(NAMES.index(name) + 1, state, started_us=started_us)
+def line(name: str, started_us: int = 0, state: EndpointStatus = EndpointStatus.READY) -> Endpoint:
+    return Endpoint(NAMES.index(name) + 1, state, started_us=started_us)
 
 
-def full(*servers: Server) -> tuple[ServerList, dict[int, str], dict[int, Address]]:
+def full(*servers: Endpoint) -> tuple[EndpointUpdate, dict[int, str], dict[int, Address]]:
     names = {s.id: NAMES[s.id - 1] for s in servers}
     return (
-        ServerList(ListKind.FULL, servers, 1),
+        EndpointUpdate(UpdateKind.FULL, servers, 1),
         names,
         {s.id: ("127.0.0.1", s.id) for s in servers},
     )
@@ -79,25 +79,28 @@
     hands = Hands()
     hands.lay(*full(line("a"), line("b")))
     told = hands.maint("a", 100)
-    assert told is not None and told.servers.kind is ListKind.CHANGES
-    assert [(s.id, s.state) for s in told.servers.servers] == [(1, State.DRAINING)]
+    assert told is not None and told.servers.kind is UpdateKind.INCREMENTAL
+    assert [(s.id, s.status) for s in told.servers.endpoints] == [(1, EndpointStatus.DRAINING)]
     assert hands.maint("a", 100) is None  # twice out needs one call back
-    assert [s.state for s in hands.lay(*full(line("a"), line("b"))).servers.servers] == [
-        State.DRAINING,
-        State.READY,
+    assert [s.status for s in hands.lay(*full(line("a"), line("b"))).servers.endpoints] == [
+        EndpointStatus.DRAINING,
+        EndpointStatus.READY,
     ]
     hands.lay(*full(line("b")))  # it leaves, and comes back under its id
     assert hands.listed == 0
-    assert hands.lay(*full(line("a"), line("b"))).servers.servers[0].state is State.DRAINING
+    assert (
+        hands.lay(*full(line("a"), line("b"))).servers.endpoints[0].status
+        is EndpointStatus.DRAINING
+    )
     back = hands.ready("a", 777)
-    assert back is not None and back.servers.servers[0] == line("a", 777)
+    assert back is not None and back.servers.endpoints[0] == line("a", 777)
     assert (
         hands.ready("a", 999) is None
     )  # it is back: another call changes nothing, and starts nothing anew
-    assert hands.lay(*full(line("a", 99), line("b"))).servers.servers[0].started_us == 777
+    assert hands.lay(*full(line("a", 99), line("b"))).servers.endpoints[0].started_us == 777
     # A start that the source tells of, since it went out, is the one that counts: all gateways hear of it.
-    assert hands.lay(*full(line("a", 500), line("b"))).servers.servers[0].started_us == 500
-    assert hands.lay(*full(line("a", 900), line("b"))).servers.servers[0].started_us == 900
+    assert hands.lay(*full(line("a", 500), line("b"))).servers.endpoints[0].started_us == 500
+    assert hands.lay(*full(line("a", 900), line("b"))).servers.endpoints[0].started_us == 900
 
 
 def test_a_restart_told_before_the_call_back_is_no_second_start() -> None:
@@ -106,16 +109,16 @@
     hands.maint("a", 100)
     hands.lay(*full(line("a", 300)))
     back = hands.ready("a", 777)
-    assert back is not None and back.servers.servers[0] == line("a", 300)
+    assert back is not None and back.servers.endpoints[0] == line("a", 300)
 
 
 def test_back_while_the_source_says_draining_or_nothing() -> None:
     hands = Hands()
     hands.lay(*full(line("a")))
     hands.maint("a", 100)
-    hands.lay(*full(line("a", state=State.DRAINING)))
+    hands.lay(*full(line("a", state=EndpointStatus.DRAINING)))
     back = hands.ready("a", 5)
-    assert back is not None and back.servers.servers[0].state is State.DRAINING
+    assert back is not None and back.servers.endpoints[0].status is EndpointStatus.DRAINING
     hands.maint("a", 100)
     hands.lay(*full())
     assert hands.ready("a", 6) is None  # not listed: a yes, and nothing to tell the engine
@@ -140,30 +143,32 @@
         st.tuples(
             st.sampled_from(["list", "change", "maint", "ready", "move"]),
             st.sampled_from(NAMES),
-            st.sampled_from([State.READY, State.DRAINING, State.GONE]),
+            st.sampled_from(
+                [EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED]
+            ),
             st.integers(0, 50),
         )
     )
 )
 def test_no_host_out_by_hand_is_ever_shown_ready(
-    steps: list[tuple[str, str, State, int]],
+    steps: list[tuple[str, str, EndpointStatus, int]],
 ) -> None:
     """Whatever lists, calls and moves to another process come in whatever order; and the engine's own
     picture, built from what it was told alone, is that of a fresh look at the whole list."""
     hands, source, out = Hands(), {}, set[str]()
-    engine: dict[int, Server] = {}
+    engine: dict[int, Endpoint] = {}
     for now, (step, name, state, started) in enumerate(steps, 100):
         told = None
         if step in ("list", "change"):
             source[name] = line(name, started, state)
-            if state is State.GONE:
+            if state is EndpointStatus.REMOVED:
                 del source[name]
             if step == "list":
                 told = hands.lay(*full(*source.values()))
                 engine = {}
             else:
                 told = hands.lay(
-                    ServerList(ListKind.CHANGES, (line(name, started, state),)),
+                    EndpointUpdate(UpdateKind.INCREMENTAL, (line(name, started, state),)),
                     {NAMES.index(name) + 1: name},
                     {NAMES.index(name) + 1: ("127.0.0.1", 1)},
                 )
@@ -171,7 +176,7 @@
             step == "move"
         ):  # an upgrade: the newcomer has its own list, and learns what is by hand
             other = Hands()
-            engine = {s.id: s for s in other.lay(*full(*source.values())).servers.servers}
+            engine = {s.id: s for s in other.lay(*full(*source.values())).servers.endpoints}
             told = other.learn(hands.out, hands.back)
             hands = other
         elif name in source and step == "maint":
@@ -181,14 +186,14 @@
             told = hands.ready(name, now)
             out.discard(name)
         if told is not None:
-            for server in told.servers.servers:
+            for server in told.servers.endpoints:
                 engine[server.id] = server
-                if server.state is State.GONE:
+                if server.status is EndpointStatus.REMOVED:
                     del engine[server.id]
         assert set(hands.out) == out
         assert set(engine) == {s.id for s in source.values()}
         for server in engine.values():
             shown = NAMES[server.id - 1]
-            ready = source[shown].state is State.READY and shown not in out
-            assert (server.state is State.READY) == ready
+            ready = source[shown].status is EndpointStatus.READY and shown not in out
+            assert (server.status is EndpointStatus.READY) == ready
             assert (server.started_us or 0) >= (source[shown].started_us or 0)
--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -7,19 +7,19 @@
 from quillroad.balancing.balancer import Balancer
 from quillroad.balancing.interface import (
     Action,
-    Alarm,
-    Arrived,
-    AttemptDone,
-    Effect,
+    AttemptFinished,
+    Endpoint,
+    EndpointUpdate,
     Event,
-    ListKind,
+    Idempotency,
     Outcome,
+    RequestArrived,
     Route,
-    Send,
-    Server,
-    ServerList,
-    SetAlarm,
+    SendAttempt,
+    SetTimer,
     Settings,
+    TimerFired,
+    UpdateKind,
 )
 from quillroad.balancing.zone_routing import Crossing
 
@@ -27,18 +27,18 @@
 DEADLINE_US = 1_000_000
 
 
-def route(effect: Effect = Effect.SAFE, **changes: Any) -> Route:
+def route(effect: Idempotency = Idempotency.IDEMPOTENT, **changes: Any) -> Route:
     values: dict[str, Any] = {
-        "aim_us": AIM_US,
+        "latency_objective_us": AIM_US,
         "deadline_us": DEADLINE_US,
-        "memory_span_us": 2_000_000,
+        "deduplication_window_us": 2_000_000,
     }
     values.update(changes)
-    return Route(name="r", effect=effect, **values)
+    return Route(name="r", idempotency=effect, **values)
 
 
 def settings(*routes: Route, **changes: Any) -> Settings:
-    values: dict[str, Any] = {"cancelling": True, "max_attempts": 4}
+    values: dict[str, Any] = {"cancellation_allowed": True, "max_attempts": 4}
     values.update(changes)
     return Settings(routes=routes or (route(),), **values)
 
@@ -49,7 +49,7 @@
     def __init__(
         self,
         told: Settings,
-        servers: int | list[Server] = 4,
+        servers: int | list[Endpoint] = 4,
         seed: int = 7,
         crossing: Crossing | None = None,
     ) -> None:
@@ -60,17 +60,19 @@
         self.timers: list[tuple[int, int]] = []
         self.sends: dict[int, list[int]] = {}
         self.next = 0
-        listed = [Server(100 + i) for i in range(servers)] if isinstance(servers, int) else servers
-        self.feed(ServerList(ListKind.CACHED, tuple(listed)))
+        listed = (
+            [Endpoint(100 + i) for i in range(servers)] if isinstance(servers, int) else servers
+        )
+        self.feed(EndpointUpdate(UpdateKind.CACHED, tuple(listed)))
 
     def feed(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
         self.log += actions
         for action in actions:
-            if isinstance(action, SetAlarm):
-                self.timers.append((self.now + action.delay_us, action.tag))
-            elif isinstance(action, Send):
-                self.sends.setdefault(action.request, []).append(action.server)
+            if isinstance(action, SetTimer):
+                self.timers.append((self.now + action.delay_us, action.timer_id))
+            elif isinstance(action, SendAttempt):
+                self.sends.setdefault(action.request, []).append(action.endpoint)
         return actions
 
     def pass_time(self, us: int) -> list[Action]:
@@ -82,13 +84,13 @@
                 break
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.feed(Alarm(due[1]))
+            self.feed(TimerFired(due[1]))
         self.now = end
         return self.log[seen:]
 
     def arrive(self, route: int = 0, give_up_us: int = DEADLINE_US, **more: Any) -> int:
         self.next += 1
-        self.feed(Arrived(self.next, route, self.now + give_up_us, **more))
+        self.feed(RequestArrived(self.next, route, self.now + give_up_us, **more))
         return self.next
 
     def done(
@@ -96,7 +98,7 @@
     ) -> list[Action]:
         number = len(self.sends[request]) - 1 if attempt is None else attempt
         closed = outcome is Outcome.SUCCESS
-        return self.feed(AttemptDone(request, number, outcome, elapsed_us, closed))
+        return self.feed(AttemptFinished(request, number, outcome, elapsed_us, closed))
 
     def warm_up(self, count: int = 200, elapsed_us: int = 10_000, route: int = 0) -> None:
         """Teach the balancer what a healthy day looks like."""
--- a/tests/balancing/rulecheck.py
+++ b/tests/balancing/rulecheck.py
@@ -6,23 +6,23 @@
 
 from quillroad.balancing.interface import (
     Action,
-    Arrived,
-    AttemptDone,
-    Cancel,
-    Departed,
-    Effect,
+    AttemptFinished,
+    CancelAttempt,
+    ClientDisconnected,
+    DeduplicationScope,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
     Event,
     Fail,
-    Group,
-    ListKind,
+    Idempotency,
     Outcome,
-    Refuse,
+    Reject,
+    RequestArrived,
     Route,
-    Send,
-    Server,
-    ServerList,
+    SendAttempt,
     Settings,
-    State,
+    UpdateKind,
 )
 
 PROVES_NOTHING_RAN = {"full", "connect_failed", "moot"}
@@ -31,7 +31,7 @@
 @dataclass
 class Sent:
     at_us: int
-    server: Server
+    server: Endpoint
     outcome: Outcome | None = None
 
     @property
@@ -59,45 +59,45 @@
         self.work_us = work_us  # true work of a request, on a core of a cold server's kind
         self.cases: dict[int, Case] = {}
         self.told_ended: list[int] = []  # in this batch; a send in its reply is no breach yet
-        self.known: dict[int, Server] = {}
+        self.known: dict[int, Endpoint] = {}
         self.told_off: dict[int, int] = {}
         self.cold_sends: dict[tuple[int, int], list[int]] = {}
 
     def before(self, now_us: int, events: list[Event]) -> None:
         for event in events:
-            if isinstance(event, ServerList):
+            if isinstance(event, EndpointUpdate):
                 self._list(now_us, event)
-            elif isinstance(event, Arrived):
-                self.cases[event.request] = Case(self.told.routes[event.route], event.give_up_us)
-            elif isinstance(event, Departed):
+            elif isinstance(event, RequestArrived):
+                self.cases[event.request] = Case(self.told.routes[event.route], event.deadline_us)
+            elif isinstance(event, ClientDisconnected):
                 self.told_ended.append(event.request)
-            elif isinstance(event, AttemptDone):
+            elif isinstance(event, AttemptFinished):
                 case = self.cases[event.request]
                 case.sent[event.attempt].outcome = event.outcome
-                if event.closed:
+                if event.answered:
                     self.told_ended.append(event.request)
 
-    def _list(self, now_us: int, event: ServerList) -> None:
-        if event.kind is ListKind.FAILED:
+    def _list(self, now_us: int, event: EndpointUpdate) -> None:
+        if event.kind is UpdateKind.FAILED:
             return
-        listed = {line.id: line for line in event.servers}
-        if event.kind is not ListKind.CHANGES:
+        listed = {line.id: line for line in event.endpoints}
+        if event.kind is not UpdateKind.INCREMENTAL:
             for gone in set(self.known) - set(listed):
                 self.told_off.setdefault(gone, now_us)
         for number, line in listed.items():
             self.known[number] = line
-            if line.state is State.READY:
+            if line.status is EndpointStatus.READY:
                 self.told_off.pop(number, None)
             else:
                 self.told_off.setdefault(number, now_us)
 
     def after(self, now_us: int, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendAttempt):
                 self._send(now_us, action)
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, Reject | Fail):
                 self._end(now_us, action)
-            elif isinstance(action, Cancel):
+            elif isinstance(action, CancelAttempt):
                 assert action.attempt < len(self.cases[action.request].sent)
         for number in self.told_ended:
             self.cases[number].ended = True
@@ -106,59 +106,62 @@
             if not case.ended and now_us > case.give_up_us + self.told.answer_slack_us:
                 raise RuleBroken(f"1: request {number} has no final answer in time")
 
-    def _end(self, now_us: int, action: Refuse | Fail) -> None:
+    def _end(self, now_us: int, action: Reject | Fail) -> None:
         case = self.cases[action.request]
         if case.ended:
             return
-        if isinstance(action, Refuse) and any(s.may_have_run for s in case.sent):
+        if isinstance(action, Reject) and any(s.may_have_run for s in case.sent):
             spec = case.route
-            if spec.effect is Effect.UNSAFE or (
-                spec.effect is Effect.KEYED and spec.group is not Group.ALL
+            if spec.idempotency is Idempotency.NON_IDEMPOTENT or (
+                spec.idempotency is Idempotency.KEYED
+                and spec.deduplication_scope is not DeduplicationScope.ALL
             ):
                 raise RuleBroken(f"2: request {action.request} refused though it may have run")
         case.ended = True
 
-    def _send(self, now_us: int, action: Send) -> None:
+    def _send(self, now_us: int, action: SendAttempt) -> None:
         case, spec = self.cases[action.request], self.cases[action.request].route
-        server = self.known[action.server]
+        server = self.known[action.endpoint]
         if case.ended:
             raise RuleBroken(f"1: request {action.request} sent after its end")
         if len(case.sent) >= self.told.max_attempts:
             raise RuleBroken(f"attempts: request {action.request}")
-        if any(s.outcome is None for s in case.sent) and not self.told.parallel_tries:
+        if any(s.outcome is None for s in case.sent) and not self.told.hedging_allowed:
             raise RuleBroken(f"2: request {action.request} out twice")
         for earlier in [s for s in case.sent if s.may_have_run]:
-            if spec.effect is Effect.UNSAFE:
+            if spec.idempotency is Idempotency.NON_IDEMPOTENT:
                 raise RuleBroken(f"2: unsafe request {action.request} sent again")
-            if spec.effect is Effect.KEYED:
+            if spec.idempotency is Idempotency.KEYED:
                 same = {
-                    Group.ALL: True,
-                    Group.ZONE: earlier.server.zone == server.zone,
-                    Group.CELL: earlier.server.cell == server.cell,
-                }[spec.group]
-                if not same or now_us >= earlier.at_us + spec.memory_span_us:
+                    DeduplicationScope.ALL: True,
+                    DeduplicationScope.ZONE: earlier.server.zone == server.zone,
+                    DeduplicationScope.CELL: earlier.server.cell == server.cell,
+                }[spec.deduplication_scope]
+                if not same or now_us >= earlier.at_us + spec.deduplication_window_us:
                     raise RuleBroken(
                         f"2: keyed request {action.request} sent outside its group or time"
                     )
-        told_off = self.told_off.get(action.server)
+        told_off = self.told_off.get(action.endpoint)
         if told_off is not None and now_us > told_off + self.told.drain_grace_us:
-            raise RuleBroken(f"3: server {action.server} sent to after its drain")
+            raise RuleBroken(f"3: server {action.endpoint} sent to after its drain")
         case.sent.append(Sent(now_us, server))
         self._cold(now_us, server)
 
-    def _cold(self, now_us: int, server: Server) -> None:
+    def _cold(self, now_us: int, server: Endpoint) -> None:
         started = server.started_us
-        if not started or now_us >= started + self.told.cold_us:
+        if not started or now_us >= started + self.told.warm_up_us:
             return
         sends = self.cold_sends.setdefault((server.id, started), [])
         sends.append(now_us)
-        window = self.told.fall_window_us
+        window = self.told.overload_window_us
         work = self.work_us * sum(1 for t in sends if t > now_us - window)
         warmth = (
-            self.told.cold_from
-            + (1 - self.told.cold_from) * max(0, now_us - window - started) / self.told.cold_us
+            self.told.initial_capacity
+            + (1 - self.told.initial_capacity)
+            * max(0, now_us - window - started)
+            / self.told.warm_up_us
         )
-        if work > self.told.fall_multiple * warmth * window:
+        if work > self.told.overload_multiple * warmth * window:
             raise RuleBroken(
                 f"4: cold server {server.id} sent more than its budget by one balancer alone"
             )
--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -14,24 +14,24 @@
 
 from quillroad.balancing import balancer as balance
 from quillroad.balancing.interface import (
-    Arrived,
-    AttemptDone,
-    Cancel,
-    Company,
-    Departed,
-    Effect,
+    AttemptFinished,
+    CancelAttempt,
+    ClientDisconnected,
+    DeduplicationScope,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
     Fail,
-    Group,
-    ListKind,
+    GatewayCountChanged,
+    Idempotency,
     Outcome,
-    Refuse,
-    Send,
-    Server,
-    ServerList,
-    SetAlarm,
+    Reject,
+    RequestArrived,
+    SendAttempt,
+    SetTimer,
     Settings,
-    State,
-    Watch,
+    UpdateKind,
+    WatchEndpoints,
 )
 from tests.balancing.helpers import AIM_US, DEADLINE_US, Stage, route, settings
 
@@ -89,13 +89,13 @@
 
 
 def test_waits_grow_between_retry_groups() -> None:
-    stage = Stage(settings(route(aim_us=900_000), max_attempts=4), 6)
+    stage = Stage(settings(route(latency_objective_us=900_000), max_attempts=4), 6)
     request = stage.arrive()
     stage.balancer.routes[0].budget.tokens = 9.0
     waits = []
     for _ in range(3):
         actions = stage.done(request, Outcome.ERROR, 1000)
-        waits += [a.delay_us for a in actions if isinstance(a, SetAlarm)]
+        waits += [a.delay_us for a in actions if isinstance(a, SetTimer)]
         stage.pass_time(300_000)
     assert len(stage.sends[request]) == len(set(stage.sends[request])) == 4
     assert waits[0] * 1.2 < waits[2]
@@ -121,20 +121,20 @@
 
 
 def test_hedge_goes_out_once_and_the_loser_is_called_off() -> None:
-    stage = Stage(settings(parallel_tries=True), 4)
+    stage = Stage(settings(hedging_allowed=True), 4)
     for elapsed_us in range(4000, 6000, 20):
         stage.done(stage.arrive(), Outcome.SUCCESS, elapsed_us)
     request = stage.arrive()
     stage.pass_time(50_000)
     assert len(stage.sends[request]) == 2
     actions = stage.done(request, Outcome.SUCCESS, 50_000, attempt=1)
-    assert Cancel(request, 0) in actions
-    stage.feed(AttemptDone(request, 0, Outcome.CANCELLED, 50_000, True))
+    assert CancelAttempt(request, 0) in actions
+    stage.feed(AttemptFinished(request, 0, Outcome.CANCELLED, 50_000, True))
     assert request not in stage.balancer.requests
 
 
 @pytest.mark.parametrize(
-    "told", [settings(route(Effect.UNSAFE), parallel_tries=True), settings(route())]
+    "told", [settings(route(Idempotency.NON_IDEMPOTENT), hedging_allowed=True), settings(route())]
 )
 def test_no_hedge_for_unsafe_routes_or_where_one_attempt_is_the_limit(told: Settings) -> None:
     stage = Stage(told, 4)
@@ -147,7 +147,10 @@
 def test_a_draining_or_gone_server_gets_nothing_new_at_once() -> None:
     stage = Stage(settings(), 3)
     stage.feed(
-        ServerList(ListKind.CHANGES, (Server(100, State.DRAINING), Server(101, State.GONE))),
+        EndpointUpdate(
+            UpdateKind.INCREMENTAL,
+            (Endpoint(100, EndpointStatus.DRAINING), Endpoint(101, EndpointStatus.REMOVED)),
+        ),
     )
     for _ in range(20):
         stage.done(stage.arrive(), Outcome.SUCCESS)
@@ -155,24 +158,24 @@
 
 
 def test_empty_list_holds_requests_then_refuses_them() -> None:
-    stage = Stage(settings(route(Effect.UNSAFE)), 0)
+    stage = Stage(settings(route(Idempotency.NON_IDEMPOTENT)), 0)
     request = stage.arrive()
     assert not stage.sends
-    assert Refuse(request) in stage.pass_time(AIM_US)
+    assert Reject(request) in stage.pass_time(AIM_US)
     held = stage.arrive()
-    stage.feed(ServerList(ListKind.FULL, (Server(7),)))
+    stage.feed(EndpointUpdate(UpdateKind.FULL, (Endpoint(7),)))
     assert stage.sends[held] == [7]
 
 
 def test_unsafe_is_retried_only_when_it_never_ran() -> None:
     for outcome, again in [
-        (Outcome.FULL, True),
+        (Outcome.REJECTED, True),
         (Outcome.CONNECT_FAILED, True),
         (Outcome.ERROR, False),
         (Outcome.RESET, False),
         (Outcome.TIMEOUT, False),
     ]:
-        stage = Stage(settings(route(Effect.UNSAFE)), 4)
+        stage = Stage(settings(route(Idempotency.NON_IDEMPOTENT)), 4)
         request = stage.arrive()
         stage.done(request, outcome, 1000)
         stage.pass_time(100_000)
@@ -181,8 +184,13 @@
 
 
 def test_keyed_stays_in_its_group_and_within_the_memory_span() -> None:
-    servers = [Server(100 + i, cell=i % 2) for i in range(6)]
-    keyed = route(Effect.KEYED, group=Group.CELL, aim_us=900_000, memory_span_us=300_000)
+    servers = [Endpoint(100 + i, cell=i % 2) for i in range(6)]
+    keyed = route(
+        Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.CELL,
+        latency_objective_us=900_000,
+        deduplication_window_us=300_000,
+    )
     stage = Stage(settings(keyed), servers)
     request = stage.arrive()
     stage.balancer.routes[0].budget.tokens = 9.0
@@ -198,12 +206,16 @@
 
 def test_cold_server_gets_no_more_than_its_share_in_any_window() -> None:
     told = settings(
-        balancers=2, cold_us=10_000_000, cold_from=0.2, fall_multiple=2.0, fall_window_us=1_000_000
+        gateway_count=2,
+        warm_up_us=10_000_000,
+        initial_capacity=0.2,
+        overload_multiple=2.0,
+        overload_window_us=1_000_000,
     )
     stage = Stage(told, 0)
     stage.now = 50_000_000
     started = stage.now - 200_000
-    stage.feed(ServerList(ListKind.CACHED, (Server(1, started_us=started), Server(2))))
+    stage.feed(EndpointUpdate(UpdateKind.CACHED, (Endpoint(1, started_us=started), Endpoint(2))))
     times: list[int] = []
     for _ in range(1500):
         request = stage.arrive()
@@ -222,7 +234,7 @@
 
 
 def test_a_silent_server_is_left_alone_before_its_attempts_time_out() -> None:
-    stage = Stage(settings(route(Effect.UNSAFE)), 3)
+    stage = Stage(settings(route(Idempotency.NON_IDEMPOTENT)), 3)
     stage.warm_up(100)
     silent = 101
     for _ in range(200):
@@ -235,7 +247,10 @@
 
 
 def test_long_requests_keep_to_servers_of_their_own_at_every_balancer() -> None:
-    short, long = route(aim_us=100_000), route(aim_us=2_000_000, deadline_us=4_000_000)
+    short, long = (
+        route(latency_objective_us=100_000),
+        route(latency_objective_us=2_000_000, deadline_us=4_000_000),
+    )
     used: list[set[int]] = []
     for seed in (1, 2):
         stage = Stage(settings(short, long), 6, seed)
@@ -251,13 +266,13 @@
 
 
 def test_discovery_is_asked_again_with_growing_jittered_waits() -> None:
-    stage = Stage(settings(discovery_asks=True), 2)
-    assert Watch(True) in stage.log
+    stage = Stage(settings(discovery_is_polled=True), 2)
+    assert WatchEndpoints(True) in stage.log
     waits = []
     for _ in range(6):
-        actions = stage.feed(ServerList(ListKind.FAILED))
-        waits += [a.delay_us for a in actions if isinstance(a, SetAlarm)]
-        assert Watch(True) in stage.pass_time(10_000_000)
+        actions = stage.feed(EndpointUpdate(UpdateKind.FAILED))
+        waits += [a.delay_us for a in actions if isinstance(a, SetTimer)]
+        assert WatchEndpoints(True) in stage.pass_time(10_000_000)
     assert waits[0] < 500_000 and waits[4] > waits[0] * 3
     assert all(w <= 10_000_000 / 2 for w in waits)
 
@@ -266,12 +281,12 @@
     stage = Stage(settings(), 2)
     request = stage.arrive()
     stage.done(request, Outcome.SUCCESS)
-    assert stage.feed(AttemptDone(request, 0, Outcome.SUCCESS, 1, True)) == []
-    assert stage.feed(AttemptDone(999, 0, Outcome.ERROR, 1)) == []
+    assert stage.feed(AttemptFinished(request, 0, Outcome.SUCCESS, 1, True)) == []
+    assert stage.feed(AttemptFinished(999, 0, Outcome.ERROR, 1)) == []
     other = stage.arrive()
-    stage.feed(ServerList(ListKind.FULL, ()))
-    assert isinstance(stage.done(other, Outcome.ERROR)[0], SetAlarm)
-    assert Refuse(other) in stage.pass_time(1_000_000)
+    stage.feed(EndpointUpdate(UpdateKind.FULL, ()))
+    assert isinstance(stage.done(other, Outcome.ERROR)[0], SetTimer)
+    assert Reject(other) in stage.pass_time(1_000_000)
 
 
 def test_sends_stop_at_the_final_answer() -> None:
@@ -280,9 +295,9 @@
     while request in stage.balancer.requests:
         stage.done(request, Outcome.ERROR)
         stage.pass_time(300_000)
-    ends = [a for a in stage.log if isinstance(a, Refuse | Fail)]
+    ends = [a for a in stage.log if isinstance(a, Reject | Fail)]
     assert len(ends) == 1
-    assert not any(isinstance(a, Send) for a in stage.log[stage.log.index(ends[0]) :])
+    assert not any(isinstance(a, SendAttempt) for a in stage.log[stage.log.index(ends[0]) :])
 
 
 def test_a_jam_does_not_become_the_yardstick_of_cost() -> None:
@@ -322,7 +337,7 @@
         request = stage.arrive()
         if number % 4 == 0:
             assert not any(
-                isinstance(a, Refuse | Fail) for a in stage.done(request, Outcome.RESET)
+                isinstance(a, Reject | Fail) for a in stage.done(request, Outcome.RESET)
             ), number
         stage.pass_time(20_000)
         if request in stage.balancer.requests:
@@ -334,18 +349,18 @@
 
 def many(**changes: Any) -> Settings:
     """One balancer of many on a large fleet, with a little of the traffic."""
-    return settings(**{"balancers": 400, "number": 100, **changes})
+    return settings(**{"gateway_count": 400, "gateway_index": 100, **changes})
 
 
-def fleet(count: int = 60, **changes: Any) -> list[Server]:
-    return [Server(100 + i, zone=i % 3, cell=i // 4, **changes) for i in range(count)]
+def fleet(count: int = 60, **changes: Any) -> list[Endpoint]:
+    return [Endpoint(100 + i, zone=i % 3, cell=i // 4, **changes) for i in range(count)]
 
 
 def test_with_little_traffic_a_balancer_keeps_to_a_window() -> None:
     """Ljubljana quiet, d6d89745: 66 balancers that know nothing of most servers choked three of them."""
     used: list[set[int]] = []
     for number in (0, 200):
-        stage = Stage(many(number=number), fleet())
+        stage = Stage(many(gateway_index=number), fleet())
         for _ in range(100):
             request = stage.arrive()
             stage.pass_time(150_000)
@@ -358,7 +373,7 @@
 def test_windows_cover_the_fleet_evenly() -> None:
     counts: Counter[int] = Counter()
     for number in range(120):
-        balancer = Stage(many(balancers=120, number=number), fleet()).balancer
+        balancer = Stage(many(gateway_count=120, gateway_index=number), fleet()).balancer
         counts.update(s.spec.id for s in balancer.window() or [])
     assert len(counts) == 60 and max(counts.values()) == min(counts.values())
 
@@ -380,7 +395,7 @@
     bad = data.draw(st.sets(st.integers(0, servers - 1), max_size=servers // 4))
     together: Counter[int] = Counter()
     for number in range(balancers):
-        stage = Stage(settings(balancers=balancers, number=number), servers)
+        stage = Stage(settings(gateway_count=balancers, gateway_index=number), servers)
         for s in stage.balancer.candidates:
             if s.spec.id - 100 in bad:
                 s.ejected_until_us = 10**9
@@ -400,20 +415,20 @@
 @given(st.integers(4, 48))
 def test_places_are_dealt_out_in_whole_ones_that_add_up(balancers: int) -> None:
     """Rounded up by every gateway they were 3.3 a host where 3 were meant."""
-    told = [settings(balancers=balancers, number=number) for number in range(balancers)]
+    told = [settings(gateway_count=balancers, gateway_index=number) for number in range(balancers)]
     widths = [len(Stage(one, 2 * balancers).balancer.window() or ()) for one in told]
     assert abs(sum(widths) / (2 * balancers) - balance.SHARED) < 0.5
     assert max(widths) - min(widths) <= 1
 
 
-QUICK = [Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.ERROR, Outcome.RESET]
+QUICK = [Outcome.CONNECT_FAILED, Outcome.REJECTED, Outcome.ERROR, Outcome.RESET]
 
 
 @pytest.mark.parametrize("outcome", [*QUICK, Outcome.TIMEOUT])
 def test_in_a_window_a_server_that_fails_rests_longer_each_time(outcome: Outcome) -> None:
     """join+disco+huge: forty gateways each sent a dozen requests to every host that had gone. churn+huge:
     hosts that hung took a place for 600 ms of every two seconds, at each gateway."""
-    stage = Stage(many(balancers=40, number=3), fleet(6))
+    stage = Stage(many(gateway_count=40, gateway_index=3), fleet(6))
     first_us = balance.REST_US if outcome in QUICK else balance.SILENT_US
     sent: dict[int, int] = {}
     for _ in range(1500):
@@ -440,7 +455,7 @@
 def test_in_a_window_hosts_that_err_do_not_make_it_refuse_a_share_unasked() -> None:
     """churn+huge, seed 5: with errors at most hosts 430 of 520 requests a second were refused while 30 of 200
     places were taken."""
-    stage = Stage(many(balancers=40, number=3), fleet())
+    stage = Stage(many(gateway_count=40, gateway_index=3), fleet())
     stage.balancer.admitted = 0.1
     for _ in range(50):
         request = stage.arrive()
@@ -452,7 +467,7 @@
 def test_a_window_that_moves_on_from_servers_in_trouble_does_not_fill_one_after_another() -> None:
     """Large fleet: every gateway passed over what it took for bad, and 14 requests each were out where 5 may
     be."""
-    stage = Stage(many(balancers=40, number=3), fleet())
+    stage = Stage(many(gateway_count=40, gateway_index=3), fleet())
     for _ in range(60):
         stage.arrive()
         for s in stage.balancer.candidates:
@@ -463,8 +478,11 @@
 
 def test_in_a_window_no_lane_is_kept_for_long_requests() -> None:
     """Estado big-2: a blocking lane of one server, the same at all, drew 150 of 363 balancers in 3 s."""
-    short, long = route(aim_us=100_000), route(aim_us=2_000_000, deadline_us=4_000_000)
-    stage = Stage(Settings(routes=(short, long), balancers=400, number=100), fleet())
+    short, long = (
+        route(latency_objective_us=100_000),
+        route(latency_objective_us=2_000_000, deadline_us=4_000_000),
+    )
+    stage = Stage(Settings(routes=(short, long), gateway_count=400, gateway_index=100), fleet())
     stage.balancer.blocking_share = 0.01
     stage.balancer.routes[1].cost_us, stage.balancer.routes[1].samples = 300_000.0, 9
     for _ in range(40):
@@ -476,7 +494,7 @@
 
 def test_in_a_window_the_slow_kind_is_drawn_less() -> None:
     """Estado big-2: at even shares a slow kind choked while the fast one idled."""
-    stage = Stage(many(), [s._replace(kind=s.id % 2) for s in fleet()])
+    stage = Stage(many(), [s._replace(machine_type=s.id % 2) for s in fleet()])
     for _ in range(150):
         request = stage.arrive()
         stage.pass_time(150_000)
@@ -487,10 +505,10 @@
 
 
 def test_an_empty_list_after_two_kinds_holds_no_fault() -> None:
-    stage = Stage(many(), [s._replace(kind=s.id % 2) for s in fleet()])
-    stage.feed(ServerList(ListKind.FULL, ()))
+    stage = Stage(many(), [s._replace(machine_type=s.id % 2) for s in fleet()])
+    stage.feed(EndpointUpdate(UpdateKind.FULL, ()))
     request = stage.arrive()
-    assert Refuse(request) in stage.pass_time(2_000_000)
+    assert Reject(request) in stage.pass_time(2_000_000)
 
 
 def test_one_outcome_of_a_server_seldom_seen_says_much_and_fades() -> None:
@@ -520,7 +538,7 @@
     stage = Stage(settings(), 3)
     stage.balancer.admitted = 0.0
     request = stage.arrive()
-    assert request not in stage.sends and stage.log[-1] == Refuse(request)
+    assert request not in stage.sends and stage.log[-1] == Reject(request)
 
 
 def test_many_small_retry_budgets_hold_no_storm() -> None:
@@ -544,7 +562,7 @@
 
 
 def test_crossing_zones_is_worth_its_price_only() -> None:
-    stage = Stage(many(price_cross_zone=0.1), fleet())
+    stage = Stage(many(cross_zone_cost=0.1), fleet())
     here, there = (next(s for s in stage.balancer.candidates if s.spec.zone == z) for z in (0, 1))
     assert stage.balancer.score(here) > stage.balancer.score(there)
     here.payoff, here.heard_us = 0.3, stage.now
@@ -555,15 +573,22 @@
 def test_all_balancers_together_keep_a_cold_server_within_its_budget(balancers: int) -> None:
     """Rule 4 at its worst: every balancer knows of one cold server only and has requests without end."""
     window_us, cold_us, work_us = 1_000_000, 10_000_000, 20_000
-    told = {"balancers": balancers, "cold_us": cold_us, "cold_from": 0.2, "fall_multiple": 2.5}
+    told = {
+        "gateway_count": balancers,
+        "warm_up_us": cold_us,
+        "initial_capacity": 0.2,
+        "overload_multiple": 2.5,
+    }
     start = 50_000_000
-    cold = [Server(7, started_us=start)]
+    cold = [Endpoint(7, started_us=start)]
     group = [
-        balance.Balancer(settings(route(), number=n, fall_window_us=window_us, **told), n)
+        balance.Balancer(
+            settings(route(), gateway_index=n, overload_window_us=window_us, **told), n
+        )
         for n in range(balancers)
     ]
     for balancer in group:
-        balancer.handle(start, [ServerList(ListKind.CACHED, tuple(cold))])
+        balancer.handle(start, [EndpointUpdate(UpdateKind.CACHED, tuple(cold))])
         balancer.routes[0].cost_us = float(work_us)
     sent: list[int] = []
     number = 0
@@ -571,12 +596,14 @@
         for balancer in group:
             for _ in range(3):
                 number += 1
-                actions = balancer.handle(now, [Arrived(number, 0, now + DEADLINE_US)])
-                if any(isinstance(a, Send) for a in actions):
+                actions = balancer.handle(now, [RequestArrived(number, 0, now + DEADLINE_US)])
+                if any(isinstance(a, SendAttempt) for a in actions):
                     sent.append(now)
-                    balancer.handle(now, [AttemptDone(number, 0, Outcome.SUCCESS, work_us, True)])
+                    balancer.handle(
+                        now, [AttemptFinished(number, 0, Outcome.SUCCESS, work_us, True)]
+                    )
                 else:
-                    balancer.handle(now, [Departed(number)])
+                    balancer.handle(now, [ClientDisconnected(number)])
     assert len(sent) > 20  # the budget is put to use, not only kept
     for first in sent:
         warmth = 0.2 + 0.8 * (first - start) / cold_us
@@ -584,29 +611,31 @@
         assert work <= 2.5 * warmth * window_us
 
 
-def beside_cold(number: int, servers: tuple[Server, ...]) -> balance.Balancer:
+def beside_cold(number: int, servers: tuple[Endpoint, ...]) -> balance.Balancer:
     """One of forty balancers, as the cold ones among its servers start."""
-    cold = {"cold_us": 10_000_000, "cold_from": 0.5, "fall_multiple": 3.0}
-    balancer = balance.Balancer(settings(balancers=40, number=number, **cold), number)
+    cold = {"warm_up_us": 10_000_000, "initial_capacity": 0.5, "overload_multiple": 3.0}
+    balancer = balance.Balancer(settings(gateway_count=40, gateway_index=number, **cold), number)
     balancer.routes[0].cost_us = 10_000.0
-    balancer.handle(STARTED, [ServerList(ListKind.CACHED, servers)])
+    balancer.handle(STARTED, [EndpointUpdate(UpdateKind.CACHED, servers)])
     return balancer
 
 
 def test_in_a_window_the_own_turn_at_a_cold_server_takes_all_its_places() -> None:
     """churn+huge, seed 5: 15 of 55 hosts were cold and had one request at a time while others jammed."""
-    servers = (Server(7, started_us=STARTED), *(Server(100 + i) for i in range(59)))
+    servers = (Endpoint(7, started_us=STARTED), *(Endpoint(100 + i) for i in range(59)))
     group = [beside_cold(number, servers) for number in range(40)]
     for balancer in group:
         balancer.handle(
-            STARTED, [Arrived(request, 0, STARTED + DEADLINE_US) for request in range(6)]
+            STARTED, [RequestArrived(request, 0, STARTED + DEADLINE_US) for request in range(6)]
         )
     assert max(balancer.servers[7].in_flight for balancer in group) == int(balance.SHARED)
 
 
 def test_a_window_holds_no_cold_servers_while_others_are_warm() -> None:
     """churn+huge, seed 31: 16 of 55 hosts were cold, and some windows held little else."""
-    servers = tuple(Server(100 + i, started_us=STARTED if i % 3 == 0 else None) for i in range(60))
+    servers = tuple(
+        Endpoint(100 + i, started_us=STARTED if i % 3 == 0 else None) for i in range(60)
+    )
     covered: Counter[int] = Counter()
     for number in range(40):
         covered.update(s.spec.id for s in beside_cold(number, servers).window() or [])
@@ -616,9 +645,9 @@
 
 
 def test_a_dead_zone_is_not_panicked_into() -> None:
-    here = [Server(i, zone=0) for i in range(1, 4)]
-    there = [Server(i, zone=1) for i in range(11, 14)]
-    stage = Stage(settings(route(Effect.UNSAFE)), here + there)
+    here = [Endpoint(i, zone=0) for i in range(1, 4)]
+    there = [Endpoint(i, zone=1) for i in range(11, 14)]
+    stage = Stage(settings(route(Idempotency.NON_IDEMPOTENT)), here + there)
     stage.warm_up(60)
     for s in stage.balancer.servers.values():
         if s.spec.zone == 0:
@@ -634,7 +663,7 @@
     stage = Stage(settings(), 1)
     while not stage.balancer.queued:
         blocking = stage.arrive()
-    repeats = [stage.arrive(repeat=True) for _ in range(3)]
+    repeats = [stage.arrive(is_retry=True) for _ in range(3)]
     first = stage.arrive()
     for request in [r for r in stage.sends if r < blocking]:
         stage.done(request, Outcome.SUCCESS)
@@ -646,8 +675,8 @@
     stage = Stage(settings(), 2)
     stage.warm_up(20)
     late = stage.arrive(give_up_us=DEADLINE_US - 2 * AIM_US)
-    assert stage.log[-1] == Refuse(late)
-    marking = Stage(settings(clients_mark_repeats=True), 2)
+    assert stage.log[-1] == Reject(late)
+    marking = Stage(settings(clients_mark_retries=True), 2)
     marking.warm_up(20)
     assert marking.arrive(give_up_us=DEADLINE_US - 2 * AIM_US) in marking.sends
 
@@ -664,7 +693,7 @@
 
 def test_a_window_keeps_to_its_local_servers_while_they_serve_as_well() -> None:
     """Estado quiet: eight points of the result went to crossings no server's state called for."""
-    stage = Stage(many(price_cross_zone=0.1), fleet())
+    stage = Stage(many(cross_zone_cost=0.1), fleet())
     for _ in range(80):
         request = stage.arrive()
         stage.pass_time(150_000)
@@ -676,7 +705,7 @@
 
 def test_a_dear_crossing_brings_local_servers_into_the_window_and_a_cheap_one_does_not() -> None:
     """Estado quiet: windows with no local server paid for five points of crossings."""
-    dear, cheap = (Stage(many(price_cross_zone=p), fleet()).balancer for p in (0.3, 0.01))
+    dear, cheap = (Stage(many(cross_zone_cost=p), fleet()).balancer for p in (0.3, 0.01))
     shares = []
     for balancer in (dear, cheap):
         balancer.recent = 12.0
@@ -689,7 +718,7 @@
 
 def test_without_an_aim_slower_than_usual_is_neither_a_jam_nor_an_outlier() -> None:
     """Half of all answers are slower than the median: they used to eject new servers and to shed."""
-    stage = Stage(settings(route(aim_us=None)), 3)
+    stage = Stage(settings(route(latency_objective_us=None)), 3)
     for number in range(400):
         request = stage.arrive()
         stage.pass_time(1000)
@@ -703,7 +732,7 @@
     stage = Stage(settings(), servers=2)
     stage.warm_up()
     costs, limit = [r.cost_us for r in stage.balancer.routes], stage.balancer.limit
-    request = stage.arrive(long=True)
+    request = stage.arrive(long_body=True)
     stage.pass_time(4 * AIM_US)
     assert len(stage.sends[request]) == 1
     assert all(not s.overdue and s.well(stage.now) for s in stage.balancer.candidates)
@@ -711,7 +740,7 @@
     stage.done(request, Outcome.SUCCESS, 4 * AIM_US)
     assert (stage.balancer.flying, stage.balancer.limit) == (0, limit)
     assert [r.cost_us for r in stage.balancer.routes] == costs
-    late = stage.arrive(long=True)
+    late = stage.arrive(long_body=True)
     payoffs = [s.payoff for s in stage.balancer.candidates]
     stage.done(late, Outcome.TIMEOUT, DEADLINE_US)
     assert [s.payoff for s in stage.balancer.candidates] == payoffs
@@ -720,28 +749,30 @@
 def test_few_balancers_use_the_told_budget_of_a_cold_server_in_full() -> None:
     """One core's work in a turn was less than the rule with half of it in hand allows."""
     work_us, start = 2_000, 50_000_000
-    told = settings(balancers=2, cold_us=10_000_000, cold_from=0.5, fall_multiple=3.0)
+    told = settings(
+        gateway_count=2, warm_up_us=10_000_000, initial_capacity=0.5, overload_multiple=3.0
+    )
     balancer = balance.Balancer(told, 7)
-    balancer.handle(start, [ServerList(ListKind.CACHED, (Server(7, started_us=start),))])
+    balancer.handle(start, [EndpointUpdate(UpdateKind.CACHED, (Endpoint(7, started_us=start),))])
     balancer.routes[0].cost_us = float(work_us)
     sent: Counter[int] = Counter()
     for number in range(100_000):
         now = start + number * 20
         if any(
-            isinstance(a, Send)
-            for a in balancer.handle(now, [Arrived(number, 0, now + DEADLINE_US)])
+            isinstance(a, SendAttempt)
+            for a in balancer.handle(now, [RequestArrived(number, 0, now + DEADLINE_US)])
         ):
             sent[(now - start) // balancer.turn_us] += work_us
-            balancer.handle(now, [AttemptDone(number, 0, Outcome.SUCCESS, work_us, True)])
+            balancer.handle(now, [AttemptFinished(number, 0, Outcome.SUCCESS, work_us, True)])
         else:
-            balancer.handle(now, [Departed(number)])
+            balancer.handle(now, [ClientDisconnected(number)])
     most = max(sent.values()) / balancer.turn_us
     assert 1.0 * 0.6 < most <= 0.5 * 3.0 * 0.6  # cold from 0.5, and 0.6 after 2 s
 
 
 def alone_of_200(servers: int = 100) -> Stage:
     """One balancer of 200 that share these servers, warmed up: its part of their places is 2.5 / 200 each."""
-    stage = Stage(many(balancers=200, number=0), fleet(servers))
+    stage = Stage(many(gateway_count=200, gateway_index=0), fleet(servers))
     stage.warm_up(60)
     stage.pass_time(3_000_000)
     return stage
@@ -780,7 +811,7 @@
     any answer told of a crowd."""
     together = 0
     for number in range(balancers):
-        stage = Stage(many(balancers=balancers, number=number), fleet(servers))
+        stage = Stage(many(gateway_count=balancers, gateway_index=number), fleet(servers))
         stage.warm_up(20)
         stage.pass_time(3_000_000)
         assert stage.balancer.nerve == 1.0
@@ -791,7 +822,7 @@
 
 def test_who_has_the_traffic_of_others_has_their_places_too() -> None:
     """herd+mass: seven in ten are gone, and nobody tells of it."""
-    stage = Stage(many(balancers=32, number=0), fleet(12))
+    stage = Stage(many(gateway_count=32, gateway_index=0), fleet(12))
     for _ in range(4000):  # 500 a second of 10 ms each are nearly five at work at once
         stage.arrive()
         stage.pass_time(2_000)
@@ -805,7 +836,7 @@
 def test_own_places_lie_between_the_share_and_the_window(
     crowded: list[bool], balancers: int
 ) -> None:
-    balancer = Stage(many(balancers=balancers, number=0), fleet(30)).balancer
+    balancer = Stage(many(gateway_count=balancers, gateway_index=0), fleet(30)).balancer
     balancer.window()
     least = max(balance.LEAST, balancer.share)
     for one in crowded:
@@ -818,7 +849,9 @@
 
 def test_a_share_of_half_a_place_is_used_half_of_the_time() -> None:
     """join+mass: at one place each, 182 balancers held 4 requests at each of 48 servers that bore 2.5."""
-    stage = Stage(many(balancers=200, number=0), fleet(40))  # 40 times 2.5 / 200 of a place
+    stage = Stage(
+        many(gateway_count=200, gateway_index=0), fleet(40)
+    )  # 40 times 2.5 / 200 of a place
     stage.warm_up(60)
     stage.balancer.nerve = 0.0
     busy = sent = 0
@@ -853,7 +886,9 @@
     for nerve, places in ((1.0, 0), (0.0, 1)):  # in a crowd only
         stage.balancer.nerve = nerve
         request = stage.arrive()
-        stage.feed(Departed(request), AttemptDone(request, 0, Outcome.CANCELLED, 1000, True))
+        stage.feed(
+            ClientDisconnected(request), AttemptFinished(request, 0, Outcome.CANCELLED, 1000, True)
+        )
         assert stage.balancer.flying == places
         stage.pass_time(100_000)
         assert stage.balancer.flying == 0
@@ -878,7 +913,13 @@
 
 
 def test_answers_of_cold_servers_say_nothing_of_the_crowd_at_warm_ones() -> None:
-    told = many(balancers=40, number=0, cold_us=10_000_000, cold_from=0.5, fall_multiple=3.0)
+    told = many(
+        gateway_count=40,
+        gateway_index=0,
+        warm_up_us=10_000_000,
+        initial_capacity=0.5,
+        overload_multiple=3.0,
+    )
     cold = [s._replace(started_us=900_000) for s in fleet(30)]
     stage = Stage(told, cold + fleet(60)[30:])
     stage.balancer.nerve = 0.5
@@ -907,12 +948,12 @@
         for tick in range(4000):  # 100 requests a second, more than three places of 50 ms can serve
             if tick % 10 == 0:
                 request = stage.arrive()
-                at_once += stage.log[-1] == Refuse(request)
+                at_once += stage.log[-1] == Reject(request)
             for waiting in [r for r in stage.balancer.requests.values() if r.out]:
                 if stage.now - waiting.attempts[-1].sent_us >= 50_000:
                     stage.done(waiting.id, Outcome.SUCCESS, 50_000)
                     count += 1
-            held += sum(isinstance(action, Refuse) for action in stage.pass_time(1_000))
+            held += sum(isinstance(action, Reject) for action in stage.pass_time(1_000))
         served.append(count)
         assert (held < at_once / 2) is foresight
     assert served[0] >= served[1]
@@ -927,7 +968,7 @@
             stage.arrive()
         for waiting in list(stage.balancer.requests.values()):
             if waiting.out:
-                stage.done(waiting.id, Outcome.FULL, 1000)
+                stage.done(waiting.id, Outcome.REJECTED, 1000)
         stage.pass_time(2_000)
     tries = sum(len(sent) for sent in list(stage.sends.values())[before:])
     assert tries <= 75 / 2  # 115 with no pause
@@ -944,7 +985,7 @@
     for _ in range(20):
         request = stage.arrive()
         if request in stage.sends:
-            stage.done(request, Outcome.FULL, 1000)
+            stage.done(request, Outcome.REJECTED, 1000)
         stage.pass_time(2_000_000)
     assert len(stage.sends) > 3 and stage.balancer.paused_until_us == 0
 
@@ -953,25 +994,27 @@
 def test_what_is_learned_of_the_whole_stays_as_others_come_and_go(
     told: int, live: list[int]
 ) -> None:
-    module = balance.Balancer(settings(route(), balancers=told, number=told - 1), 1)
+    module = balance.Balancer(settings(route(), gateway_count=told, gateway_index=told - 1), 1)
     whole = module.limit * told
     for balancers in live:
-        module.handle(0, [Company(balancers - 1, balancers)])
+        module.handle(0, [GatewayCountChanged(balancers - 1, balancers)])
         assert module.limit * balancers == pytest.approx(whole)
     assert (
-        module.settings.balancers == told
+        module.settings.gateway_count == told
     )  # quotas and turns at cold servers stay by the told number
 
 
 def test_windows_follow_the_live_number_and_cold_turns_the_told_one() -> None:
-    servers = tuple(Server(n, started_us=1) for n in range(60))
-    module = balance.Balancer(settings(route(), balancers=40, number=39, cold_us=8_000_000), 1)
-    module.handle(20_000_000, [ServerList(ListKind.FULL, servers)])
+    servers = tuple(Endpoint(n, started_us=1) for n in range(60))
+    module = balance.Balancer(
+        settings(route(), gateway_count=40, gateway_index=39, warm_up_us=8_000_000), 1
+    )
+    module.handle(20_000_000, [EndpointUpdate(UpdateKind.FULL, servers)])
     before = module.window()
     assert before is not None and len(before) <= 4
-    module.handle(20_000_000, [Company(3, 4)])
+    module.handle(20_000_000, [GatewayCountChanged(3, 4)])
     after = module.window()
     assert after is None or len(after) >= 5 * len(
         before
     )  # four that are left of forty: ten times the part
-    assert (module.settings.number, module.settings.balancers) == (39, 40)
+    assert (module.settings.gateway_index, module.settings.gateway_count) == (39, 40)
--- a/tests/balancing/test_property.py
+++ b/tests/balancing/test_property.py
@@ -13,25 +13,25 @@
 from quillroad.balancing import balancer as balance
 from quillroad.balancing.balancer import Balancer
 from quillroad.balancing.interface import (
-    Alarm,
-    Arrived,
-    AttemptDone,
-    Cancel,
-    Departed,
-    Effect,
+    AttemptFinished,
+    CancelAttempt,
+    ClientDisconnected,
+    DeduplicationScope,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
     Event,
     Fail,
-    Group,
-    ListKind,
+    Idempotency,
     Outcome,
-    Refuse,
+    Reject,
+    RequestArrived,
     Route,
-    Send,
-    Server,
-    ServerList,
-    SetAlarm,
+    SendAttempt,
+    SetTimer,
     Settings,
-    State,
+    TimerFired,
+    UpdateKind,
 )
 from tests.balancing.rulecheck import Checker, RuleBroken
 
@@ -40,14 +40,18 @@
 
 
 def routes(memory_us: int) -> tuple[Route, ...]:
-    base: dict[str, Any] = {"aim_us": 200_000, "deadline_us": 600_000, "memory_span_us": memory_us}
+    base: dict[str, Any] = {
+        "latency_objective_us": 200_000,
+        "deadline_us": 600_000,
+        "deduplication_window_us": memory_us,
+    }
     return (
-        Route("safe", Effect.SAFE, worth=2.0, **base),
-        Route("all", Effect.KEYED, group=Group.ALL, **base),
-        Route("zone", Effect.KEYED, group=Group.ZONE, **base),
-        Route("cell", Effect.KEYED, group=Group.CELL, **base),
-        Route("unsafe", Effect.UNSAFE, **base),
-        Route("long", Effect.SAFE, aim_us=500_000, deadline_us=900_000),
+        Route("safe", Idempotency.IDEMPOTENT, priority_weight=2.0, **base),
+        Route("all", Idempotency.KEYED, deduplication_scope=DeduplicationScope.ALL, **base),
+        Route("zone", Idempotency.KEYED, deduplication_scope=DeduplicationScope.ZONE, **base),
+        Route("cell", Idempotency.KEYED, deduplication_scope=DeduplicationScope.CELL, **base),
+        Route("unsafe", Idempotency.NON_IDEMPOTENT, **base),
+        Route("long", Idempotency.IDEMPOTENT, latency_objective_us=500_000, deadline_us=900_000),
     )
 
 
@@ -61,20 +65,20 @@
         self.bad = bad
         self.told = told or Settings(
             routes=routes(memory_us),
-            balancers=self.rng.choice([1, 2, 3]),
-            discovery_asks=self.rng.random() < 0.5,
+            gateway_count=self.rng.choice([1, 2, 3]),
+            discovery_is_polled=self.rng.random() < 0.5,
             tenant_quotas_per_s=(40.0, 20.0),
-            over_quota_worth=0.1,
+            over_quota_weight=0.1,
             max_attempts=self.rng.choice([1, 2, 4]),
-            parallel_tries=parallel,
-            cancelling=self.rng.random() < 0.8,
-            retry_after=True,
+            hedging_allowed=parallel,
+            cancellation_allowed=self.rng.random() < 0.8,
+            retry_after_allowed=True,
             max_retry_after_us=500_000,
             drain_grace_us=0,
-            cold_us=3_000_000,
-            cold_from=0.25,
-            fall_multiple=2.5,
-            fall_window_us=1_000_000,
+            warm_up_us=3_000_000,
+            initial_capacity=0.25,
+            overload_multiple=2.5,
+            overload_window_us=1_000_000,
             answer_slack_us=2 * TICK_US,
             warm_keys=self.rng.random() < 0.5,
         )
@@ -88,7 +92,9 @@
         self.give_up: dict[int, int] = {}
         self.ended: set[int] = set()
         self.out: set[tuple[int, int]] = set()
-        self.servers = [Server(50 + i, zone=i % 2, cell=i % 4, kind=i % 2) for i in range(7)]
+        self.servers = [
+            Endpoint(50 + i, zone=i % 2, cell=i % 4, machine_type=i % 2) for i in range(7)
+        ]
         started = self.now - 500_000
         self.servers[0] = self.servers[0]._replace(started_us=started)
 
@@ -97,7 +103,7 @@
         self.due.append((self.now + max(delay_us, TICK_US), self.count, event))
 
     def play(self, ticks: int) -> None:
-        self.step([ServerList(ListKind.CACHED, tuple(self.servers))])
+        self.step([EndpointUpdate(UpdateKind.CACHED, tuple(self.servers))])
         for tick in range(ticks):
             self.now += TICK_US
             events: list[Event] = []
@@ -122,18 +128,21 @@
         index = self.rng.randrange(len(self.servers))
         line = self.servers[index]
         if roll < 0.01:
-            state = self.rng.choice([State.DRAINING, State.GONE, State.READY])
-            fresh = line.state is not State.READY and state is State.READY
-            line = line._replace(state=state, started_us=self.now if fresh else line.started_us)
+            state = self.rng.choice(
+                [EndpointStatus.DRAINING, EndpointStatus.REMOVED, EndpointStatus.READY]
+            )
+            fresh = line.status is not EndpointStatus.READY and state is EndpointStatus.READY
+            line = line._replace(status=state, started_us=self.now if fresh else line.started_us)
             self.servers[index] = line
-            return [ServerList(ListKind.CHANGES, (line,))]
+            return [EndpointUpdate(UpdateKind.INCREMENTAL, (line,))]
         if roll < 0.015:
             return [
-                ServerList(
-                    ListKind.FULL, tuple(s for s in self.servers if s.state is not State.GONE)
+                EndpointUpdate(
+                    UpdateKind.FULL,
+                    tuple(s for s in self.servers if s.status is not EndpointStatus.REMOVED),
                 )
             ]
-        return [ServerList(ListKind.FAILED)] if roll < 0.02 else []
+        return [EndpointUpdate(UpdateKind.FAILED)] if roll < 0.02 else []
 
     def arrival(self) -> Event:
         self.next_request += 1
@@ -142,23 +151,23 @@
         self.give_up[number] = self.now + wait
         self.tries[number] = 0
         if self.rng.random() < 0.03:
-            self.later(self.rng.randrange(wait), Departed(number))
+            self.later(self.rng.randrange(wait), ClientDisconnected(number))
         key = self.rng.choice([None, "a", "b", "c"])
-        return Arrived(number, route, self.now + wait, key, tenant=self.rng.randrange(3))
+        return RequestArrived(number, route, self.now + wait, key, tenant=self.rng.randrange(3))
 
     def deliver(self, event: Event) -> list[Event]:
-        if isinstance(event, Departed):
+        if isinstance(event, ClientDisconnected):
             if event.request in self.ended:
                 return []
             self.ended.add(event.request)
-        if isinstance(event, AttemptDone):
+        if isinstance(event, AttemptFinished):
             if (event.request, event.attempt) not in self.out:
                 return []
             self.out.discard((event.request, event.attempt))
             closed = event.request in self.ended or event.outcome is Outcome.SUCCESS
             if closed:
                 self.ended.add(event.request)
-            return [event._replace(closed=closed)]
+            return [event._replace(answered=closed)]
         return [event]
 
     def step(self, events: list[Event]) -> None:
@@ -166,17 +175,17 @@
         actions = self.balancer.handle(self.now, events)
         self.checker.after(self.now, actions)
         for action in actions:
-            if isinstance(action, SetAlarm):
-                self.later(action.delay_us, Alarm(action.tag))
-            elif isinstance(action, Send):
+            if isinstance(action, SetTimer):
+                self.later(action.delay_us, TimerFired(action.timer_id))
+            elif isinstance(action, SendAttempt):
                 self.sent(action)
-            elif isinstance(action, Cancel):
-                done = AttemptDone(action.request, action.attempt, Outcome.CANCELLED, TICK_US)
+            elif isinstance(action, CancelAttempt):
+                done = AttemptFinished(action.request, action.attempt, Outcome.CANCELLED, TICK_US)
                 self.later(TICK_US, done)
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, Reject | Fail):
                 self.ended.add(action.request)
 
-    def sent(self, action: Send) -> None:
+    def sent(self, action: SendAttempt) -> None:
         number = self.tries[action.request]
         self.tries[action.request] += 1
         self.out.add((action.request, number))
@@ -189,7 +198,9 @@
             elapsed = int(self.rng.expovariate(1 / WORK_US)) + TICK_US
         if elapsed >= left:
             outcome, elapsed = Outcome.TIMEOUT, left
-        self.later(max(1, elapsed), AttemptDone(action.request, number, outcome, max(1, elapsed)))
+        self.later(
+            max(1, elapsed), AttemptFinished(action.request, number, outcome, max(1, elapsed))
+        )
 
 
 @settings(max_examples=40, derandomize=True, deadline=None, suppress_health_check=list(HealthCheck))
@@ -230,11 +241,11 @@
 def break_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     on_list = Balancer.on_list
 
-    def keep_all(self: Balancer, event: ServerList) -> None:
-        lines = tuple(line._replace(state=State.READY) for line in event.servers)
-        on_list(self, event._replace(servers=lines))
+    def keep_all(self: Balancer, event: EndpointUpdate) -> None:
+        lines = tuple(line._replace(status=EndpointStatus.READY) for line in event.endpoints)
+        on_list(self, event._replace(endpoints=lines))
 
-    monkeypatch.setitem(balance.HANDLERS, ServerList, keep_all)
+    monkeypatch.setitem(balance.HANDLERS, EndpointUpdate, keep_all)
 
 
 def break_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -264,6 +275,6 @@
 
 def test_refusals_name_a_wait_only_where_told() -> None:
     balancer = Balancer(Settings(routes=routes(1)), 1)
-    assert Refuse(1) in balancer.handle(5, [Arrived(1, 0, 6), ServerList(ListKind.FULL, ())]) + (
-        balancer.handle(7_000, [Alarm(1)])
-    )
+    assert Reject(1) in balancer.handle(
+        5, [RequestArrived(1, 0, 6), EndpointUpdate(UpdateKind.FULL, ())]
+    ) + (balancer.handle(7_000, [TimerFired(1)]))
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -13,17 +13,17 @@
 
 from quillroad.balancing.balancer import Balancer
 from quillroad.balancing.interface import (
-    Alarm,
-    Arrived,
-    AttemptDone,
-    Effect,
-    ListKind,
+    AttemptFinished,
+    Endpoint,
+    EndpointUpdate,
+    Idempotency,
     Outcome,
-    Send,
-    Server,
-    ServerList,
-    SetAlarm,
+    RequestArrived,
+    SendAttempt,
+    SetTimer,
     Settings,
+    TimerFired,
+    UpdateKind,
 )
 from tests.balancing.helpers import DEADLINE_US, Stage, route, settings
 from tests.net import hang, on_loop, world
@@ -31,12 +31,12 @@
 WINDOW_US, COLD_US, WORK_US = 1_000_000, 6_000_000, 20_000
 START_US = 50_000_000
 TOLD = {
-    "cold_us": COLD_US,
-    "cold_from": 0.3,
-    "fall_multiple": 3.0,
-    "fall_window_us": WINDOW_US,
+    "warm_up_us": COLD_US,
+    "initial_capacity": 0.3,
+    "overload_multiple": 3.0,
+    "overload_window_us": WINDOW_US,
     "max_attempts": 4,
-    "parallel_tries": True,
+    "hedging_allowed": True,
 }
 
 
@@ -47,7 +47,7 @@
     def __init__(self, count: int, seed: int, late_us: int) -> None:
         self.rng, self.late_us = random.Random(seed), late_us
         self.told: list[Settings] = [
-            settings(route(), balancers=count, number=n, **TOLD) for n in range(count)
+            settings(route(), gateway_count=count, gateway_index=n, **TOLD) for n in range(count)
         ]
         self.queue: list[tuple[int, int, int, tuple[int, object]]] = []
         self.arrivals: list[int] = []  # at the cold server, and by whom
@@ -62,7 +62,9 @@
     def born(self, number: int, now: int) -> Balancer:
         balancer = Balancer(self.told[number], self.rng.getrandbits(32))
         balancer.routes[0].cost_us = float(WORK_US)
-        balancer.handle(now, [ServerList(ListKind.CACHED, (Server(7, started_us=START_US),))])
+        balancer.handle(
+            now, [EndpointUpdate(UpdateKind.CACHED, (Endpoint(7, started_us=START_US),))]
+        )
         return balancer
 
     def restart(self, number: int, now: int) -> None:
@@ -77,21 +79,21 @@
     def feed(self, now: int, number: int, event: object) -> None:
         attempts: dict[int, int] = {}
         for action in self.group[number].handle(now, [event]):  # type: ignore[list-item]
-            if isinstance(action, SetAlarm):
-                self.at(now + action.delay_us, number, Alarm(action.tag))
-            elif isinstance(action, Send):
+            if isinstance(action, SetTimer):
+                self.at(now + action.delay_us, number, TimerFired(action.timer_id))
+            elif isinstance(action, SendAttempt):
                 request = self.group[number].requests[action.request]
                 attempt = len(request.attempts) - 1 - attempts.get(action.request, 0)
                 up = now + (self.rng.randrange(self.late_us) if self.rng.random() < 0.5 else 500)
-                if action.latest_us and up > action.latest_us:
-                    outcome = Outcome.MOOT
+                if action.send_by_us and up > action.send_by_us:
+                    outcome = Outcome.NOT_SENT
                 else:
                     self.arrivals.append(up)
                     self.by.append(number)
                     self.started.append(self.group[number].born_us or 0)
                     outcome = Outcome.ERROR if self.rng.random() < 0.1 else Outcome.SUCCESS
                 served = outcome is Outcome.SUCCESS
-                done = AttemptDone(action.request, attempt, outcome, up - now + WORK_US, served)
+                done = AttemptFinished(action.request, attempt, outcome, up - now + WORK_US, served)
                 self.at(up + WORK_US, number, done)
 
     def play(self, end_us: int, requests_each_s: int, restarts_each_s: float) -> None:
@@ -111,7 +113,7 @@
                     else self.rng.randrange(len(self.group))
                 )
                 self.ids += 1
-                self.feed(now, number, Arrived(self.ids, 0, now + DEADLINE_US))
+                self.feed(now, number, RequestArrived(self.ids, 0, now + DEADLINE_US))
 
     def turn(self, now: int) -> int:
         """Whose turn at the cold server it is."""
@@ -166,28 +168,30 @@
     assert all(started <= START_US + (up - START_US) // width * width for up, _, started in came)
 
 
-@pytest.mark.parametrize(("effect", "bounded"), [(Effect.SAFE, False), (Effect.KEYED, True)])
+@pytest.mark.parametrize(
+    ("effect", "bounded"), [(Idempotency.IDEMPOTENT, False), (Idempotency.KEYED, True)]
+)
 def test_a_further_send_of_a_keyed_request_ends_with_its_window(
-    effect: Effect, bounded: bool
+    effect: Idempotency, bounded: bool
 ) -> None:
     """Counted from the first attempt that may have run. The module's gate keeps sends within it, and a
     connection that comes up late must not carry one out of it."""
-    stage = Stage(settings(route(effect, memory_span_us=300_000)), 3)
+    stage = Stage(settings(route(effect, deduplication_window_us=300_000)), 3)
     request, first_us = stage.arrive(), stage.now
     stage.balancer.routes[0].budget.tokens = 9.0
     stage.done(request, Outcome.ERROR, 1000)
     stage.pass_time(60_000)
-    first, second = (action for action in stage.log if isinstance(action, Send))
-    assert (first.latest_us, second.latest_us) == (0, first_us + 300_000 if bounded else 0)
+    first, second = (action for action in stage.log if isinstance(action, SendAttempt))
+    assert (first.send_by_us, second.send_by_us) == (0, first_us + 300_000 if bounded else 0)
 
 
 def test_what_surely_never_ran_opens_no_window() -> None:
-    stage = Stage(settings(route(Effect.KEYED, memory_span_us=300_000)), 3)
+    stage = Stage(settings(route(Idempotency.KEYED, deduplication_window_us=300_000)), 3)
     request = stage.arrive()
     stage.balancer.routes[0].budget.tokens = 9.0
-    stage.done(request, Outcome.FULL, 1000)
+    stage.done(request, Outcome.REJECTED, 1000)
     stage.pass_time(60_000)
-    assert [action.latest_us for action in stage.log if isinstance(action, Send)] == [0, 0]
+    assert [action.send_by_us for action in stage.log if isinstance(action, SendAttempt)] == [0, 0]
 
 
 @on_loop
@@ -198,7 +202,7 @@
         client.send()
         await w.hosts[0].came.get()
         (opened,) = engine._open.values()
-        engine._send(Send(opened.number, number, latest_us=engine.now_us() - 1))
+        engine._send(SendAttempt(opened.number, number, send_by_us=engine.now_us() - 1))
         assert opened.attempts[1:] == [None] and opened.out == 1
-        engine._send(Send(opened.number, number, latest_us=engine.now_us() + 1_000_000))
+        engine._send(SendAttempt(opened.number, number, send_by_us=engine.now_us() + 1_000_000))
         assert opened.attempts[2] is not None and opened.out == 2
--- a/tests/config/test_file.py
+++ b/tests/config/test_file.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from quillroad.balancing.interface import Effect
+from quillroad.balancing.interface import Idempotency
 from quillroad.config import ConfigError, ConsulHosts, StaticHosts
 from quillroad.config.file import load_file
 
@@ -57,16 +57,19 @@
 
 def test_the_example_works_and_says_the_defaults(tmp_path: Path) -> None:
     config = load_file(ROOT / "deploy" / "quillroad.toml")
-    assert [route.effect for route in config.settings.routes] == [Effect.SAFE, Effect.KEYED]
-    assert config.settings.routes[0].aim_us == 580_000
+    assert [route.idempotency for route in config.settings.routes] == [
+        Idempotency.IDEMPOTENT,
+        Idempotency.KEYED,
+    ]
+    assert config.settings.routes[0].latency_objective_us == 580_000
     assert isinstance(config.hosts, StaticHosts)
     small = load_file(written(tmp_path, GOOD))
     for name in (
         "max_attempts",
-        "parallel_tries",
+        "hedging_allowed",
         "max_retry_after_us",
-        "cold_us",
-        "fall_window_us",
+        "warm_up_us",
+        "overload_window_us",
     ):
         assert getattr(small.settings, name) == getattr(config.settings, name), name
     assert (small.sockets, small.connect_timeout_s, small.idle_s) == (1024, 1.0, 15.0)
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -7,12 +7,12 @@
 import pytest
 
 from quillroad.balancing.interface import (
-    Effect,
-    Group,
+    DeduplicationScope,
+    Endpoint,
+    Idempotency,
     Outcome,
     Route,
-    Send,
-    Server,
+    SendAttempt,
     Settings,
     StreamStarted,
 )
@@ -23,10 +23,10 @@
 @pytest.mark.parametrize(
     ("field", "values"),
     [
-        ("balancers", {"balancers": 0}),
+        ("gateway_count", {"gateway_count": 0}),
         ("max_attempts", {"max_attempts": 0}),
-        ("cold_from", {"cold_from": 0.0}),
-        ("fall_multiple", {"fall_multiple": -1.0}),
+        ("initial_capacity", {"initial_capacity": 0.0}),
+        ("overload_multiple", {"overload_multiple": -1.0}),
         ("drain_grace_us", {"drain_grace_us": -5}),
         ("tenant_quotas_per_s", {"tenant_quotas_per_s": (3.0, -1.0)}),
     ],
@@ -37,7 +37,13 @@
 
 
 @pytest.mark.parametrize(
-    "values", [{"aim_us": 0}, {"deadline_us": -1}, {"worth": -1.0}, {"late_worth": 2.0}]
+    "values",
+    [
+        {"latency_objective_us": 0},
+        {"deadline_us": -1},
+        {"priority_weight": -1.0},
+        {"late_weight": 2.0},
+    ],
 )
 def test_bad_routes_name_the_field(values: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match="route." + next(iter(values))):
@@ -52,20 +58,22 @@
 @pytest.mark.parametrize(
     "told",
     [
-        settings(route(aim_us=None)),
-        settings(route(aim_stretch=2.0)),
-        settings(route(late_worth=0.5)),
-        settings(route(Effect.KEYED, group=Group.ZONE)),
-        settings(route(worth=0.0), balancers=9),
-        settings(tenant_quotas_per_s=(1.0,), over_quota_worth=0.0),
-        settings(warm_keys=True, parallel_tries=True),
+        settings(route(latency_objective_us=None)),
+        settings(route(objective_stretch=2.0)),
+        settings(route(late_weight=0.5)),
+        settings(route(Idempotency.KEYED, deduplication_scope=DeduplicationScope.ZONE)),
+        settings(route(priority_weight=0.0), gateway_count=9),
+        settings(tenant_quotas_per_s=(1.0,), over_quota_weight=0.0),
+        settings(warm_keys=True, hedging_allowed=True),
     ],
 )
 @pytest.mark.parametrize("servers", [1, 40])
 def test_unusual_settings_serve(told: Settings, servers: int) -> None:
     stage = Stage(told, servers)
     for n in range(300):
-        request = stage.arrive(work_us=12_000 if n % 2 else None, key=f"k{n % 7}", tenant=n % 3)
+        request = stage.arrive(
+            work_estimate_us=12_000 if n % 2 else None, key=f"k{n % 7}", tenant=n % 3
+        )
         stage.pass_time(8_000)
         for _ in range(12):
             for attempt in range(len(stage.sends.get(request, []))):
@@ -76,16 +84,16 @@
 
 
 def test_a_stream_belongs_to_the_client_once_it_started() -> None:
-    stage = Stage(settings(route(stream=True), parallel_tries=True), 3)
+    stage = Stage(settings(route(stream=True), hedging_allowed=True), 3)
     request = stage.arrive()
     stage.feed(StreamStarted(request, 0, 5_000))
-    assert not any(isinstance(a, Send) for a in stage.pass_time(2_000_000))
+    assert not any(isinstance(a, SendAttempt) for a in stage.pass_time(2_000_000))
     stage.done(request, Outcome.SUCCESS, 2_000_000)
     assert not stage.balancer.requests
 
 
 def test_departed_servers_and_requests_leave_no_residue() -> None:
-    stage = Stage(settings(warm_keys=True), [Server(i) for i in range(5)])
+    stage = Stage(settings(warm_keys=True), [Endpoint(i) for i in range(5)])
     for n in range(2000):
         request = stage.arrive(key=f"key{n}")
         stage.pass_time(3_000)
--- a/tests/discovery/test_reducer.py
+++ b/tests/discovery/test_reducer.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.balancing.interface import State
+from quillroad.balancing.interface import EndpointStatus
 from quillroad.discovery.consul.merge import Views
 from quillroad.discovery.instance import Health, Instance, Snapshot, SourceState, Standing
 from quillroad.discovery.reducer import REMEMBERED, Reducer, server_number
@@ -21,7 +21,7 @@
     reducer: Reducer, now_s: int, *instances: Instance, tells: bool = False
 ) -> dict[str, int]:
     reduced = reducer.reduce(Snapshot(instances, 1, tells), now_s * S)
-    return {reduced.names[s.id]: (s.started_us or 0) // S for s in reduced.servers.servers}
+    return {reduced.names[s.id]: (s.started_us or 0) // S for s in reduced.servers.endpoints}
 
 
 def test_a_host_that_was_told_out_comes_back_cold() -> None:
@@ -60,7 +60,7 @@
     reducer = Reducer((), ())
     starts(reducer, 100, one("a"))
     reduced = reducer.reduce(Snapshot((), 2), 110 * S)
-    assert reduced.servers.servers == ()
+    assert reduced.servers.endpoints == ()
 
 
 def test_two_ids_at_one_address_get_the_work_of_one() -> None:
@@ -70,22 +70,22 @@
     assert len(first.refused) == 1
     # An address that moves to a new id: the old one gone, the new one cold.
     moved = reducer.reduce(Snapshot((one("c", port=9),)), 110 * S)
-    assert [(moved.names[s.id], s.started_us) for s in moved.servers.servers] == [("c", 110 * S)]
+    assert [(moved.names[s.id], s.started_us) for s in moved.servers.endpoints] == [("c", 110 * S)]
 
 
 def test_an_id_listed_twice_counts_once() -> None:
     reduced = Reducer((), ()).reduce(
         Snapshot((one("a", Standing.OUT), one("a"), one("a", port=7))), 100 * S
     )
-    assert [s.state for s in reduced.servers.servers] == [State.READY]
+    assert [s.status for s in reduced.servers.endpoints] == [EndpointStatus.READY]
     assert len(reduced.refused) == 2
 
 
 def test_names_become_the_settings_numbers() -> None:
     told = Instance("a", ("h", 1), zone="north", kind="big", cell=3, weight=2.0)
     reduced = Reducer(("south", "north"), ("big",)).reduce(Snapshot((told,)), 0)
-    (server,) = reduced.servers.servers
-    assert (server.zone, server.kind, server.cell, server.hint) == (1, 0, 3, 2.0)
+    (server,) = reduced.servers.endpoints
+    assert (server.zone, server.machine_type, server.cell, server.weight) == (1, 0, 3, 2.0)
     assert server.id == server_number("a")
 
 
@@ -113,7 +113,11 @@
         now_s = 100 + turn
         instances = tuple(one(name, standing) for name, standing in told.items())
         reduced = reducer.reduce(Snapshot(instances, turn), now_s * S)
-        ready = {reduced.names[s.id]: s for s in reduced.servers.servers if s.state is State.READY}
+        ready = {
+            reduced.names[s.id]: s
+            for s in reduced.servers.endpoints
+            if s.status is EndpointStatus.READY
+        }
         assert set(ready) == {name for name, standing in told.items() if standing is Standing.UP}
         for name, server in ready.items():
             assert (server.started_us == now_s * S) or name not in out
--- a/tests/downstream/test_gateway.py
+++ b/tests/downstream/test_gateway.py
@@ -11,7 +11,7 @@
 
 import quillroad.engine.engine
 import quillroad.upstream.pool
-from quillroad.balancing.interface import Alarm, Arrived, Departed, Event
+from quillroad.balancing.interface import ClientDisconnected, Event, RequestArrived, TimerFired
 from quillroad.discovery.reducer import server_number
 from quillroad.downstream import connection_limit, server
 from quillroad.downstream.connection_limit import Stage
@@ -167,7 +167,7 @@
         handle = w.gateway.engine._balancer.handle
 
         def fault(now: int, events: list[Event]) -> Any:
-            if isinstance(events[0], Arrived) and events[0].key == "bad":
+            if isinstance(events[0], RequestArrived) and events[0].key == "bad":
                 raise RuntimeError("a fault")
             return handle(now, events)
 
@@ -706,8 +706,8 @@
 @on_loop
 async def test_departed_and_late_events_are_no_fault() -> None:
     async with world(serve_ok) as w, w.client() as client:
-        w.gateway.engine.feed(Departed(999))
-        w.gateway.engine.feed(Alarm(999))
+        w.gateway.engine.feed(ClientDisconnected(999))
+        w.gateway.engine.feed(TimerFired(999))
         assert (await client.ask()).status == 200
 
 
--- a/tests/membership/test_followers.py
+++ b/tests/membership/test_followers.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, cast
 
-from quillroad.balancing.interface import Company
+from quillroad.balancing.interface import GatewayCountChanged
 from quillroad.config import Config, Peers
 from quillroad.discovery.source import Source
 from quillroad.engine.engine import Engine
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self.heard: list[Any] = []
 
-    def feed(self, event: Company) -> None:
+    def feed(self, event: GatewayCountChanged) -> None:
         self.heard.append(event)
 
     def divide(self, number: int, balancers: int) -> None:
@@ -53,7 +53,7 @@
     one.part = Part(0, 2)
     one._give()
     one._give()
-    assert engine.heard == [Company(0, 2)] and sources[0].heard == [(0, 2)]
+    assert engine.heard == [GatewayCountChanged(0, 2)] and sources[0].heard == [(0, 2)]
     sources.append(
         Follower()
     )  # another source of hosts, by a reload: it knows the told number only
@@ -61,7 +61,7 @@
     assert sources[1].heard == [(0, 2)] and len(engine.heard) == 1
     path.write_text("[use]\nrounds = true")
     one.take(one.read(config()))
-    assert engine.heard[1:] == [Company(2, 4)] and sources[1].heard == [(0, 2)]
+    assert engine.heard[1:] == [GatewayCountChanged(2, 4)] and sources[1].heard == [(0, 2)]
 
 
 @on_loop
@@ -77,7 +77,9 @@
     one._give()
     one.serves = lambda: False
     one._due()
-    assert engine.heard == [Company(0, 2), Company(2, 4)] and one.core is None
+    assert (
+        engine.heard == [GatewayCountChanged(0, 2), GatewayCountChanged(2, 4)] and one.core is None
+    )
     one.stop()
 
 
--- a/tests/recordings/operators.py
+++ b/tests/recordings/operators.py
@@ -11,7 +11,7 @@
 from quillroad.admin.calls import Act, BadCall, Call, read_call
 from quillroad.admin.figures import GAUGES, OUTCOMES, Figures
 from quillroad.admin.front import REASONS, Page, page
-from quillroad.balancing.interface import ListKind, Outcome, Server, ServerList
+from quillroad.balancing.interface import Endpoint, EndpointUpdate, Outcome, UpdateKind
 from quillroad.counts import Counts
 from quillroad.gateway import Gateway
 from tests.admin import test_decisions
@@ -49,7 +49,7 @@
         assert admin is not None
         told = {"health, no hosts": _shown(admin.act(Call(Act.HEALTH)))}
         gateway.update(
-            ServerList(ListKind.FULL, (Server(1),), 1), {1: "s-1"}, {1: ("127.0.0.1", 9)}
+            EndpointUpdate(UpdateKind.FULL, (Endpoint(1),), 1), {1: "s-1"}, {1: ("127.0.0.1", 9)}
         )
         acts = (
             Act.HEALTH,
--- a/tests/recordings/upgrade.py
+++ b/tests/recordings/upgrade.py
@@ -13,7 +13,7 @@
 from msgspec import Struct
 
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import Effect, Outcome, Server, State
+from quillroad.balancing.interface import Endpoint, EndpointStatus, Idempotency, Outcome
 from quillroad.gateway import Gateway
 from quillroad.upgrade.canary import Canary
 from quillroad.upgrade.messages import (
@@ -234,14 +234,16 @@
     """A balancer after some hundred events: answers, errors, ejections, refusals, open work."""
     routes = (
         dataclasses.replace(route(), name="status-check"),
-        dataclasses.replace(route(Effect.KEYED), name="seat-checkout"),
+        dataclasses.replace(route(Idempotency.KEYED), name="seat-checkout"),
+    )
+    told = settings(
+        *routes, hedging_allowed=True, tenant_quotas_per_s=(80.0, 60.0), gateway_count=1
     )
-    told = settings(*routes, parallel_tries=True, tenant_quotas_per_s=(80.0, 60.0), balancers=1)
     servers = [
-        Server(100, State.READY, 0, 0, 0, 1.0, None),
-        Server(101, State.READY, 1, 1, 1, 0.5, 1_000),
-        Server(102, State.DRAINING, 0, 2, 0, 2.0, 2_000),
-        Server(103, State.READY, 1, 3, -1, 1.0, None),
+        Endpoint(100, EndpointStatus.READY, 0, 0, 0, 1.0, None),
+        Endpoint(101, EndpointStatus.READY, 1, 1, 1, 0.5, 1_000),
+        Endpoint(102, EndpointStatus.DRAINING, 0, 2, 0, 2.0, 2_000),
+        Endpoint(103, EndpointStatus.READY, 1, 3, -1, 1.0, None),
     ]
     stage = Stage(told, servers, seed=11)
     stage.warm_up(60, route=0)
@@ -370,7 +372,14 @@
                 1.0 + number,
                 1_000 * number or None,
             )
-            for number, state in enumerate((State.READY, State.READY, State.DRAINING, State.READY))
+            for number, state in enumerate(
+                (
+                    EndpointStatus.READY,
+                    EndpointStatus.READY,
+                    EndpointStatus.DRAINING,
+                    EndpointStatus.READY,
+                )
+            )
         ],
         *SOURCE,
         {"s-1": (63, True), "s-2": (64, False)},
--- a/tests/upgrade/test_sections.py
+++ b/tests/upgrade/test_sections.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from quillroad.balancing.interface import State
+from quillroad.balancing.interface import EndpointStatus
 from quillroad.config import ConsulHosts
 from quillroad.discovery.instance import Instance, Snapshot, Standing
 from quillroad.gateway import Gateway
@@ -41,11 +41,11 @@
         gateway.stop()
 
 
-def states(gateway: Gateway) -> dict[str, State]:
+def states(gateway: Gateway) -> dict[str, EndpointStatus]:
     engine = gateway.engine
     assert isinstance(engine, SharedEngine)
     return {
-        host.name: engine.balancer.servers[number].spec.state
+        host.name: engine.balancer.servers[number].spec.status
         for number, host in engine.hosts.items()
     }
 
@@ -66,18 +66,18 @@
         behind = process(discovery.port)
         read(behind, write(old), trial=False)
         discovery.tell(hosts[0].entry(lifecycle="draining"))
-        await until(lambda: State.DRAINING in states(old).values())
+        await until(lambda: EndpointStatus.DRAINING in states(old).values())
         ahead = write(old)
         assert read(behind, ahead, trial=False) == []
         assert (
-            states(behind)["s-0"] is State.DRAINING
+            states(behind)["s-0"] is EndpointStatus.DRAINING
             and behind.source.position == old.source.position
         )
         stale = write(behind)
         discovery.tell(hosts[0].entry(lifecycle="up"), hosts[1].entry(lifecycle="removed"))
         await until(lambda: len(states(old)) == 2)
         read(old, stale, trial=False)  # what is older undoes nothing
-        assert states(old) == {"s-0": State.READY, "s-2": State.READY}
+        assert states(old) == {"s-0": EndpointStatus.READY, "s-2": EndpointStatus.READY}
 
 
 @on_loop
--- a/tests/upgrade/test_state_snapshot.py
+++ b/tests/upgrade/test_state_snapshot.py
@@ -10,15 +10,15 @@
 from quillroad.balancing.balancer import Balancer
 from quillroad.balancing.interface import (
     Action,
-    Arrived,
-    Beside,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
     Event,
-    ListKind,
     Outcome,
-    Send,
-    Server,
-    ServerList,
-    State,
+    RequestArrived,
+    SendAttempt,
+    SiblingAttempts,
+    UpdateKind,
 )
 from quillroad.upgrade.state_snapshot import (
     VERSION,
@@ -121,19 +121,19 @@
     assert after.routes[0].budget.tokens == tokens / 2 == before.routes[0].budget.tokens
     told = out_at(before)
     assert sum(out for out, _ in told.values()) == 3
-    after.handle(stage.now, [Beside(told)])
+    after.handle(stage.now, [SiblingAttempts(told)])
     assert {n: s.in_flight for n, s in after.servers.items() if s.in_flight} == {
         n: out for n, (out, _) in told.items()
     }
     assert out_at(after) == {}  # the other's are not told back
     for request in requests:
         stage.done(request, Outcome.SUCCESS)
-    after.handle(stage.now, [Beside(out_at(before))])
+    after.handle(stage.now, [SiblingAttempts(out_at(before))])
     assert all(s.in_flight == s.overdue == 0 for s in after.servers.values())
 
 
 def test_a_window_stays_one_after_the_move_and_is_full_for_both() -> None:
-    stage = Stage(told_settings(route(), balancers=40, number=3), servers=60)
+    stage = Stage(told_settings(route(), gateway_count=40, gateway_index=3), servers=60)
     while stage.arrive() in stage.sends:
         pass
     before = stage.balancer
@@ -141,39 +141,45 @@
     assert (whole.limit, whole.flying) == (before.limit, before.flying)
     after = moved(before, 1, work=False)
     actions = after.handle(
-        stage.now, [Beside(out_at(before)), Arrived(10**6, 0, stage.now + 900_000)]
+        stage.now, [SiblingAttempts(out_at(before)), RequestArrived(10**6, 0, stage.now + 900_000)]
     )
-    assert not any(isinstance(a, Send) for a in actions)
+    assert not any(isinstance(a, SendAttempt) for a in actions)
 
 
 def test_a_full_server_is_full_for_both() -> None:
     stage = Stage(told_settings(route()), servers=1)
     limit = int(stage.balancer.limit)
-    stage.feed(Beside({100: (limit, 0)}))
+    stage.feed(SiblingAttempts({100: (limit, 0)}))
     assert stage.arrive() not in stage.sends
-    assert any(isinstance(a, Send) for a in stage.feed(Beside({100: (0, 0)})))
+    assert any(isinstance(a, SendAttempt) for a in stage.feed(SiblingAttempts({100: (0, 0)})))
 
 
 def test_turns_at_a_cold_server_belong_to_one_process() -> None:
     told = told_settings(
-        route(), cold_us=5_000_000, cold_from=0.5, fall_multiple=3.0, fall_window_us=1_000_000
+        route(),
+        warm_up_us=5_000_000,
+        initial_capacity=0.5,
+        overload_multiple=3.0,
+        overload_window_us=1_000_000,
     )
     stage = Stage(
-        told, [Server(100, started_us=1_000_000)]
+        told, [Endpoint(100, started_us=1_000_000)]
     )  # not before the balancer: the turn is its own
-    stage.feed(Beside({}, warms=False))
-    assert stage.arrive(work_us=5_000) not in stage.sends
-    assert any(isinstance(a, Send) for a in stage.feed(Beside({}, warms=True)))
+    stage.feed(SiblingAttempts({}, owns_slow_start=False))
+    assert stage.arrive(work_estimate_us=5_000) not in stage.sends
+    assert any(
+        isinstance(a, SendAttempt) for a in stage.feed(SiblingAttempts({}, owns_slow_start=True))
+    )
 
 
 def test_a_list_that_changed_meanwhile_stands() -> None:
     """A drain, a restart and a removal that the taker heard of itself are not undone."""
-    stage = Stage(told_settings(route()), [Server(n) for n in (1, 2, 3, 4)])
+    stage = Stage(told_settings(route()), [Endpoint(n) for n in (1, 2, 3, 4)])
     stage.warm_up(80)
     known = export(stage.balancer, NAMES)
     other = Balancer(stage.told, 5)
-    listed = (Server(1), Server(2, State.DRAINING), Server(3, started_us=7))
-    other.handle(stage.now, [ServerList(ListKind.FULL, listed)])
+    listed = (Endpoint(1), Endpoint(2, EndpointStatus.DRAINING), Endpoint(3, started_us=7))
+    other.handle(stage.now, [EndpointUpdate(UpdateKind.FULL, listed)])
     assert adopt(other, known, NAMES) == [
         "2 servers: not in the list held"
     ]  # 3 restarted, 4 is gone
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -70,8 +70,8 @@
         (say(b"HTTP/1.1 100 Continue\r\n\r\n" + answer(b"late")), Outcome.SUCCESS, b"late"),
         (say(CHUNKED + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"), Outcome.SUCCESS, b"abc"),
         (say(answer(b"x", "500 Internal Server Error")), Outcome.ERROR, None),
-        (say(answer(b"", "503 Busy", "Not-Started: 1")), Outcome.FULL, None),
-        (say(answer(b"", "504 Late", "Not-Started: 1")), Outcome.FULL, None),
+        (say(answer(b"", "503 Busy", "Not-Started: 1")), Outcome.REJECTED, None),
+        (say(answer(b"", "504 Late", "Not-Started: 1")), Outcome.REJECTED, None),
         (say(answer(b"", "503 Busy")), Outcome.ERROR, None),
         (say(answer(b"", "504 Late")), Outcome.ERROR, None),
         (say(answer(b"", "500 Odd", "Not-Started: 1")), Outcome.ERROR, None),
@@ -333,7 +333,7 @@
         await asyncio.sleep(0)
     assert bench.host.connecting
     act(bench, attempt)
-    assert [outcome for outcome, _ in bench.results] == [Outcome.MOOT]
+    assert [outcome for outcome, _ in bench.results] == [Outcome.NOT_SENT]
     await until(lambda: bench.descriptors.used == 0)
     dead.close()
 
@@ -345,7 +345,7 @@
     await bench.run()
     bench.upstream.retire(bench.host)
     assert await host.closed.get() == 0
-    assert (await bench.run())[0] is Outcome.MOOT
+    assert (await bench.run())[0] is Outcome.NOT_SENT
     await until(lambda: bench.descriptors.used == 0)
     assert (len(host.seen), len(host.writers)) == (
         1,
@@ -360,7 +360,7 @@
     bench = Bench(host.address, sockets=1)
     first = bench.start()
     await host.came.get()
-    assert (await bench.run())[0] is Outcome.MOOT
+    assert (await bench.run())[0] is Outcome.NOT_SENT
     first.cancel()
     await until(lambda: bench.descriptors.used == 0)
 
@@ -417,6 +417,6 @@
         latest=monotonic(),
     )
     await until(lambda: bool(bench.results))
-    assert bench.results == [(Outcome.MOOT, None)]
+    assert bench.results == [(Outcome.NOT_SENT, None)]
     await host.closed.get()
     assert host.seen == []
--- a/tests/zones/test_crossing.py
+++ b/tests/zones/test_crossing.py
@@ -9,16 +9,16 @@
 from hypothesis import strategies as st
 
 from quillroad.balancing.interface import (
-    Effect,
-    Group,
-    ListKind,
-    Log,
+    DeduplicationScope,
+    Endpoint,
+    EndpointStatus,
+    EndpointUpdate,
+    Idempotency,
+    LogMessage,
     Outcome,
-    Refuse,
-    Send,
-    Server,
-    ServerList,
-    State,
+    Reject,
+    SendAttempt,
+    UpdateKind,
 )
 from quillroad.balancing.zone_routing import FREE, Allowance, Budget, Crossing, Reason
 from quillroad.zones.ledger import ENDS, Ledger
@@ -130,13 +130,13 @@
 def work(*classes: Allowance, share: float = 0.05) -> tuple[Stage, Crossing]:
     """Four servers at home, four away; a route a class."""
     crossing = Crossing(budget(share, *classes))
-    routes = [route(worth=1.0 + i) for i in range(len(classes))]
-    listed = [Server(100 + i, zone=i % 2) for i in range(8)]
+    routes = [route(priority_weight=1.0 + i) for i in range(len(classes))]
+    listed = [Endpoint(100 + i, zone=i % 2) for i in range(8)]
     return Stage(settings(*routes, max_attempts=4), listed, crossing=crossing), crossing
 
 
 def zones_of(stage: Stage) -> list[int]:
-    return [action.server % 2 for action in stage.log if isinstance(action, Send)]
+    return [action.endpoint % 2 for action in stage.log if isinstance(action, SendAttempt)]
 
 
 def test_nothing_leaves_a_zone_that_has_room() -> None:
@@ -165,18 +165,22 @@
     """The hard case: only the other zone is well. One class goes past the budget, the other is refused at
     once."""
     stage, crossing = work(SPENDS, Allowance(spends=False), share=0.0)
-    state = State.DRAINING if how == "drained" else State.GONE
-    stage.feed(ServerList(ListKind.CHANGES, tuple(Server(100 + i, state) for i in range(0, 8, 2))))
+    state = EndpointStatus.DRAINING if how == "drained" else EndpointStatus.REMOVED
+    stage.feed(
+        EndpointUpdate(
+            UpdateKind.INCREMENTAL, tuple(Endpoint(100 + i, state) for i in range(0, 8, 2))
+        )
+    )
     for _ in range(20):
         number = stage.arrive(0)
         stage.arrive(1)
         stage.pass_time(2_000)
         stage.done(number, Outcome.SUCCESS)
-    refusals = [action for action in stage.log if isinstance(action, Refuse)]
+    refusals = [action for action in stage.log if isinstance(action, Reject)]
     assert (zones_of(stage).count(AWAY), len(refusals)) == (20, 20)
     assert (crossing.sent[0].past, crossing.sent[1].refused) == (20, 20)
     assert stage.balancer.queued == 0
-    told = [action.text for action in stage.log if isinstance(action, Log)]
+    told = [action.text for action in stage.log if isinstance(action, LogMessage)]
     assert told[0].startswith("zone lost: well=0") and told[1].startswith(
         "zone budget passed: lost"
     )
@@ -184,12 +188,18 @@
 
 def test_a_repeat_bound_to_the_other_zone_goes_there_whatever_the_budget() -> None:
     crossing = Crossing(budget(0.0, SPENDS))
-    told = settings(route(Effect.KEYED, group=Group.ZONE), max_attempts=4)
-    listed = [Server(100, State.DRAINING, HOME), Server(101, zone=AWAY), Server(103, zone=AWAY)]
+    told = settings(
+        route(Idempotency.KEYED, deduplication_scope=DeduplicationScope.ZONE), max_attempts=4
+    )
+    listed = [
+        Endpoint(100, EndpointStatus.DRAINING, HOME),
+        Endpoint(101, zone=AWAY),
+        Endpoint(103, zone=AWAY),
+    ]
     stage = Stage(told, listed, crossing=crossing)
     number = stage.arrive()
     stage.feed(
-        ServerList(ListKind.CHANGES, (Server(100, zone=HOME),))
+        EndpointUpdate(UpdateKind.INCREMENTAL, (Endpoint(100, zone=HOME),))
     )  # home is back, and can't have it
     stage.balancer.routes[0].budget.tokens = 5.0
     stage.done(number, Outcome.ERROR)
