--- a/quillroad/admin/admin.py
+++ b/quillroad/admin/admin.py
@@ -105,7 +105,7 @@
 
     def _gauges(self) -> dict[str, float]:
         gateway = self._gateway
-        stands = gateway.engine.stands
+        stands = gateway.engine.gauges
         return {
             "attempts": gateway.upstream.written,
             "in_flight": gateway.server.in_flight,
--- a/quillroad/counts.py
+++ b/quillroad/counts.py
@@ -37,7 +37,7 @@
         self._before: Counter[str] = Counter()  # of what only grows
         self._bad: Counter[str] = Counter()  # failed attempts by host
         self._timer: asyncio.TimerHandle | None = None
-        self._next, engine.observe = engine.observe, self._sent
+        self._next, engine.attempt_observer = engine.attempt_observer, self._sent
 
     def start(self) -> None:
         self._timer = self._loop.call_at(monotonic() + EVERY_S, self._tell)
@@ -72,12 +72,12 @@
 
     def _tell(self) -> None:
         self.start()
-        grown = Counter(self._engine.grown)
+        grown = Counter(self._engine.counters)
         grown["connects"], grown["no_connect"] = (
             self._upstream.connects,
             self._upstream.failed_connects,
         )
-        line: dict[str, Any] = dict(self._now + (grown - self._before)) | self._engine.stands
+        line: dict[str, Any] = dict(self._now + (grown - self._before)) | self._engine.gauges
         line["idle"] = self._upstream.resting
         line["bad"] = dict(self._bad.most_common(WORST))
         self._bad.clear()
--- a/quillroad/downstream/connection_limit.py
+++ b/quillroad/downstream/connection_limit.py
@@ -31,7 +31,7 @@
 LOOKED_AT = 8  # connections at most, of each kind, for one to end
 
 
-class Stage(IntEnum):
+class ConnectionState(IntEnum):
     """Where a connection is. Only BUSY ones have a whole request."""
 
     UNHEARD = 0  # no byte of a request yet
@@ -41,18 +41,21 @@
     WRITING = 4  # part of a request: nothing is owed for it yet
 
 
-class Room(Generic[Connection]):
+class ConnectionLimit(Generic[Connection]):
     """The client connections of a gateway with `places` for them (1 or more)."""
 
     def __init__(self, places: int, unread: Callable[[Connection], bool]) -> None:
         self.resize(places)
         self._unread = unread
-        self._stages: dict[Connection, Stage] = {}
+        self._stages: dict[Connection, ConnectionState] = {}
         self._since: list[dict[Connection, float]] = [
-            {} for _ in Stage
+            {} for _ in ConnectionState
         ]  # by stage, the oldest first
-        self._resting, self._busy = self._since[Stage.RESTING], self._since[Stage.BUSY]
-        self._writing = self._since[Stage.WRITING]
+        self._resting, self._busy = (
+            self._since[ConnectionState.RESTING],
+            self._since[ConnectionState.BUSY],
+        )
+        self._writing = self._since[ConnectionState.WRITING]
 
     def resize(self, places: int) -> None:
         """There are so many places from now on (1 or more); nobody ends for it alone."""
@@ -65,7 +68,7 @@
     def __len__(self) -> int:
         return len(self._stages)
 
-    def count(self, stage: Stage) -> int:
+    def count(self, stage: ConnectionState) -> int:
         return len(self._since[stage])
 
     @property
@@ -75,14 +78,14 @@
     def connections(self) -> list[Connection]:
         return list(self._stages)
 
-    def stage(self, connection: Connection) -> Stage | None:
+    def stage(self, connection: Connection) -> ConnectionState | None:
         """None once it has left."""
         return self._stages.get(connection)
 
-    def moves(self, connection: Connection, stage: Stage, now: float) -> None:
+    def moves(self, connection: Connection, stage: ConnectionState, now: float) -> None:
         """It joins, or comes to another stage. One that had its last answer moves no more."""
         before = self._stages.get(connection)
-        if before is Stage.LEAVING:
+        if before is ConnectionState.LEAVING:
             return
         if before is not None:
             del self._since[before][connection]
@@ -108,10 +111,10 @@
         one that does not get on with what it began to say, then the one longest between two requests. None:
         all others are too new to tell, or have asked for something."""
         settled = now - UNHEARD_S
-        for connection, since in islice(self._since[Stage.LEAVING].items(), 1):
+        for connection, since in islice(self._since[ConnectionState.LEAVING].items(), 1):
             if since < settled:
                 return connection
-        for connection, since in islice(self._since[Stage.UNHEARD].items(), LOOKED_AT):
+        for connection, since in islice(self._since[ConnectionState.UNHEARD].items(), LOOKED_AT):
             if since >= settled:
                 break
             if not self._unread(connection):
--- a/quillroad/downstream/server.py
+++ b/quillroad/downstream/server.py
@@ -23,14 +23,14 @@
 
 from quillroad.balancing.interface import Idempotency, Route
 from quillroad.config import RESERVED, SHORT_BODY, Config, Descriptors
-from quillroad.downstream.connection_limit import UNHEARD_S, Room, Stage
+from quillroad.downstream.connection_limit import UNHEARD_S, ConnectionLimit, ConnectionState
 from quillroad.engine.engine import ClientRequest, Engine, OpenRequest, Reply
 from quillroad.framing import FRAMED, BadRequestError, check_framing
 from quillroad.overload.acceptor import Acceptor
 from quillroad.overload.admission_queue import Admission, Lane, Waiting
 from quillroad.overload.body_budget import Buffers
-from quillroad.overload.event_loop_monitor import Heart
-from quillroad.overload.fast_path_parse import LONGEST, glance
+from quillroad.overload.event_loop_monitor import EventLoopMonitor
+from quillroad.overload.fast_path_parse import LONGEST, preview_request
 from quillroad.overload.heap import steady
 from quillroad.overload.retry_after import Spread
 from quillroad.overload.socket_age import data_age, has_ended, unacknowledged
@@ -159,7 +159,7 @@
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
         # With the marks at 0 `_unread` stands for "bytes of an answer left in this process".
         self._transport.set_write_buffer_limits(high=0)
-        if self._server.room.stage(self) is None:
+        if self._server.connection_limit.stage(self) is None:
             self._transport.abort()  # it was ended for another while it came up
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -212,7 +212,7 @@
         else:
             self._unfed, self._fed = data, 0
             self._read_at = monotonic()
-            if not self._heard or self._server.heart.late():
+            if not self._heard or self._server.loop_monitor.late():
                 # It may have lain in the kernel, before its accept or while the loop was busy.
                 self._heard = True
                 age_s = data_age(self._sock)
@@ -229,7 +229,7 @@
                     return
             if self._server.pressed() and self.idle(unfed=False):
                 # Whoever is refused has cost no parser; whoever is not waits for it unparsed.
-                seen = glance(data)
+                seen = preview_request(data)
                 route = None if seen is None else self._server.route(seen.kind)
                 if seen is not None and route is not None:
                     wait_s = self._server.wait_s(route, seen.wait_ms)
@@ -781,9 +781,9 @@
         engine: Engine,
         descriptors: Descriptors,
         make_room: Callable[[], bool],
-        heart: Heart,
+        loop_monitor: EventLoopMonitor,
     ) -> None:
-        self.loop, self.engine, self.heart = loop, engine, heart
+        self.loop, self.engine, self.loop_monitor = loop, engine, loop_monitor
         self._descriptors, self._make_room = descriptors, make_room
         places = _places(descriptors)
         self._routes = {route.name: i for i, route in enumerate(config.settings.routes)}
@@ -809,8 +809,10 @@
             refusal(b"keep-alive", self.spread.over(self.retry_after_us)) for _ in range(REFUSALS)
         ]
         self._next_refusal = 0
-        self.room: Room[ClientConnection] = Room(places, ClientConnection.unread)
-        engine.on_room = self._places
+        self.connection_limit: ConnectionLimit[ClientConnection] = ConnectionLimit(
+            places, ClientConnection.unread
+        )
+        engine.on_capacity = self._places
         self._turning = False
         self._hold: asyncio.TimerHandle | None = (
             None  # the one timer of the turns that begin nothing
@@ -837,13 +839,13 @@
     def resize(self) -> None:
         """The number of descriptors has changed."""
         places = _places(self._descriptors)
-        self.room.resize(places)
+        self.connection_limit.resize(places)
         self.admission.resize(places)
 
     def _may_accept(self) -> bool:
         """Whether one more can be taken, if only to be turned away. Where not, connections wait in the
         kernel: one that is taken and ended would lose what it has sent."""
-        room = self.room
+        room = self.connection_limit
         free = room.has_place() or room.may_exceed() or room.to_end(monotonic()) is not None
         if not free and not (room.may_look() and self._may_look()):
             return False
@@ -873,8 +875,10 @@
         """End a client's connection that says nothing for one to a host, where clients hold all their places
         and more; its descriptor is free in the next turn. False: there is none to end. Not one between two
         requests: its client counts on it, and is better off with a refusal of another's request."""
-        one = None if self.room.has_place() else self.room.to_end(monotonic())
-        if one is None or self.room.stage(one) is Stage.RESTING:
+        one = (
+            None if self.connection_limit.has_place() else self.connection_limit.to_end(monotonic())
+        )
+        if one is None or self.connection_limit.stage(one) is ConnectionState.RESTING:
             return False
         one.abort()
         return True
@@ -883,15 +887,18 @@
         """One has been accepted. Past the places another ends for it, if there is one to end; else it is
         turned away, if it has asked for something that can be refused."""
         now, one = monotonic(), None
-        if not self.room.has_place():
-            one = self.room.to_end(now)
+        if not self.connection_limit.has_place():
+            one = self.connection_limit.to_end(now)
             # Those who have said nothing yet may never: they are no reason to refuse one who has.
-            full = self.room.busy >= self.room.places and not self.room.may_exceed()
+            full = (
+                self.connection_limit.busy >= self.connection_limit.places
+                and not self.connection_limit.may_exceed()
+            )
             if one is None and self._turn_away(sock, now, full):
                 return None
         connection = ClientConnection(self, sock)
         self._descriptors.used += 1
-        self.room.moves(connection, Stage.UNHEARD, now)
+        self.connection_limit.moves(connection, ConnectionState.UNHEARD, now)
         if one is not None:
             one.abort()
             self._acceptor.soon = True
@@ -914,14 +921,14 @@
             sock.setblocking(False)
             data = sock.recv(LONGEST, socket.MSG_PEEK)
             if data:
-                seen = glance(data)
+                seen = preview_request(data)
                 route = None if seen is None else self.route(seen.kind)
                 if seen is None or route is None:
                     return False
                 age_s = data_age(sock)
                 self._acceptor.late = age_s > OUTSIDE_S
                 wait_s, tenant = self.wait_s(route, seen.wait_ms), self.tenant(seen.tenant)
-                held = self.room.places + 1 if full else self.room.busy + 1
+                held = self.connection_limit.places + 1 if full else self.connection_limit.busy + 1
                 if not self.admission.turns_away(now, now - age_s, wait_s, route, tenant, held):
                     return False
                 if self.on_end is not None:
@@ -942,7 +949,7 @@
         connection = ClientConnection(self, sock)
         connection.arrives(brought)
         self._descriptors.used += 1
-        self.room.moves(connection, Stage.RESTING, monotonic())
+        self.connection_limit.moves(connection, ConnectionState.RESTING, monotonic())
         self._acceptor.start(sock, connection)
 
     @property
@@ -956,35 +963,39 @@
     def writes(self, connection: ClientConnection, body: bool) -> None:
         """Part of a request has come, of its `body` where that has begun: it gets on. Whoever sends its head
         in pieces does not, and a connection with a request that waits for its turn is busy."""
-        stage = self.room.stage(connection)
-        if stage is not None and stage is not Stage.BUSY and (body or stage is not Stage.WRITING):
-            self.room.moves(connection, Stage.WRITING, monotonic())
+        stage = self.connection_limit.stage(connection)
+        if (
+            stage is not None
+            and stage is not ConnectionState.BUSY
+            and (body or stage is not ConnectionState.WRITING)
+        ):
+            self.connection_limit.moves(connection, ConnectionState.WRITING, monotonic())
 
     def awake(self, connection: ClientConnection) -> None:
         """A whole request has come: the connection is not ended to make room."""
-        if self.room.stage(connection) is not None:
-            self.room.moves(connection, Stage.BUSY, monotonic())
+        if self.connection_limit.stage(connection) is not None:
+            self.connection_limit.moves(connection, ConnectionState.BUSY, monotonic())
 
     def rests(self, connection: ClientConnection) -> None:
         """It is between two requests."""
-        if self.room.stage(connection) is None:
+        if self.connection_limit.stage(connection) is None:
             return
         now = monotonic()
-        self.room.moves(connection, Stage.RESTING, now)
+        self.connection_limit.moves(connection, ConnectionState.RESTING, now)
         for _ in range(OVERSTAYED):
-            longest = self.room.overstayed(now)
+            longest = self.connection_limit.overstayed(now)
             if longest is None or longest is connection:
                 return
             longest.abort()
 
     def leaves(self, connection: ClientConnection) -> None:
         """It has its last answer, and needs no more than time to read it."""
-        if self.room.stage(connection) is not None:
-            self.room.moves(connection, Stage.LEAVING, monotonic())
+        if self.connection_limit.stage(connection) is not None:
+            self.connection_limit.moves(connection, ConnectionState.LEAVING, monotonic())
 
     def closes(self, connection: ClientConnection) -> None:
         """Ended, though its descriptor is in use until the loop comes round to it."""
-        self.room.left(connection)
+        self.connection_limit.left(connection)
 
     def left(self, connection: ClientConnection) -> None:
         """Its descriptor is free."""
@@ -995,7 +1006,10 @@
 
     def pressed(self) -> bool:
         """Whether some may have to be refused: then a request is looked at before it costs a parser."""
-        return self.admission.waiting > 0 or 2 * self.room.busy > self.room.places
+        return (
+            self.admission.waiting > 0
+            or 2 * self.connection_limit.busy > self.connection_limit.places
+        )
 
     def route(self, kind: bytes) -> int | None:
         """The class that the first part of a path names."""
@@ -1018,7 +1032,11 @@
         self, connection: ClientConnection, since: float, wait_s: float, route: int, tenant: int
     ) -> Waiting | None:
         """Let a request wait for its turn, or None: it is to be refused."""
-        now, held = monotonic(), self.room.busy + (self.room.stage(connection) is not Stage.BUSY)
+        now, held = (
+            monotonic(),
+            self.connection_limit.busy
+            + (self.connection_limit.stage(connection) is not ConnectionState.BUSY),
+        )
         waiting = self.admission.join(now, since, wait_s, route, tenant, held, connection)
         if waiting is not None:
             self.awake(connection)
@@ -1037,7 +1055,7 @@
             self._hold = None
         now = monotonic()
         self.admission.used(now, process_time())
-        self.heart.busy = self.admission.busy
+        self.loop_monitor.busy = self.admission.busy
         end = now + self.admission.slice_s(now)
         while (
             now < end
@@ -1158,7 +1176,7 @@
 
     def sweep(self) -> None:
         now = monotonic()
-        for connection in self.room.connections():
+        for connection in self.connection_limit.connections():
             connection.sweep(now)
         self._tell()
 
@@ -1169,15 +1187,16 @@
 
     def break_off(self) -> None:
         """The time is up: what is still on its way is not going to be whole."""
-        for connection in self.room.connections():
+        for connection in self.connection_limit.connections():
             connection.break_off()
 
     def close_idle(self) -> None:
         """End what is between two requests. Not one that came a moment ago, whose request is on its way, nor
         one whose answer has not left this process."""
         settled = monotonic() - UNHEARD_S
-        for connection in self.room.connections():
+        for connection in self.connection_limit.connections():
             if connection.may_end() and not (
-                self.room.stage(connection) is Stage.UNHEARD and connection.last_change > settled
+                self.connection_limit.stage(connection) is ConnectionState.UNHEARD
+                and connection.last_change > settled
             ):
                 connection.abort()
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -116,7 +116,7 @@
         self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream
     ) -> None:
         self._loop, self._balancer, self._upstream = loop, balancer, upstream
-        self._heart, self._pulse = upstream.heart, upstream.heart.pulse
+        self._loop_monitor, self._loop_lag = upstream.loop_monitor, upstream.loop_monitor.loop_lag
         self._epoch_us = time.time_ns() // 1000 - int(monotonic() * 1e6)
         self._latest_us = 0  # the module's clock never goes back
         self._numbers = itertools.count(1)
@@ -125,12 +125,12 @@
         self._events: deque[Event] = deque()
         self._busy = False
         self.hosts: dict[int, Host] = {}
-        self.on_room: Callable[[], None] | None = None  # told when little waits in the module
+        self.on_capacity: Callable[[], None] | None = None  # told when little waits in the module
         # Asked with each attempt: its class, its host, its bytes and whom to tell; returns whom to tell.
-        self.observe: Callable[[int, Host, int, Done], Done] | None = None
+        self.attempt_observer: Callable[[int, Host, int, Done], Done] | None = None
 
     def now_us(self) -> int:
-        now_us = self._epoch_us + int(self._pulse.clock(monotonic()) * 1e6)
+        now_us = self._epoch_us + int(self._loop_lag.clock(monotonic()) * 1e6)
         self._latest_us = max(self._latest_us, now_us)
         return self._latest_us
 
@@ -157,12 +157,12 @@
         return self._balancer.queued
 
     @property
-    def grown(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         """What the module has counted since its start."""
         return self._balancer.tally
 
     @property
-    def stands(self) -> dict[str, float]:
+    def gauges(self) -> dict[str, float]:
         """How the module stands at the moment."""
         module = self._balancer
         return {
@@ -197,9 +197,9 @@
         self._ids.add(request.id)
         opened.guard = self._loop.call_at(request.expires - GUARD_S * shrink, self._overdue, opened)
         if len(self._open) == 1:
-            self._heart.work_begins(self._working)
-        if self._heart.stalled():  # first the outcomes that lie in the kernel, then new work
-            self._heart.hold(self._arrive, opened)
+            self._loop_monitor.work_begins(self._working)
+        if self._loop_monitor.stalled():  # first the outcomes that lie in the kernel, then new work
+            self._loop_monitor.hold(self._arrive, opened)
         else:
             self._arrive(opened)
         return opened
@@ -234,8 +234,8 @@
 
     def _overdue(self, opened: OpenRequest) -> None:
         """Rule 1's last line: a failure promises nothing and so is always allowed."""
-        if self._heart.stalled():
-            self._heart.hold(self._overdue, opened)
+        if self._loop_monitor.stalled():
+            self._loop_monitor.hold(self._overdue, opened)
         elif opened.reply is not None:
             log.error("request %s: no decision by its deadline", opened.request.id)
             self._answer(opened, Reply(TIMED_OUT))
@@ -285,8 +285,8 @@
                 self._step(self._events.popleft())
         finally:
             self._busy = False
-        if self.on_room is not None and self._balancer.queued <= len(self.hosts):
-            self.on_room()
+        if self.on_capacity is not None and self._balancer.queued <= len(self.hosts):
+            self.on_capacity()
 
     def _step(self, event: Event) -> None:
         try:
@@ -339,8 +339,8 @@
         # `Watch` asks for what the gateway always does; `Probe` the module never asks for.
 
     def _alarm(self, alarm: TimerFired) -> None:
-        if self._heart.stalled():
-            self._heart.hold(self.feed, alarm)
+        if self._loop_monitor.stalled():
+            self._loop_monitor.hold(self.feed, alarm)
         else:
             self.feed(alarm)
 
@@ -353,7 +353,7 @@
         # from their connection: they had sent ahead, or the loop has not come round for a while.
         if (
             client is not None
-            and (client.blind or started - self._pulse.last > LEFT_S)
+            and (client.blind or started - self._loop_lag.last > LEFT_S)
             and opened.reply is not None
             and client.gone()
         ):
@@ -375,9 +375,9 @@
             b"" if later else bytes(body),
         )
         done: Done = partial(self._done, opened, number, started)
-        if self.observe is not None:
+        if self.attempt_observer is not None:
             size = len(request) + (len(body) if later else 0)
-            done = self.observe(opened.request.route, host, size, done)
+            done = self.attempt_observer(opened.request.route, host, size, done)
         try:
             attempt = self._upstream.start(
                 host, request, timeout_s, done, body if later else b"", latest
--- a/quillroad/gateway.py
+++ b/quillroad/gateway.py
@@ -24,8 +24,8 @@
 from quillroad.engine.engine import Engine
 from quillroad.inherited_descriptors import inherited
 from quillroad.overload.acceptor import open_listener
-from quillroad.overload.event_loop_monitor import Heart
-from quillroad.serving_state import Duty
+from quillroad.overload.event_loop_monitor import EventLoopMonitor
+from quillroad.serving_state import ServingState
 from quillroad.upstream.pool import Upstream
 
 if TYPE_CHECKING:
@@ -100,9 +100,14 @@
             self.admin = admin.Admin(self, config.admin)
             reserved += admin.RESERVED
         self.descriptors = descriptors = Descriptors(config.sockets - reserved)
-        heart = Heart(loop)
+        loop_monitor = EventLoopMonitor(loop)
         self.upstream = Upstream(
-            loop, descriptors, config.connect_timeout_s, config.idle_s, heart, config.longest_body
+            loop,
+            descriptors,
+            config.connect_timeout_s,
+            config.idle_s,
+            loop_monitor,
+            config.longest_body,
         )
         self.zones: Zones | None = None
         if zones is not None:
@@ -122,10 +127,10 @@
 
             self.registrar = Registrar(config.register, config, lambda: self.engine.ready)
         self.server = server(
-            loop, config, self.engine, descriptors, self.upstream.drop_oldest_idle, heart
+            loop, config, self.engine, descriptors, self.upstream.drop_oldest_idle, loop_monitor
         )
         self.upstream.clients_yield = self.server.yields
-        self.duty = Duty()
+        self.serving_state = ServingState()
         self._resting: asyncio.Task[None] | None = None
         if self.admin is not None:
             self.server.on_end = self.admin.figures.ended
@@ -207,14 +212,14 @@
     @property
     def ready(self) -> bool:
         """Whether it can serve, and is to."""
-        return self.engine.ready and not self.duty.draining
+        return self.engine.ready and not self.serving_state.draining
 
     def drain_by_hand(self, on: bool) -> None:
         """Serve no new connection and keep none, until it is taken back; the process runs on."""
-        if not (self.duty.fail() if on else self.duty.ok()):
+        if not (self.serving_state.fail() if on else self.serving_state.ok()):
             return
         log.info("drained by hand" if on else "back to work")
-        self.server.draining = self.duty.draining
+        self.server.draining = self.serving_state.draining
         if self._resting is not None:
             self._resting.cancel()
         self._resting = self.loop.create_task(self._rest()) if on else None
@@ -222,7 +227,7 @@
     async def _rest(self) -> None:
         """While drained by hand: once the front has had its time, end what is between two requests."""
         await asyncio.sleep(ACCEPT_S)
-        while self.duty.by_hand:
+        while self.serving_state.by_hand:
             self.server.close_idle()
             await asyncio.sleep(0.02)
 
@@ -246,7 +251,7 @@
             max((route.deadline_us for route in self.config.settings.routes), default=0) / 1e6
         )
         end = began + longest_s + END_S
-        self.duty.end()
+        self.serving_state.end()
         self.server.draining = True
         # What is taken late has no longer than this process: a request that came half by then, say.
         self.server.answers_by = end - FLUSH_S
@@ -255,7 +260,7 @@
         leaving = None if self.registrar is None else self.loop.create_task(self.registrar.leave())
         await asyncio.sleep(ACCEPT_S)
         self.server.stop_listening()
-        while len(self.server.room) and monotonic() < end:
+        while len(self.server.connection_limit) and monotonic() < end:
             await asyncio.sleep(0.02)
             self.server.close_idle()
         self.server.break_off()
--- a/quillroad/overload/event_loop_lag.py
+++ b/quillroad/overload/event_loop_lag.py
@@ -12,7 +12,7 @@
 STALL_S = 0.150  # since the last one: timers wait until all that the kernel holds has been read
 
 
-class Pulse:
+class EventLoopLag:
     """Signs of life of one loop. Times are seconds of one clock that never goes back."""
 
     def __init__(self, now: float) -> None:
--- a/quillroad/overload/event_loop_monitor.py
+++ b/quillroad/overload/event_loop_monitor.py
@@ -9,18 +9,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from quillroad.overload.event_loop_lag import BEAT_S, Pulse
+from quillroad.overload.event_loop_lag import BEAT_S, EventLoopLag
 
 log = logging.getLogger("quillroad.overload")
 
 
-class Heart:
+class EventLoopMonitor:
     """One for each loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._working: Callable[[], bool] = bool
-        self.pulse = Pulse(time.monotonic())
+        self.loop_lag = EventLoopLag(time.monotonic())
         self.busy = False  # the loop has much to do, and its turns are long
         self._held: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
 
@@ -28,7 +28,7 @@
         """From now on the loop has to come round, for as long as `working` says so."""
         self._working = working
         now = time.monotonic()
-        if self.pulse.begin(now):
+        if self.loop_lag.begin(now):
             self._next(now)
 
     def _next(self, now: float) -> None:
@@ -37,20 +37,20 @@
     def _beat(self) -> None:
         now = time.monotonic()
         if not self.stalled():
-            self.pulse.beat(now)
+            self.loop_lag.beat(now)
         if self._working():
             self._next(now)
         else:
-            self.pulse.end()
+            self.loop_lag.end()
 
     def late(self) -> bool:
         """Whether what is read now may have waited, so that its age has to be asked for."""
-        return self.busy or self.pulse.late(time.monotonic())
+        return self.busy or self.loop_lag.late(time.monotonic())
 
     def stalled(self) -> bool:
         """Whether to wait with `hold`. Found out by whoever comes first after the stall, timer or socket."""
-        before = self.pulse.catching_up
-        stalled = self.pulse.stalled(time.monotonic())
+        before = self.loop_lag.catching_up
+        stalled = self.loop_lag.stalled(time.monotonic())
         if stalled and not before:
             log.warning(
                 "the loop stood still: what was due meanwhile waits until all that came is read"
@@ -65,7 +65,7 @@
         self._held.append((act, args))
 
     def _caught_up(self) -> None:
-        self.pulse.caught_up(time.monotonic())
+        self.loop_lag.caught_up(time.monotonic())
         held, self._held = self._held, deque()
         for act, args in held:
             try:
--- a/quillroad/overload/fast_path_parse.py
+++ b/quillroad/overload/fast_path_parse.py
@@ -16,7 +16,7 @@
 _WAIT = re.compile(rb"\r\nrequest-timeout-ms:[ \t]*([0-9]{1,12})[ \t]*\r\n")
 
 
-class Glance(NamedTuple):
+class RequestPreview(NamedTuple):
     """What admission asks of a request."""
 
     kind: bytes  # first part of its path
@@ -24,7 +24,7 @@
     wait_ms: int | None  # for which its client waits; None where that is not plainly told
 
 
-def glance(data: bytes) -> Glance | None:
+def preview_request(data: bytes) -> RequestPreview | None:
     """What admission asks of a request, if `data` is exactly one request of HTTP/1.1 on a connection that
     stays."""
     end = data.find(b"\r\n\r\n", 0, LONGEST)
@@ -56,7 +56,7 @@
         return None
     tenants = _TENANT.findall(head) if b"\r\ntenant" in lower else ()
     waits = _WAIT.findall(lower) if b"\r\nrequest-timeout-ms" in lower else ()
-    return Glance(
+    return RequestPreview(
         path.partition(b"/")[0],
         tenants[0] if len(tenants) == 1 else b"",
         int(waits[0]) if len(waits) == 1 else None,
--- a/quillroad/serving_state.py
+++ b/quillroad/serving_state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Duty:
+class ServingState:
     """Two reasons to drain, each on its own: an operator's word, and the end of the process. An operator can
     take back only the first."""
 
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -82,7 +82,7 @@
     if gateway.admin is None:
         return None
     back = {name: (one.went_us, one.came_us) for name, one in gateway.admin.hands.back.items()}
-    return ByHand(gateway.admin.hands.out, back, gateway.duty.by_hand)
+    return ByHand(gateway.admin.hands.out, back, gateway.serving_state.by_hand)
 
 
 def write(gateway: Gateway) -> dict[str, bytes]:
--- a/quillroad/upgrade/shared.py
+++ b/quillroad/upgrade/shared.py
@@ -14,7 +14,7 @@
 from quillroad.balancing.balancer import Balancer
 from quillroad.balancing.interface import SiblingAttempts
 from quillroad.config import Config, Descriptors
-from quillroad.downstream.connection_limit import Stage
+from quillroad.downstream.connection_limit import ConnectionState
 from quillroad.downstream.server import ClientConnection, Server
 from quillroad.engine.engine import (
     REFUSED,
@@ -25,7 +25,7 @@
     Reply,
     Requester,
 )
-from quillroad.overload.event_loop_monitor import Heart
+from quillroad.overload.event_loop_monitor import EventLoopMonitor
 from quillroad.upgrade.canary import Counts
 from quillroad.upgrade.messages import Out
 from quillroad.upgrade.state_snapshot import out_at
@@ -134,18 +134,18 @@
         engine: Engine,
         descriptors: Descriptors,
         make_room: Callable[[], bool],
-        heart: Heart,
+        loop_monitor: EventLoopMonitor,
     ) -> None:
-        super().__init__(loop, config, engine, descriptors, make_room, heart)
+        super().__init__(loop, config, engine, descriptors, make_room, loop_monitor)
         self.leaving = False  # another process accepts, or is about to
         self.on_rest: Callable[[ClientConnection], None] | None = None
 
     def rests(self, connection: ClientConnection) -> None:
         if not self.leaving:
             super().rests(connection)
-        elif self.room.stage(connection) is not None:
+        elif self.connection_limit.stage(connection) is not None:
             # None ends for resting long: all of them are about to move, and the places here only get fewer.
-            self.room.moves(connection, Stage.RESTING, monotonic())
+            self.connection_limit.moves(connection, ConnectionState.RESTING, monotonic())
             if self.on_rest is not None:
                 self.on_rest(connection)
 
@@ -178,7 +178,7 @@
             wanted()
 
         self._server.on_rest = rests
-        for connection in self._server.room.connections():
+        for connection in self._server.connection_limit.connections():
             if connection.idle():
                 self._waiting[connection] = None
         if self._waiting:
@@ -245,7 +245,7 @@
     """Wait until no client connection is left or the loop's time is `until`; while `end` says so, those
     between two requests are ended."""
     loop = asyncio.get_running_loop()
-    while len(server.room) and loop.time() < until:
+    while len(server.connection_limit) and loop.time() < until:
         if end():
             server.close_idle()
         await asyncio.sleep(0.02)
--- a/quillroad/upgrade/sibling_process.py
+++ b/quillroad/upgrade/sibling_process.py
@@ -302,7 +302,7 @@
     def drain(self) -> None:
         self._pair.ending = True
         if self._gateway is not None:
-            self._gateway.duty.end()
+            self._gateway.serving_state.end()
         self._close_door()
         super().drain()
 
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -117,7 +117,7 @@
                     counts.refused + refused,
                     counts.failed,
                     engine.open,
-                    len(server.room),
+                    len(server.connection_limit),
                     moved,
                     memory_mb(),
                 )
--- a/quillroad/upstream/pool.py
+++ b/quillroad/upstream/pool.py
@@ -22,7 +22,7 @@
 from quillroad.balancing.interface import Outcome
 from quillroad.config import SHORT_BODY, Address, Descriptors
 from quillroad.framing import FRAMED
-from quillroad.overload.event_loop_monitor import Heart
+from quillroad.overload.event_loop_monitor import EventLoopMonitor
 from quillroad.overload.heap import steady
 from quillroad.overload.socket_age import data_age
 
@@ -112,7 +112,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        heart: Heart,
+        loop_monitor: EventLoopMonitor,
         host: Host,
         timeout_s: float,
         done: Done,
@@ -120,7 +120,7 @@
         latest: float = math.inf,
     ) -> None:
         self.host, self.began, self._vanished_s = host, monotonic(), vanished_s
-        self._heart = heart
+        self._loop_monitor = loop_monitor
         self.latest = latest  # monotonic time after which no byte of it may go out
         self._done: Done | None = done
         self._timer = loop.call_at(self.began + max(0.0, timeout_s), self._expire)
@@ -138,8 +138,8 @@
 
     def _expire(self) -> None:
         """Its time is up, unless its answer has come and could not be read yet."""
-        if self._heart.stalled():
-            self._heart.hold(self._end, Outcome.TIMEOUT)
+        if self._loop_monitor.stalled():
+            self._loop_monitor.hold(self._end, Outcome.TIMEOUT)
         else:
             self._end(Outcome.TIMEOUT)
 
@@ -270,7 +270,7 @@
             self.drop()  # bytes that no request asked for: the next answer could not be told from them
             return
         self.host.heard = at = monotonic()
-        if self.upstream.heart.late() and self.transport is not None:
+        if self.upstream.loop_monitor.late() and self.transport is not None:
             # Judged by when it came, not by when this process got round to it.
             at -= data_age(self.transport.get_extra_info("socket"))
         self._received += len(data)
@@ -478,10 +478,10 @@
         descriptors: Descriptors,
         connect_timeout_s: float,
         idle_s: float,
-        heart: Heart,
+        loop_monitor: EventLoopMonitor,
         longest_body: int = SHORT_BODY,
     ) -> None:
-        self.heart, self.longest_body = heart, longest_body
+        self.loop_monitor, self.longest_body = loop_monitor, longest_body
         self._loop, self._descriptors = loop, descriptors
         self._connect_timeout_s, self._idle_s = connect_timeout_s, idle_s * IDLE_PART
         self._tasks: set[asyncio.Task[None]] = set()
@@ -507,7 +507,7 @@
         least likely to be closing and brings nothing that belongs to the answer before. On a new one that
         comes up after the monotonic time `latest` nothing is sent."""
         attempt = Attempt(
-            self._loop, self.heart, host, timeout_s, done, self._connect_timeout_s, latest
+            self._loop, self.loop_monitor, host, timeout_s, done, self._connect_timeout_s, latest
         )
         settled = attempt.began - SETTLE_S
         for connection in reversed(host.idle.copy()):
@@ -548,8 +548,8 @@
         return self._loop.call_at(monotonic() + FOLLOW_S, self._unless_stalled, act)
 
     def _unless_stalled(self, act: Callable[[], None]) -> None:
-        if self.heart.stalled():
-            self.heart.hold(act)
+        if self.loop_monitor.stalled():
+            self.loop_monitor.hold(act)
         else:
             act()
 
@@ -600,7 +600,9 @@
                 await self._loop.create_connection(lambda: connection, *host.address)
         except TimeoutError:
             # After a stall of this process nobody knows whether the host would have been there in time.
-            attempt.finish(Outcome.NOT_SENT if self.heart.stalled() else Outcome.CONNECT_FAILED)
+            attempt.finish(
+                Outcome.NOT_SENT if self.loop_monitor.stalled() else Outcome.CONNECT_FAILED
+            )
             return
         except OSError:
             attempt.finish(Outcome.CONNECT_FAILED)
--- a/quillroad/zones/zones.py
+++ b/quillroad/zones/zones.py
@@ -46,7 +46,7 @@
     def attach(self, engine: Engine) -> None:
         """Watch an engine's attempts."""
         self._engine = engine
-        engine.observe = self._observe
+        engine.attempt_observer = self._observe
 
     def _observe(self, route: int, host: Host, size: int, done: Done) -> Done:
         self.ledger.sent(route, host.zone, size)
--- a/tests/admin/test_decisions.py
+++ b/tests/admin/test_decisions.py
@@ -10,7 +10,7 @@
 from quillroad.admin.hands import MOST, Hands, NoSuchHostError, TooManyError
 from quillroad.balancing.interface import Endpoint, EndpointStatus, EndpointUpdate, UpdateKind
 from quillroad.config import Address
-from quillroad.serving_state import Duty
+from quillroad.serving_state import ServingState
 
 NAMES = ["a", "b", "c", "d"]
 
@@ -50,16 +50,18 @@
 
 @given(st.lists(st.sampled_from(["fail", "ok", "end"])))
 def test_duty_drains_for_either_reason_and_tells_changes_only(steps: list[str]) -> None:
-    duty, by_hand, ending = Duty(), False, False
+    serving_state, by_hand, ending = ServingState(), False, False
     for step in steps:
         before = by_hand or ending
         if step == "end":
             ending = True
         else:
             by_hand = step == "fail"
-        changed = {"fail": duty.fail, "ok": duty.ok, "end": duty.end}[step]()
-        assert duty.draining == (by_hand or ending)
-        assert changed == (duty.draining != before)
+        changed = {"fail": serving_state.fail, "ok": serving_state.ok, "end": serving_state.end}[
+            step
+        ]()
+        assert serving_state.draining == (by_hand or ending)
+        assert changed == (serving_state.draining != before)
 
 
 def line(name: str, started_us: int = 0, state: EndpointStatus = EndpointStatus.READY) -> Endpoint:
--- a/tests/admin/test_front.py
+++ b/tests/admin/test_front.py
@@ -116,7 +116,7 @@
             async with one.client() as up:
                 assert (await up.ask("/up", method="GET")).status == 503
             assert await idle.reader.read() == b""
-        await until(lambda: len(one.gateway.server.room) == 0)
+        await until(lambda: len(one.gateway.server.connection_limit) == 0)
         assert await post(one, "/healthcheck/ok") == 200
         assert (await call(one.gateway.admin.port, "/healthcheck")).status == 200
         async with one.client() as client:
@@ -129,7 +129,7 @@
     async with world(serve_ok, admin_addr=ADMIN) as one:
         assert one.gateway.admin is not None
         ending = asyncio.ensure_future(one.gateway.drain())
-        await until(lambda: one.gateway.duty.ending)
+        await until(lambda: one.gateway.serving_state.ending)
         assert await post(one, "/healthcheck/fail") == 200
         assert await post(one, "/healthcheck/ok") == 200
         assert one.gateway.server.draining
--- a/tests/downstream/test_connection_limit.py
+++ b/tests/downstream/test_connection_limit.py
@@ -6,24 +6,37 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.downstream.connection_limit import RESTED_S, UNHEARD_S, WRITTEN_S, Room, Stage
+from quillroad.downstream.connection_limit import (
+    RESTED_S,
+    UNHEARD_S,
+    WRITTEN_S,
+    ConnectionLimit,
+    ConnectionState,
+)
 
 LONG = 10 * UNHEARD_S
 
 
-def room(places: int = 4, unread: set[int] | None = None) -> Room[int]:
-    return Room(places, lambda number: number in (unread or set()))
+def room(places: int = 4, unread: set[int] | None = None) -> ConnectionLimit[int]:
+    return ConnectionLimit(places, lambda number: number in (unread or set()))
 
 
 def test_whoever_has_asked_is_never_ended_for_another() -> None:
     unread = {1, 2}
     some = room(4, unread)
-    for number, stage in enumerate((Stage.BUSY, Stage.UNHEARD, Stage.RESTING, Stage.BUSY)):
+    for number, stage in enumerate(
+        (
+            ConnectionState.BUSY,
+            ConnectionState.UNHEARD,
+            ConnectionState.RESTING,
+            ConnectionState.BUSY,
+        )
+    ):
         some.moves(number, stage, 0.0)
     assert not some.has_place()
     assert some.to_end(LONG) is None  # two are busy, two have sent what was not read yet
     assert some.may_exceed()  # one more may come, to be told so
-    some.moves(4, Stage.BUSY, LONG)
+    some.moves(4, ConnectionState.BUSY, LONG)
     assert not some.may_exceed()  # whoever comes now is told so before it is one of them
     assert some.may_look()
     unread.clear()
@@ -32,9 +45,9 @@
 
 def test_the_order_in_which_connections_end_for_others() -> None:
     some = room(3)
-    some.moves(1, Stage.RESTING, 0.0)
-    some.moves(2, Stage.UNHEARD, 0.0)
-    some.moves(3, Stage.LEAVING, 0.0)
+    some.moves(1, ConnectionState.RESTING, 0.0)
+    some.moves(2, ConnectionState.UNHEARD, 0.0)
+    some.moves(3, ConnectionState.LEAVING, 0.0)
     order = []
     while (one := some.to_end(LONG)) is not None:
         order.append(one)
@@ -45,8 +58,8 @@
 def test_new_ones_have_time_to_speak() -> None:
     """Their request may be on its way: a connection that is ended with it unread is a loss."""
     some = room(2)
-    some.moves(1, Stage.UNHEARD, 0.0)
-    some.moves(2, Stage.UNHEARD, 0.1)
+    some.moves(1, ConnectionState.UNHEARD, 0.0)
+    some.moves(2, ConnectionState.UNHEARD, 0.1)
     assert some.to_end(UNHEARD_S / 2) is None
     assert some.to_end(UNHEARD_S + 0.05) == 1
 
@@ -54,40 +67,40 @@
 def test_the_longest_at_rest_goes_first() -> None:
     some = room(3)
     for number in (1, 2, 3):
-        some.moves(number, Stage.RESTING, number / 10)
-    some.moves(1, Stage.BUSY, 0.5)
-    some.moves(1, Stage.RESTING, 0.6)
+        some.moves(number, ConnectionState.RESTING, number / 10)
+    some.moves(1, ConnectionState.BUSY, 0.5)
+    some.moves(1, ConnectionState.RESTING, 0.6)
     assert some.to_end(1.0) == 2
 
 
 def test_those_who_ask_once_and_stay_go_and_those_in_use_stay() -> None:
     some = room(5)
     for number in (1, 2, 3):
-        some.moves(number, Stage.RESTING, number / 10)
-    some.moves(1, Stage.BUSY, 0.5)
+        some.moves(number, ConnectionState.RESTING, number / 10)
+    some.moves(1, ConnectionState.BUSY, 0.5)
     assert some.overstayed(LONG) is None  # part of the places are theirs
-    some.moves(1, Stage.RESTING, 0.6)
+    some.moves(1, ConnectionState.RESTING, 0.6)
     assert some.overstayed(0.2 + RESTED_S / 2) is None  # no longer than it takes to ask again
     assert some.overstayed(LONG) == 2
 
 
 MOVES = st.tuples(
     st.integers(0, 12),
-    st.sampled_from([*Stage, "left", "accept", "overstayed"]),
+    st.sampled_from([*ConnectionState, "left", "accept", "overstayed"]),
     st.floats(0.0, 0.5),
 )
 
 
 @given(st.integers(1, 6), st.lists(MOVES, max_size=200))
 def test_no_busy_connection_ends_and_the_number_stays_within_bounds(
-    places: int, moves: list[tuple[int, Stage | str, float]]
+    places: int, moves: list[tuple[int, ConnectionState | str, float]]
 ) -> None:
     some, now, unread = room(places), 0.0, set[int]()
-    stages: dict[int, Stage] = {}
+    stages: dict[int, ConnectionState] = {}
     for number, what, passed in moves:
         now += passed
-        if isinstance(what, Stage):
-            if number in stages and stages[number] is not Stage.LEAVING:
+        if isinstance(what, ConnectionState):
+            if number in stages and stages[number] is not ConnectionState.LEAVING:
                 stages[number] = what
                 some.moves(number, what, now)
         elif what == "left":
@@ -95,21 +108,23 @@
             some.left(number)
         elif what == "overstayed":
             if (one := some.overstayed(now)) is not None:
-                assert stages.pop(one) is Stage.RESTING
+                assert stages.pop(one) is ConnectionState.RESTING
                 some.left(one)
         elif number not in stages:
             if not some.has_place():
                 one = some.to_end(now)
                 if one is not None:
-                    assert stages.pop(one) is not Stage.BUSY
+                    assert stages.pop(one) is not ConnectionState.BUSY
                     some.left(one)
                 elif not some.may_exceed():
                     continue
-            stages[number] = Stage.UNHEARD
-            some.moves(number, Stage.UNHEARD, now)
+            stages[number] = ConnectionState.UNHEARD
+            some.moves(number, ConnectionState.UNHEARD, now)
         assert len(some) == len(stages) <= places + places // 4
         assert sorted(some.connections()) == sorted(stages)
-        assert all(some.count(s) == sum(1 for x in stages.values() if x is s) for s in Stage)
+        assert all(
+            some.count(s) == sum(1 for x in stages.values() if x is s) for s in ConnectionState
+        )
         assert not unread
 
 
@@ -117,15 +132,15 @@
     unread: set[int] = set()
     some = room(4, unread)
     for number in (1, 2):
-        some.moves(number, Stage.WRITING, 0.0)
+        some.moves(number, ConnectionState.WRITING, 0.0)
     for number in (3, 4, 5):
-        some.moves(number, Stage.BUSY, 0.0)
+        some.moves(number, ConnectionState.BUSY, 0.0)
     assert some.busy == 3
     assert some.has_place()  # two that write are beyond the places
-    some.moves(6, Stage.WRITING, 0.0)
+    some.moves(6, ConnectionState.WRITING, 0.0)
     assert not some.has_place()  # no more than that
     assert some.to_end(WRITTEN_S / 2) is None
-    some.moves(1, Stage.WRITING, WRITTEN_S)  # it gets on
+    some.moves(1, ConnectionState.WRITING, WRITTEN_S)  # it gets on
     assert some.to_end(WRITTEN_S + 0.1) == 2
     unread.update((2, 6))  # the rest has come, and was not read yet
     assert some.to_end(WRITTEN_S + 0.1) is None
@@ -134,9 +149,9 @@
 @pytest.mark.parametrize("places", [1, 8, 20, 84, 180, 500])
 def test_whoever_comes_beyond_the_places_leaves_the_hosts_a_part(places: int) -> None:
     """Places are half of the descriptors: who says nothing may hold three quarters at the most."""
-    room = Room[int](places, lambda _: False)
+    room = ConnectionLimit[int](places, lambda _: False)
     for number in range(3 * places + 100):
         if not (room.has_place() or room.may_exceed() or room.may_look()):
             break
-        room.moves(number, Stage.UNHEARD, 1.0)
+        room.moves(number, ConnectionState.UNHEARD, 1.0)
     assert places <= len(room) <= 1.5 * places
--- a/tests/downstream/test_departed_clients.py
+++ b/tests/downstream/test_departed_clients.py
@@ -47,7 +47,7 @@
 async def quiet(w: World) -> None:
     """Until nothing is open any more, at clients' side as in the module."""
     gateway = w.gateway
-    await until(lambda: not len(gateway.server.room) and not gateway.engine._open)
+    await until(lambda: not len(gateway.server.connection_limit) and not gateway.engine._open)
     assert not gateway.engine._balancer.requests
 
 
@@ -80,7 +80,7 @@
         async with Client(w.gateway.port) as client:
             client.writer.write(b"".join(HEAD + b"a%d\r\n\r\n" % n for n in range(MANY)))
             await until(lambda: len(held.waiting) == 1)
-            connection = w.gateway.server.room.connections()[0]
+            connection = w.gateway.server.connection_limit.connections()[0]
             await until(lambda: connection._paused)
             leave(client)
             await until(lambda: client.writer.transport.is_closing() or leave is half_close)
@@ -99,16 +99,18 @@
     async with world(serve_ok) as w:
         async with w.client() as client:
             assert (await client.ask()).status == 200
-        await until(lambda: not len(w.gateway.server.room) and w.gateway.upstream.resting == 1)
+        await until(
+            lambda: not len(w.gateway.server.connection_limit) and w.gateway.upstream.resting == 1
+        )
         raw = socket.create_connection(("127.0.0.1", w.gateway.port))
         if linger:
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         if late == "read":
-            await until(lambda: len(w.gateway.server.room) == 1)
+            await until(lambda: len(w.gateway.server.connection_limit) == 1)
         raw.send(HEAD + b"b1\r\n\r\n")
         raw.close()
         time.sleep(0.12)
-        await until(lambda: not len(w.gateway.server.room))
+        await until(lambda: not len(w.gateway.server.connection_limit))
         await quiet(w)
         assert len(w.hosts[0].seen) == 1
 
--- a/tests/downstream/test_descriptors.py
+++ b/tests/downstream/test_descriptors.py
@@ -204,7 +204,7 @@
             assert (await late.ask()).status == 200
         for client in (*few, *silent):
             client.writer.close()
-        await until(lambda: not len(w.gateway.server.room))
+        await until(lambda: not len(w.gateway.server.connection_limit))
 
 
 @pytest.mark.plain
@@ -229,7 +229,7 @@
         held = w.gateway.server._descriptors
         silent = await silent_ones(w, lambda: held.spare() < 0)
         await until(
-            lambda: w.gateway.server.room.to_end(monotonic()) is not None
+            lambda: w.gateway.server.connection_limit.to_end(monotonic()) is not None
         )  # not too new to tell
         async with w.client() as late:
             assert (await late.ask()).status == 200
@@ -247,7 +247,7 @@
     """They are too new to end, and hold every place and the places of those who are to be refused."""
     monkeypatch.setattr(connection_limit, "UNHEARD_S", 3600.0)
     async with world(serve_ok, limits={"sockets": RESERVED + 32}) as w:
-        silent = await silent_ones(w, lambda: not w.gateway.server.room.may_exceed())
+        silent = await silent_ones(w, lambda: not w.gateway.server.connection_limit.may_exceed())
         raw = socket.create_connection(
             ("127.0.0.1", w.gateway.port)
         )  # it has asked when it is accepted
--- a/tests/downstream/test_gateway.py
+++ b/tests/downstream/test_gateway.py
@@ -14,7 +14,7 @@
 from quillroad.balancing.interface import ClientDisconnected, Event, RequestArrived, TimerFired
 from quillroad.discovery.reducer import server_number
 from quillroad.downstream import connection_limit, server
-from quillroad.downstream.connection_limit import Stage
+from quillroad.downstream.connection_limit import ConnectionState
 from quillroad.downstream.server import RECEIVE_S, UNREAD_S, ClientConnection
 from quillroad.engine.engine import ClientRequest, OpenRequest, Reply, Requester
 from tests.net import (
@@ -46,8 +46,8 @@
 
 async def joined(w: World) -> ClientConnection:
     """The one connection of a client, once the gateway has it."""
-    await until(lambda: len(w.gateway.server.room) == 1)
-    return w.gateway.server.room.connections()[0]
+    await until(lambda: len(w.gateway.server.connection_limit) == 1)
+    return w.gateway.server.connection_limit.connections()[0]
 
 
 async def refuse_unseen(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -551,8 +551,10 @@
 async def test_a_request_that_never_gets_whole_is_ended() -> None:
     async with world(serve_ok) as w, w.client() as client:
         client.writer.write(b"GET /status-check/k HTTP/1.1\r\nX:")
-        await until(lambda: any(c._partial for c in w.gateway.server.room.connections()))
-        for connection in w.gateway.server.room.connections():
+        await until(
+            lambda: any(c._partial for c in w.gateway.server.connection_limit.connections())
+        )
+        for connection in w.gateway.server.connection_limit.connections():
             connection.last_change -= RECEIVE_S + 1
         assert (await client.receive()).status == 408
         assert await at_end(client) == b""
@@ -563,7 +565,7 @@
     """Unread answers would pile up in memory."""
     async with world(say(answer(b"x" * 60_000))) as w, w.client() as client:
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-        room = w.gateway.server.room
+        room = w.gateway.server.connection_limit
         while not any(c._unread for c in room.connections()):
             client.send()
             await asyncio.sleep(0)
@@ -603,9 +605,9 @@
         for number in range(4):
             busy.append(await w.client().__aenter__())
             busy[-1].send()
-            await until(lambda number=number: server.room.busy == number + 1)  # type: ignore[misc]
+            await until(lambda number=number: server.connection_limit.busy == number + 1)  # type: ignore[misc]
         # As when the rest of the connections have requests that were not read yet.
-        monkeypatch.setattr(server.room, "may_exceed", lambda: False)
+        monkeypatch.setattr(server.connection_limit, "may_exceed", lambda: False)
         for body in (b"", b"x" * 200):
             server._acceptor._rest(
                 9.0
@@ -619,12 +621,12 @@
                 assert 0.3 <= float(got.headers["retry-after"]) <= 0.6
                 assert await client.reader.read() == b""
         assert server.admission.refused == 2
-        assert len(server.room) == 4
+        assert len(server.connection_limit) == 4
         async with w.client() as odd:  # what can't be told at a glance is let in, and answered
             assert (await odd.ask(Connection="keep-alive")).status == 503
         for client in busy:
             client.writer.close()
-        await until(lambda: not len(server.room))
+        await until(lambda: not len(server.connection_limit))
 
 
 @on_loop
@@ -636,7 +638,7 @@
         silent = [await w.client().__aenter__() for _ in range(30)]
         assert await at_end(silent[0]) == b""
         assert (await usual.ask()).status == 200
-        await until(lambda: len(w.gateway.server.room) == 8)
+        await until(lambda: len(w.gateway.server.connection_limit) == 8)
         for client in silent:
             client.writer.close()
 
@@ -662,8 +664,8 @@
         for _ in range(300):
             client.send()
         await w.hosts[0].came.get()
-        await until(lambda: all(c._paused for c in w.gateway.server.room.connections()))
-        (connection,) = w.gateway.server.room.connections()
+        await until(lambda: all(c._paused for c in w.gateway.server.connection_limit.connections()))
+        (connection,) = w.gateway.server.connection_limit.connections()
         assert len(connection._backlog) < 20
         assert connection._unfed
 
@@ -749,7 +751,7 @@
             assert (await client.receive()).status == 400
         async with w.client() as usual:
             assert (await usual.ask()).status == 200
-            await until(lambda: len(w.gateway.server.room) == 8)
+            await until(lambda: len(w.gateway.server.connection_limit) == 8)
         for client in bad:
             client.writer.close()
 
@@ -778,7 +780,11 @@
                 if number % 3:
                     await client.receive()
                 client.writer.close()
-        await until(lambda: not len(w.gateway.server.room) and not engine._open and not engine._ids)
+        await until(
+            lambda: (
+                not len(w.gateway.server.connection_limit) and not engine._open and not engine._ids
+            )
+        )
         await until(
             lambda: not balancer.requests and not w.gateway.upstream._tasks and not balancer.queued
         )
@@ -787,7 +793,7 @@
         idle = [c for host in engine.hosts.values() for c in host.idle]
         assert set(w.gateway.upstream._idle) == set(idle)
         await until(lambda: w.gateway.server._descriptors.used == len(w.gateway.upstream._idle))
-        assert not any(w.gateway.server.room.count(stage) for stage in Stage)
+        assert not any(w.gateway.server.connection_limit.count(stage) for stage in ConnectionState)
         assert w.gateway.server.admission.waiting == 0
 
 
@@ -803,7 +809,7 @@
             ).status == 200  # in use between them, it is never the longest idle
             assert (await client.ask()).status == 200
         assert await at_end(stayed[0]) == b""
-        await until(lambda: len(w.gateway.server.room) <= 10)
+        await until(lambda: len(w.gateway.server.connection_limit) <= 10)
         assert (await usual.ask()).status == 200
         for client in stayed:
             client.writer.close()
@@ -818,10 +824,12 @@
         while not connection._unread:
             client.send()
             await asyncio.sleep(0)
-        assert w.gateway.server.room.stage(connection) is not Stage.RESTING
+        assert w.gateway.server.connection_limit.stage(connection) is not ConnectionState.RESTING
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
         taken = asyncio.ensure_future(at_end(client))
-        await until(lambda: w.gateway.server.room.stage(connection) is Stage.RESTING)
+        await until(
+            lambda: w.gateway.server.connection_limit.stage(connection) is ConnectionState.RESTING
+        )
         taken.cancel()
 
 
--- a/tests/downstream/test_long_bodies.py
+++ b/tests/downstream/test_long_bodies.py
@@ -73,7 +73,7 @@
 
 def at_base(w: World) -> bool:
     gateway = w.gateway
-    held = len(gateway.server.room) + gateway.upstream.resting
+    held = len(gateway.server.connection_limit) + gateway.upstream.resting
     return (
         not gateway.upstream.rests
         and not gateway.server.streams
@@ -91,7 +91,7 @@
     async with world(host(pieces, end), **OPS) as w, w.client() as client:
         client.send()
         await until(lambda: w.gateway.server.streams == 1)
-        (connection,) = w.gateway.server.room.connections()
+        (connection,) = w.gateway.server.connection_limit.connections()
         transport = connection._transport
         assert transport is not None
         rest = connection._rest
@@ -118,7 +118,7 @@
         client.send()
         await client.reader.readuntil(b"\r\n\r\n")
         assert await client.reader.readexactly(SIZE - 1) == BODY[:-1]
-        (connection,) = w.gateway.server.room.connections()
+        (connection,) = w.gateway.server.connection_limit.connections()
         rest = connection._rest
         assert rest is not None and rest.on_data is not None
         take = rest.on_data
@@ -223,7 +223,7 @@
             nonlocal most
             held = [
                 c._transport.get_write_buffer_size()
-                for c in w.gateway.server.room.connections()
+                for c in w.gateway.server.connection_limit.connections()
                 if c._transport is not None
             ]
             most = max(most, sum(held))
@@ -257,7 +257,7 @@
         client.writer.write(b"0\r\nSum: 1\r\n\r\n")
         assert (await client.receive()).status == 200
         assert w.hosts[0].seen[1].body == BODY[:300_000]
-        assert all(len(c._body) == 0 for c in w.gateway.server.room.connections())
+        assert all(len(c._body) == 0 for c in w.gateway.server.connection_limit.connections())
 
 
 @on_loop
@@ -352,16 +352,16 @@
     async with world(host(by_length(BODY)), **OPS) as w, w.client() as client:
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send()
-        await until(lambda: any(c._unread for c in w.gateway.server.room.connections()))
-        (connection,) = w.gateway.server.room.connections()
+        await until(lambda: any(c._unread for c in w.gateway.server.connection_limit.connections()))
+        (connection,) = w.gateway.server.connection_limit.connections()
         connection.sweep(monotonic())  # how much is left is looked at
         connection.last_change -= UNREAD_S + 1
         connection._left += 1  # it has taken something since
         connection.sweep(monotonic())
-        assert len(w.gateway.server.room) == 1
+        assert len(w.gateway.server.connection_limit) == 1
         connection.last_change -= UNREAD_S + 1
         connection.sweep(monotonic())
-        assert len(w.gateway.server.room) == 0
+        assert len(w.gateway.server.connection_limit) == 0
 
 
 def test_what_the_other_machine_has_not_taken_is_counted() -> None:
@@ -386,8 +386,10 @@
 async def test_a_head_may_take_as_long_as_clients_are_given_and_a_body_by_its_size() -> None:
     async with world(serve_ok, **OPS) as w, w.client() as client:
         client.writer.write(head(95, 100_000)[:40])
-        await until(lambda: any(c._partial for c in w.gateway.server.room.connections()))
-        (connection,) = w.gateway.server.room.connections()
+        await until(
+            lambda: any(c._partial for c in w.gateway.server.connection_limit.connections())
+        )
+        (connection,) = w.gateway.server.connection_limit.connections()
         connection.last_change -= 2.1
         connection.sweep(monotonic())
         client.writer.write(head(95, 100_000)[40:] + BODY[:99_000])
--- a/tests/overload/test_admission_queue.py
+++ b/tests/overload/test_admission_queue.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from quillroad.overload.admission_queue import Admission, Lane, Quota, Tuning
-from quillroad.overload.fast_path_parse import Glance, glance
+from quillroad.overload.fast_path_parse import RequestPreview, preview_request
 from quillroad.overload.retry_after import Spread
 from testbed.core import Core, mix
 
@@ -216,14 +216,20 @@
 @pytest.mark.parametrize(
     ("data", "seen"),
     [
-        (GET, Glance(b"status-check", b"acme", None)),
-        (POST, Glance(b"seat-checkout", b"acme", None)),
-        (GET.replace(b"Tenant: acme\r\n", b""), Glance(b"status-check", b"", None)),
-        (GET.replace(b"Tenant: acme", b"tENANT:acme "), Glance(b"status-check", b"acme", None)),
-        (GET.replace(b"Host: h", b"Request-Timeout-Ms: 70"), Glance(b"status-check", b"acme", 70)),
+        (GET, RequestPreview(b"status-check", b"acme", None)),
+        (POST, RequestPreview(b"seat-checkout", b"acme", None)),
+        (GET.replace(b"Tenant: acme\r\n", b""), RequestPreview(b"status-check", b"", None)),
+        (
+            GET.replace(b"Tenant: acme", b"tENANT:acme "),
+            RequestPreview(b"status-check", b"acme", None),
+        ),
+        (
+            GET.replace(b"Host: h", b"Request-Timeout-Ms: 70"),
+            RequestPreview(b"status-check", b"acme", 70),
+        ),
         (
             GET.replace(b"Host: h", b"Request-Timeout-Ms: +7"),
-            Glance(b"status-check", b"acme", None),
+            RequestPreview(b"status-check", b"acme", None),
         ),
         (GET + GET, None),
         (GET[:-1], None),
@@ -244,8 +250,10 @@
         (b"", None),
     ],
 )
-def test_a_glance_reads_what_is_plainly_one_request(data: bytes, seen: Glance | None) -> None:
-    assert glance(data) == seen
+def test_a_glance_reads_what_is_plainly_one_request(
+    data: bytes, seen: RequestPreview | None
+) -> None:
+    assert preview_request(data) == seen
 
 
 class Parsed:
@@ -286,7 +294,7 @@
 @given(st.lists(PARTS | st.binary(max_size=4), max_size=9))
 def test_what_a_glance_takes_for_one_request_the_parser_does_too(parts: list[bytes]) -> None:
     data = b"".join(parts)
-    seen = glance(data)
+    seen = preview_request(data)
     if seen is None:
         return
     parsed = Parsed()
--- a/tests/overload/test_arrivals.py
+++ b/tests/overload/test_arrivals.py
@@ -20,7 +20,7 @@
 from quillroad.overload.accept_backoff import FIRST_S, MOST_S, AcceptBackoff
 from quillroad.overload.acceptor import BATCH, Acceptor, open_listener
 from quillroad.overload.admission_queue import Waiting
-from quillroad.overload.event_loop_lag import BEAT_S, LATE_S, STALL_S, Pulse
+from quillroad.overload.event_loop_lag import BEAT_S, LATE_S, STALL_S, EventLoopLag
 from quillroad.overload.socket_age import data_age
 from testbed.account import Work, tally, total
 from testbed.schedule import steady
@@ -378,31 +378,31 @@
 
 
 def test_a_pulse_that_stops_is_a_stall_until_all_is_read() -> None:
-    pulse = Pulse(0.0)
-    assert pulse.begin(10.0)
-    assert not pulse.begin(10.0)
+    loop_lag = EventLoopLag(0.0)
+    assert loop_lag.begin(10.0)
+    assert not loop_lag.begin(10.0)
     for i in range(1, 9):
-        pulse.beat(10.0 + i * BEAT_S)
-        assert not pulse.late(10.0 + (i + 1) * BEAT_S)
-        assert not pulse.stalled(10.0 + (i + 1) * BEAT_S)
+        loop_lag.beat(10.0 + i * BEAT_S)
+        assert not loop_lag.late(10.0 + (i + 1) * BEAT_S)
+        assert not loop_lag.stalled(10.0 + (i + 1) * BEAT_S)
     last = 10.0 + 8 * BEAT_S
-    assert pulse.late(last + LATE_S + 0.001)
-    assert not pulse.stalled(last + STALL_S - 0.001)
-    assert pulse.stalled(last + 2.0)
-    assert pulse.clock(last + 2.0) == last  # it stands still
-    assert pulse.stalled(last + 2.001)
-    pulse.caught_up(last + 2.002)
-    assert not pulse.stalled(last + 2.003)
-    assert pulse.clock(last + 2.003) == last + 2.003
-    assert pulse.stalls == 1
+    assert loop_lag.late(last + LATE_S + 0.001)
+    assert not loop_lag.stalled(last + STALL_S - 0.001)
+    assert loop_lag.stalled(last + 2.0)
+    assert loop_lag.clock(last + 2.0) == last  # it stands still
+    assert loop_lag.stalled(last + 2.001)
+    loop_lag.caught_up(last + 2.002)
+    assert not loop_lag.stalled(last + 2.003)
+    assert loop_lag.clock(last + 2.003) == last + 2.003
+    assert loop_lag.stalls == 1
 
 
 def test_no_work_is_no_stall() -> None:
-    pulse = Pulse(0.0)
-    assert not pulse.stalled(100.0)
-    pulse.begin(100.0)
-    pulse.end()
-    assert not pulse.stalled(200.0)
+    loop_lag = EventLoopLag(0.0)
+    assert not loop_lag.stalled(100.0)
+    loop_lag.begin(100.0)
+    loop_lag.end()
+    assert not loop_lag.stalled(200.0)
 
 
 @given(
@@ -416,23 +416,23 @@
 def test_the_clock_of_outcomes_is_never_ahead_and_stands_still_only_in_stalls(
     steps: list[tuple[str, float]],
 ) -> None:
-    pulse, now = Pulse(0.0), 0.0
+    loop_lag, now = EventLoopLag(0.0), 0.0
     for step, passed in steps:
         now += passed
         if step == "ask":
-            stalled = pulse.stalled(now)
-            assert stalled == pulse.catching_up
-            assert (pulse.clock(now) == now) or stalled
-        elif step == "beat" and not pulse.catching_up:
-            pulse.beat(now)
+            stalled = loop_lag.stalled(now)
+            assert stalled == loop_lag.catching_up
+            assert (loop_lag.clock(now) == now) or stalled
+        elif step == "beat" and not loop_lag.catching_up:
+            loop_lag.beat(now)
         elif step == "caught_up":
-            pulse.caught_up(now)
-            assert not pulse.stalled(now)
+            loop_lag.caught_up(now)
+            assert not loop_lag.stalled(now)
         elif step == "begin":
-            pulse.begin(now)
+            loop_lag.begin(now)
         elif step == "end":
-            pulse.end()
-        assert pulse.clock(now) <= now
+            loop_lag.end()
+        assert loop_lag.clock(now) <= now
 
 
 @on_loop
@@ -548,6 +548,6 @@
             await loop.sock_connect(client, ("127.0.0.1", w.gateway.port))
             await loop.sock_sendall(client, b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n")
             assert (await loop.sock_recv(client, 4096)).startswith(b"HTTP/1.1 200")
-            (connection,) = w.gateway.server.room.connections()
+            (connection,) = w.gateway.server.connection_limit.connections()
             connection.abort()
             assert client.recv(1) == b""  # with no turn of the loop in between
--- a/tests/overload/test_overload.py
+++ b/tests/overload/test_overload.py
@@ -93,18 +93,18 @@
     async with world(*[hold] * 16, limits={"sockets": 256}, settings=told_settings(**changes)) as w:
         server, clients, taken = w.gateway.server, list[Client](), [0, 0]
         replies: list[list[asyncio.Task[Message]]] = [[], []]
-        for turn in range(4 * server.room.places):
-            kind, refused, busy = turn % 2, server.admission.refused, server.room.busy
+        for turn in range(4 * server.connection_limit.places):
+            kind, refused, busy = turn % 2, server.admission.refused, server.connection_limit.busy
             clients.append(await w.client().__aenter__())
             asking = clients[-1].ask(f"/{kinds[kind]}/k", Tenant=tenants[kind])
             replies[kind].append(asyncio.ensure_future(asking))
             await until(
                 lambda r=refused, b=busy: (  # type: ignore[misc]
-                    server.admission.refused > r or server.room.busy > b
+                    server.admission.refused > r or server.connection_limit.busy > b
                 )
             )
-            taken[kind] += server.room.busy > busy
-        assert server.room.busy == sum(taken) == server.room.places
+            taken[kind] += server.connection_limit.busy > busy
+        assert server.connection_limit.busy == sum(taken) == server.connection_limit.places
         # With no worth in it both would have as many. How many more is a matter of pace: less is kept for
         # them the longer ago the last one was in need. 10 and more here.
         assert taken[1] > taken[0] + 2
--- a/tests/recordings/operators.py
+++ b/tests/recordings/operators.py
@@ -105,7 +105,9 @@
                     host = cast(
                         Any, SimpleNamespace(name=f"s-{place}", started_us=4_500 * (place % 2))
                     )
-                    done = cast(Any, engine.observe)(0, host, 10, lambda outcome, answer, at: None)
+                    done = cast(Any, engine.attempt_observer)(
+                        0, host, 10, lambda outcome, answer, at: None
+                    )
                     done(outcome, None, 100.25)
             busy._tell()
             busy.stop()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -58,8 +58,8 @@
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     raw.setblocking(False)
     await asyncio.get_running_loop().sock_connect(raw, ("127.0.0.1", w.gateway.port))
-    await until(lambda: len(w.gateway.server.room) == 1)
-    (connection,) = w.gateway.server.room.connections()
+    await until(lambda: len(w.gateway.server.connection_limit) == 1)
+    (connection,) = w.gateway.server.connection_limit.connections()
     connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return raw, connection
 
@@ -80,7 +80,7 @@
     """Between two requests, and yet its answer has not left: ended then, it was cut short."""
     async with world(say(answer(BODY))) as w, w.client() as client:
         assert (await client.ask()).status == 200
-        (connection,) = w.gateway.server.room.connections()
+        (connection,) = w.gateway.server.connection_limit.connections()
         asked = await not_reading(client, connection)
         w.gateway.server.draining = True
         w.gateway.server.close_idle()
@@ -106,7 +106,7 @@
         await until(lambda: connection._ended and connection._unread)
         for _ in range(5):
             await asyncio.sleep(0.01)  # the time to linger, several times over
-        assert w.gateway.server.room.to_end(time.monotonic() + 1000.0) is not connection
+        assert w.gateway.server.connection_limit.to_end(time.monotonic() + 1000.0) is not connection
         got = await to_the_end(raw)
         assert got.endswith(BODY)
 
@@ -130,7 +130,7 @@
     """Its first request is on its way: it would be a new connection closed with no answer."""
     async with world(serve_ok) as w, w.client() as client, w.client() as old:
         assert (await old.ask()).status == 200
-        await until(lambda: len(w.gateway.server.room) == 2)
+        await until(lambda: len(w.gateway.server.connection_limit) == 2)
         w.gateway.server.close_idle()
         assert (await client.ask()).status == 200
         assert await old.reader.read() == b""
--- a/tests/test_stalled.py
+++ b/tests/test_stalled.py
@@ -22,11 +22,11 @@
         while not (leaves.seen and stays.seen):  # there are connections at hand to both
             async with Client(w.gateway.port) as client:
                 assert (await client.ask()).status == 200
-        await until(lambda: not len(w.gateway.server.room))
+        await until(lambda: not len(w.gateway.server.connection_limit))
         address, raws = ("127.0.0.1", w.gateway.port), list[socket.socket]()
         if opened == "before":
             raws = [socket.create_connection(address) for _ in range(12)]
-            await until(lambda: len(w.gateway.server.room) == 12)
+            await until(lambda: len(w.gateway.server.connection_limit) == 12)
         before = len(leaves.seen), len(stays.seen)
         if opened == "meanwhile":
             raws = [socket.create_connection(address) for _ in range(12)]
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -10,7 +10,7 @@
 
 from quillroad.balancing.interface import Outcome
 from quillroad.config import RESERVED, Address, Descriptors
-from quillroad.overload.event_loop_monitor import Heart
+from quillroad.overload.event_loop_monitor import EventLoopMonitor
 from quillroad.upstream import pool
 from quillroad.upstream.pool import Answer, Attempt, Host, Upstream
 from tests.net import (
@@ -38,7 +38,7 @@
     def __init__(self, address: Address, connect_s: float = LONG_S, sockets: int = 100) -> None:
         self.descriptors = Descriptors(RESERVED + sockets)
         loop = asyncio.get_running_loop()
-        self.upstream = Upstream(loop, self.descriptors, connect_s, 15.0, Heart(loop))
+        self.upstream = Upstream(loop, self.descriptors, connect_s, 15.0, EventLoopMonitor(loop))
         self.host = Host("s-1", address)
         self.results: list[tuple[Outcome, Answer | None]] = []
 
