--- a/tests/recordings/operators.py
+++ b/tests/recordings/operators.py
@@ -92,9 +92,9 @@
             idle._tell()
             idle.stop()
             engine = SimpleNamespace(
-                observe=None,
-                grown=Counter({"copies": 11, "ejections": 12}),
-                stands={"open": 13},
+                attempt_observer=None,
+                counters=Counter({"copies": 11, "ejections": 12}),
+                gauges={"open": 13},
                 now_us=lambda: 5_000,
                 cold_us=1_000,
             )
