--- /dev/null
+++ b/tests/recordings/adapter.py
@@ -0,0 +1,115 @@
+"""Every name of the program that the recordings use: the one file to edit when such a name changes.
+
+Settings are given as the platform's object, actions are read in the simulator's wire form, and
+events that the wire has are built from it. Neither form changes with the names of classes and
+fields, so a digest taken before a renaming holds after it. `bench.decisions` has the names that
+both use.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from typing import Any
+
+import msgspec
+
+from bench.decisions import hidden_deadline_us, wire_form
+from pinetrack.balance import Balancer
+from pinetrack.benchlink import LIST_KINDS, READERS, STATES
+from pinetrack.crossing import Allowance, Budget, Crossing
+from pinetrack.interface import Action, Beside, Carried, Company, Event, Server, ServerList
+from pinetrack.told import read_settings
+from quillroad.upgrade import knowledge
+
+__all__ = [
+    "Action", "Balancer", "Event", "adopted", "alarm", "arrived", "attempt_done", "attempts_out",
+    "cross_zone_bytes", "departed", "exported", "gateways_changed", "handle", "hidden_deadline_us",
+    "new_balancer", "other_process", "server_line", "server_list", "stream_started", "wire_form",
+]
+
+KINDS = ("small", "medium", "large")
+TENANTS = ("first", "second")
+NAMES = knowledge.Names(tenants=TENANTS, kinds=KINDS)
+
+
+def new_balancer(
+    settings: Mapping[str, Any], seed: int, budget: Mapping[str, Any] | None
+) -> Balancer:
+    """A balancer, with a limit on cross-zone traffic where `budget` is given."""
+    told = read_settings(settings)
+    if budget is None:
+        return Balancer(told, seed)
+    classes = tuple(Allowance(spends, keep) for spends, keep in budget["classes"])
+    return Balancer(told, seed, Crossing(Budget(**{**budget, "classes": classes})))
+
+
+def handle(balancer: Balancer, now_us: int, events: Sequence[Event]) -> list[Action]:
+    return balancer.handle(now_us, list(events))
+
+
+def arrived(
+    request: int, route: int, give_up_us: int, *, work_us: int | None = None, tenant: int = 0,
+    repeat: bool = False, long: bool = False,
+) -> Event:
+    bits = (work_us is not None) + 2 * repeat
+    event = READERS["job_in"](["job_in", request, route, give_up_us, bits, None, work_us, tenant])
+    return event._replace(long=True) if long else event  # type: ignore[call-arg] # not on the wire
+
+
+def attempt_done(request: int, attempt: int, outcome: str, elapsed_us: int, closed: bool) -> Event:
+    """`outcome` by the wire's word for it."""
+    return READERS["verdict"](["verdict", request, None, closed, outcome, attempt, elapsed_us])
+
+
+def stream_started(request: int, attempt: int, elapsed_us: int) -> Event:
+    return READERS["streaming"](["streaming", request, attempt, None, elapsed_us])
+
+
+def departed(request: int) -> Event:
+    return READERS["hangup"](["hangup", request])
+
+
+def alarm(tag: int) -> Event:
+    return READERS["alarm"](["alarm", tag])
+
+
+def server_line(
+    number: int, state: int, zone: int, cell: int, kind: int, started_us: int | None
+) -> Server:
+    """`state` by the wire's number for it."""
+    return Server(number, STATES[state], zone, cell, kind, 1.0, started_us)
+
+
+def server_list(kind: int, lines: Sequence[Server]) -> Event:
+    """`kind` by the wire's number for it."""
+    return ServerList(LIST_KINDS[kind], tuple(lines))
+
+
+def other_process(out: Mapping[int, tuple[int, int]], warms: bool) -> Event:
+    return Beside(out, warms)
+
+
+def attempts_out(balancer: Balancer) -> dict[int, tuple[int, int]]:
+    """What `other_process` tells the other process."""
+    return knowledge.out_at(balancer)
+
+
+def gateways_changed(number: int, balancers: int) -> Event:
+    return Company(number, balancers)
+
+
+def cross_zone_bytes(size: int) -> Event:
+    return Carried(size)
+
+
+def exported(balancer: Balancer, work: bool) -> bytes:
+    """What a balancer knows, as the document that a new process gets; without `work` the retry
+    budgets are halved, as in an upgrade."""
+    if not work:
+        knowledge.share_budgets(balancer)
+    return msgspec.json.encode(knowledge.export(balancer, NAMES, work=work))
+
+
+def adopted(balancer: Balancer, document: bytes) -> list[str]:
+    """Give the document to a fresh balancer; returns what it could not use."""
+    return knowledge.adopt(balancer, msgspec.json.decode(document, type=knowledge.Knowledge), NAMES)
