--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -68,6 +68,14 @@
     world.at(half + SECOND, lambda: tell(len(world.gateways)))
 
 
+def uneven_gateways(world: World) -> None:
+    """From half way on one gateway gets all requests, and is not told so."""
+    def turn() -> None:
+        world.serving = world.gateways[:1]
+
+    world.at(world.half_way_us(), turn)
+
+
 def restarting_servers(world: World) -> None:
     def restart() -> None:
         world.change(world.random.randrange(len(world.lines)), READY, restarted=True)
@@ -173,6 +181,13 @@
         gateways=24, servers=6, kinds=3, per_s=300.0, errors=0.05,
         faults=(Fault("failure", (2, 3), 1 * SECOND, 4 * SECOND, 0.8),), script=changing_servers,
     ),
+    Scenario(
+        "crowd_of_gateways", settings(STATUS, SEAT), (3, 1),
+        {"hangups": 300, "deny": 100, "outcome overloaded": 20, "outcome timed_out": 5},
+        gateways=40, servers=6, requests=4_000, per_s=400.0, service_us=(100_000,), errors=0.03,
+        hangups=0.3, hangup_us=200_000,
+        faults=(Fault("slow", (1, 3), 3 * SECOND, 8 * SECOND, 0.3),), script=uneven_gateways,
+    ),
     Scenario(
         "warming", settings(STATUS, SEAT, guarantees=COLD), (3, 1),
         {"cold_sends": 50, "sends_with_deadline": 50, "restarts": 10, "outcome void": 1},
@@ -204,6 +219,12 @@
         faults=(Fault("unreachable", (0, 2, 4), 2 * SECOND, 3 * SECOND),),
         script=drained_zone,
     ),
+    Scenario(
+        "zones_warming", settings(STATUS, SEAT, zone=0, guarantees=COLD), (3, 1),
+        {"cold_sends": 20, "crossings": 5, "restarts": 10}, servers=8, zones=2, errors=0.03,
+        budget={"share": 0.1, "classes": ((True, 0.0), (True, 0.3)), "window_us": 5 * SECOND},
+        script=restarting_servers,
+    ),
     Scenario(
         "zones_with_price", settings(STATUS, ZONAL, zone=0, prices={"cross_zone": 0.15}), (3, 1),
         {"crossings": 50, "retries": 10},
--- a/tests/recordings/world.py
+++ b/tests/recordings/world.py
@@ -71,6 +71,7 @@
     sized: bool = False  # requests tell their work
     clients_retry: float = 0.0  # part of the refused requests that come again
     hangups: float = 0.01
+    hangup_us: int = 50_000  # a client that hangs up does so within this
     script: Callable[[World], None] = lambda world: None
 
 
@@ -125,7 +126,7 @@
         self._pending: list[tuple[int, int, Callable[[], None]]] = []
         self._order = 0
         self._requests = 0
-        started = None if scenario.warm_start else START_US
+        started = None if scenario.warm_start else START_US - 400_000
         self.lines = [
             Line(
                 number=i, zone=i % scenario.zones, cell=i % (2 * scenario.zones),
@@ -235,7 +236,7 @@
         gateway.sent[number] = sent
         self.seen["long"] += sent.long
         if self.random.random() < scenario.hangups:
-            leaves_us = self.now + self.random.randrange(50_000)
+            leaves_us = self.now + self.random.randrange(scenario.hangup_us)
             self.at(leaves_us, lambda: self._hang_up(gateway, number))
         work_us = None
         if scenario.sized:
