--- a/scripts/compile.py
+++ b/scripts/compile.py
@@ -40,11 +40,12 @@
 import quillroad.downstream.server, quillroad.engine.engine, quillroad.upstream.pool
 from quillroad.balancing.balancer import Balancer
 from quillroad.balancing.interface import *
-b = Balancer(Settings(routes=(Route(aim_us=500_000, deadline_us=900_000),)), 1)
-b.handle(1, [ServerList(ListKind.FULL, (Server(1), Server(2)))])
+b = Balancer(Settings(routes=(Route(latency_objective_us=500_000, deadline_us=900_000),)), 1)
+b.handle(1, [EndpointUpdate(UpdateKind.FULL, (Endpoint(1), Endpoint(2)))])
 for n in range(2000):
-    (send,) = [a for a in b.handle(n * 10 + 2, [Arrived(n, 0, n * 10 + 900_000)]) if isinstance(a, Send)]
-    b.handle(n * 10 + 7, [AttemptDone(n, 0, Outcome.SUCCESS, 5, True)])
+    actions = b.handle(n * 10 + 2, [RequestArrived(n, 0, n * 10 + 900_000)])
+    (send,) = [a for a in actions if isinstance(a, SendAttempt)]
+    b.handle(n * 10 + 7, [AttemptFinished(n, 0, Outcome.SUCCESS, 5, True)])
 """
 
 
