--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -17,15 +17,10 @@
 import sys
 from typing import Any
 
+from quillroad.balancing.actions import Action, SendAttempt
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import (
-    Action,
-    Endpoint,
-    EndpointUpdate,
-    Event,
-    SendAttempt,
-    SiblingAttempts,
-)
+from quillroad.balancing.endpoint import Endpoint
+from quillroad.balancing.events import EndpointUpdate, Event, SiblingAttempts
 from quillroad.balancing.platform_settings import read_settings
 from quillroad.balancing.simulator import LIST_KINDS, READERS, STATES, WRITERS
 
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -22,17 +22,15 @@
 
 from bench.picture import over_time
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import (
+from quillroad.balancing.endpoint import Endpoint
+from quillroad.balancing.events import (
     AttemptFinished,
-    Endpoint,
     EndpointUpdate,
-    Idempotency,
     Outcome,
     RequestArrived,
-    Route,
-    Settings,
     UpdateKind,
 )
+from quillroad.balancing.settings import Idempotency, Route, Settings
 from quillroad.balancing.zone_routing import Allowance, Budget, Crossing
 from quillroad.zones.report import Report, read_report
 from testbed.account import Record, Work, percentile, tally, total
--- a/quillroad/admin/admin.py
+++ b/quillroad/admin/admin.py
@@ -11,7 +11,7 @@
 from quillroad.admin.figures import CONTENT_TYPE, Figures
 from quillroad.admin.front import PLACES, Front, Page, page
 from quillroad.admin.hands import Hands, NoSuchHostError, Told, TooManyError
-from quillroad.balancing.interface import EndpointUpdate
+from quillroad.balancing.events import EndpointUpdate
 from quillroad.config import Address
 from quillroad.overload.acceptor import open_listener
 
--- a/quillroad/admin/hands.py
+++ b/quillroad/admin/hands.py
@@ -12,7 +12,8 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from quillroad.balancing.interface import Endpoint, EndpointStatus, EndpointUpdate, UpdateKind
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import EndpointUpdate, UpdateKind
 from quillroad.config import Address
 
 MOST = 4096  # hosts out by hand, and calls back remembered: a list has fewer, and both outlive it
--- a/quillroad/balancing/__init__.py
+++ b/quillroad/balancing/__init__.py
@@ -1,34 +1,32 @@
 """Decisions of a reverse proxy that stay good when servers fail. Start at `Balancer` and `interface`."""
 
-from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import (
+from quillroad.balancing.actions import (
     Action,
-    AttemptFinished,
     CancelAttempt,
+    Fail,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    StartHealthCheck,
+    WatchEndpoints,
+)
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import (
+    AttemptFinished,
     ClientDisconnected,
-    DeduplicationScope,
-    Endpoint,
-    EndpointStatus,
     EndpointUpdate,
     Event,
-    Fail,
     HealthCheckFinished,
-    Idempotency,
-    LogMessage,
     Outcome,
-    Reject,
     RequestArrived,
-    Route,
-    SendAttempt,
-    SetTimer,
-    Settings,
     SiblingAttempts,
-    StartHealthCheck,
     StreamStarted,
     TimerFired,
     UpdateKind,
-    WatchEndpoints,
 )
+from quillroad.balancing.settings import DeduplicationScope, Idempotency, Route, Settings
 
 __version__ = "0.2.0"
 
--- a/quillroad/balancing/balancer.py
+++ b/quillroad/balancing/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision. Its types, events and actions stand in quillroad/balancing/interface.py."""
+"""Every decision. Events go in (`events`), actions come out (`actions`)."""
 
 from __future__ import annotations
 
@@ -11,35 +11,33 @@
 from itertools import islice
 from typing import TYPE_CHECKING, Any
 
-from quillroad.balancing.interface import (
-    NEVER_RAN,
+from quillroad.balancing.actions import (
     Action,
-    AttemptFinished,
     CancelAttempt,
+    Fail,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import (
+    NEVER_RAN,
+    AttemptFinished,
     ClientDisconnected,
     CrossZoneBytes,
-    DeduplicationScope,
-    Endpoint,
-    EndpointStatus,
     EndpointUpdate,
     Event,
-    Fail,
     GatewayCountChanged,
-    Idempotency,
-    LogMessage,
     Outcome,
-    Reject,
     RequestArrived,
-    Route,
-    SendAttempt,
-    SetTimer,
-    Settings,
     SiblingAttempts,
     StreamStarted,
     TimerFired,
     UpdateKind,
-    WatchEndpoints,
 )
+from quillroad.balancing.settings import DeduplicationScope, Idempotency, Route, Settings
 
 if TYPE_CHECKING:
     from quillroad.balancing.zone_routing import Crossing, Reason
--- a/quillroad/balancing/platform_settings.py
+++ b/quillroad/balancing/platform_settings.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import Any, TypeVar
 
-from quillroad.balancing.interface import DeduplicationScope, Idempotency, Route, Settings
+from quillroad.balancing.settings import DeduplicationScope, Idempotency, Route, Settings
 
 Choice = TypeVar("Choice", bound=Enum)
 
--- a/quillroad/balancing/simulator.py
+++ b/quillroad/balancing/simulator.py
@@ -11,29 +11,30 @@
 from collections.abc import Callable
 from typing import IO, Any
 
-from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import (
+from quillroad.balancing.actions import (
     Action,
-    AttemptFinished,
     CancelAttempt,
-    ClientDisconnected,
-    Endpoint,
-    EndpointStatus,
-    EndpointUpdate,
-    Event,
     Fail,
-    HealthCheckFinished,
     LogMessage,
-    Outcome,
     Reject,
-    RequestArrived,
     SendAttempt,
     SetTimer,
     StartHealthCheck,
+    WatchEndpoints,
+)
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import (
+    AttemptFinished,
+    ClientDisconnected,
+    EndpointUpdate,
+    Event,
+    HealthCheckFinished,
+    Outcome,
+    RequestArrived,
     StreamStarted,
     TimerFired,
     UpdateKind,
-    WatchEndpoints,
 )
 from quillroad.balancing.platform_settings import read_settings
 
--- a/quillroad/config/file.py
+++ b/quillroad/config/file.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from quillroad.balancing.interface import DeduplicationScope, Idempotency, Route, Settings
+from quillroad.balancing.settings import DeduplicationScope, Idempotency, Route, Settings
 from quillroad.config.model import (
     LONG_BODY,
     SHORT_BODY,
--- a/quillroad/config/model.py
+++ b/quillroad/config/model.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from quillroad.balancing.interface import Settings
+from quillroad.balancing.settings import Settings
 
 Address = tuple[str, int]
 
--- a/quillroad/counts.py
+++ b/quillroad/counts.py
@@ -14,7 +14,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING, Any
 
-from quillroad.balancing.interface import Outcome
+from quillroad.balancing.events import Outcome
 
 if TYPE_CHECKING:
     import asyncio
--- a/quillroad/discovery/feed.py
+++ b/quillroad/discovery/feed.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable, Mapping, Sequence
 
-from quillroad.balancing.interface import EndpointUpdate
+from quillroad.balancing.events import EndpointUpdate
 from quillroad.config import Address
 from quillroad.discovery.instance import Health, Listener, Snapshot, SourceState
 from quillroad.discovery.reducer import Reducer
--- a/quillroad/discovery/platform.py
+++ b/quillroad/discovery/platform.py
@@ -17,7 +17,8 @@
 
 import httptools
 
-from quillroad.balancing.interface import Endpoint, EndpointStatus, EndpointUpdate, UpdateKind
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import EndpointUpdate, UpdateKind
 from quillroad.config import Address, Config, ConfigError, read_address
 from quillroad.discovery.feed import Update
 from quillroad.discovery.freshness import SILENCE_S, Currency
--- a/quillroad/discovery/reducer.py
+++ b/quillroad/discovery/reducer.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from quillroad.balancing.interface import Endpoint, EndpointStatus, EndpointUpdate, UpdateKind
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import EndpointUpdate, UpdateKind
 from quillroad.config import Address
 from quillroad.discovery.instance import Instance, Snapshot, Standing
 
--- a/quillroad/downstream/server.py
+++ b/quillroad/downstream/server.py
@@ -21,7 +21,7 @@
 
 import httptools
 
-from quillroad.balancing.interface import Idempotency, Route
+from quillroad.balancing.settings import Idempotency, Route
 from quillroad.config import RESERVED, SHORT_BODY, Config, Descriptors
 from quillroad.downstream.connection_limit import UNHEARD_S, ConnectionLimit, ConnectionState
 from quillroad.engine.engine import ClientRequest, Engine, OpenRequest, Reply
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -18,22 +18,24 @@
 from time import monotonic
 from typing import NamedTuple, Protocol
 
-from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import (
+from quillroad.balancing.actions import (
     Action,
-    AttemptFinished,
     CancelAttempt,
-    ClientDisconnected,
-    EndpointStatus,
-    EndpointUpdate,
-    Event,
     Fail,
     LogMessage,
-    Outcome,
     Reject,
-    RequestArrived,
     SendAttempt,
     SetTimer,
+)
+from quillroad.balancing.balancer import Balancer
+from quillroad.balancing.endpoint import EndpointStatus
+from quillroad.balancing.events import (
+    AttemptFinished,
+    ClientDisconnected,
+    EndpointUpdate,
+    Event,
+    Outcome,
+    RequestArrived,
     StreamStarted,
     TimerFired,
     UpdateKind,
--- a/quillroad/membership/socket.py
+++ b/quillroad/membership/socket.py
@@ -17,7 +17,7 @@
 
 import structlog
 
-from quillroad.balancing.interface import GatewayCountChanged
+from quillroad.balancing.events import GatewayCountChanged
 from quillroad.config import Config
 from quillroad.discovery.source import Source
 from quillroad.engine.engine import Engine
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -12,7 +12,8 @@
 from msgspec import Struct
 
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import Endpoint, EndpointStatus, EndpointUpdate, UpdateKind
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import EndpointUpdate, UpdateKind
 from quillroad.config import Config
 from quillroad.gateway import Gateway
 from quillroad.upgrade.messages import ByHand
--- a/quillroad/upgrade/selftest.py
+++ b/quillroad/upgrade/selftest.py
@@ -6,7 +6,7 @@
 import asyncio
 import dataclasses
 
-from quillroad.balancing.interface import Idempotency
+from quillroad.balancing.settings import Idempotency
 from quillroad.config import RESERVED, Config, StaticHost, StaticHosts
 from quillroad.gateway import Gateway
 
--- a/quillroad/upgrade/shared.py
+++ b/quillroad/upgrade/shared.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import SiblingAttempts
+from quillroad.balancing.events import SiblingAttempts
 from quillroad.config import Config, Descriptors
 from quillroad.downstream.connection_limit import ConnectionState
 from quillroad.downstream.server import ClientConnection, Server
--- a/quillroad/upgrade/state_snapshot.py
+++ b/quillroad/upgrade/state_snapshot.py
@@ -20,7 +20,8 @@
 from msgspec import Struct
 
 from quillroad.balancing.balancer import Attempt, Balancer, Request, ServerState
-from quillroad.balancing.interface import Endpoint, EndpointStatus, Outcome, RequestArrived
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import Outcome, RequestArrived
 
 VERSION = 1
 
--- a/quillroad/upstream/pool.py
+++ b/quillroad/upstream/pool.py
@@ -19,7 +19,7 @@
 
 import httptools
 
-from quillroad.balancing.interface import Outcome
+from quillroad.balancing.events import Outcome
 from quillroad.config import SHORT_BODY, Address, Descriptors
 from quillroad.framing import FRAMED
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
--- a/quillroad/zones/ledger.py
+++ b/quillroad/zones/ledger.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from quillroad.balancing.interface import Outcome
+from quillroad.balancing.events import Outcome
 
 
 @dataclass(slots=True)
--- a/quillroad/zones/zones.py
+++ b/quillroad/zones/zones.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from quillroad.balancing.interface import CrossZoneBytes, Outcome
+from quillroad.balancing.events import CrossZoneBytes, Outcome
 from quillroad.balancing.zone_routing import Crossing
 from quillroad.config import Config, ConfigError
 from quillroad.engine.engine import Engine
--- a/scripts/compile.py
+++ b/scripts/compile.py
@@ -21,7 +21,10 @@
 HOT = (
     "quillroad/balancing/balancer.py",
     "quillroad/balancing/zone_routing.py",
-    "quillroad/balancing/interface.py",
+    "quillroad/balancing/actions.py",
+    "quillroad/balancing/endpoint.py",
+    "quillroad/balancing/events.py",
+    "quillroad/balancing/settings.py",
     "quillroad/overload/admission_queue.py",
     "quillroad/overload/socket_age.py",
     "quillroad/overload/fast_path_parse.py",
@@ -39,7 +42,7 @@
 CHECK = """
 import quillroad.downstream.server, quillroad.engine.engine, quillroad.upstream.pool
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import *
+from quillroad.balancing import *
 b = Balancer(Settings(routes=(Route(latency_objective_us=500_000, deadline_us=900_000),)), 1)
 b.handle(1, [EndpointUpdate(UpdateKind.FULL, (Endpoint(1), Endpoint(2)))])
 for n in range(2000):
--- a/tests/admin/test_decisions.py
+++ b/tests/admin/test_decisions.py
@@ -8,7 +8,8 @@
 
 from quillroad.admin.calls import Act, BadCall, Call, read_call
 from quillroad.admin.hands import MOST, Hands, NoSuchHostError, TooManyError
-from quillroad.balancing.interface import Endpoint, EndpointStatus, EndpointUpdate, UpdateKind
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import EndpointUpdate, UpdateKind
 from quillroad.config import Address
 from quillroad.serving_state import ServingState
 
--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -4,23 +4,19 @@
 
 from typing import Any
 
+from quillroad.balancing.actions import Action, SendAttempt, SetTimer
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import (
-    Action,
+from quillroad.balancing.endpoint import Endpoint
+from quillroad.balancing.events import (
     AttemptFinished,
-    Endpoint,
     EndpointUpdate,
     Event,
-    Idempotency,
     Outcome,
     RequestArrived,
-    Route,
-    SendAttempt,
-    SetTimer,
-    Settings,
     TimerFired,
     UpdateKind,
 )
+from quillroad.balancing.settings import Idempotency, Route, Settings
 from quillroad.balancing.zone_routing import Crossing
 
 AIM_US = 200_000
--- a/tests/balancing/rulecheck.py
+++ b/tests/balancing/rulecheck.py
@@ -4,26 +4,18 @@
 
 from dataclasses import dataclass, field
 
-from quillroad.balancing.interface import (
-    Action,
+from quillroad.balancing.actions import Action, CancelAttempt, Fail, Reject, SendAttempt
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import (
     AttemptFinished,
-    CancelAttempt,
     ClientDisconnected,
-    DeduplicationScope,
-    Endpoint,
-    EndpointStatus,
     EndpointUpdate,
     Event,
-    Fail,
-    Idempotency,
     Outcome,
-    Reject,
     RequestArrived,
-    Route,
-    SendAttempt,
-    Settings,
     UpdateKind,
 )
+from quillroad.balancing.settings import DeduplicationScope, Idempotency, Route, Settings
 
 PROVES_NOTHING_RAN = {"full", "connect_failed", "moot"}
 
--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -13,26 +13,25 @@
 from hypothesis import strategies as st
 
 from quillroad.balancing import balancer as balance
-from quillroad.balancing.interface import (
-    AttemptFinished,
+from quillroad.balancing.actions import (
     CancelAttempt,
+    Fail,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import (
+    AttemptFinished,
     ClientDisconnected,
-    DeduplicationScope,
-    Endpoint,
-    EndpointStatus,
     EndpointUpdate,
-    Fail,
     GatewayCountChanged,
-    Idempotency,
     Outcome,
-    Reject,
     RequestArrived,
-    SendAttempt,
-    SetTimer,
-    Settings,
     UpdateKind,
-    WatchEndpoints,
 )
+from quillroad.balancing.settings import DeduplicationScope, Idempotency, Settings
 from tests.balancing.helpers import AIM_US, DEADLINE_US, Stage, route, settings
 
 MODULE = Path(__file__).parent.parent.parent / "quillroad" / "balancing" / "balancer.py"
@@ -43,7 +42,7 @@
     files = [line for path in POLICY for line in path.read_text().splitlines() if line.strip()]
     assert len(files) <= 1200
     assert max(map(len, files)) <= 110
-    assert "quillroad/balancing/interface.py" in files[0]
+    assert "(`events`)" in files[0] and "(`actions`)" in files[0]
     told = tomllib.loads((MODULE.parent.parent.parent / "deploy" / "balancer.toml").read_text())
     assert told["policy"] == [f"quillroad/balancing/{path.name}" for path in POLICY]
 
--- a/tests/balancing/test_property.py
+++ b/tests/balancing/test_property.py
@@ -11,28 +11,20 @@
 from hypothesis import strategies as st
 
 from quillroad.balancing import balancer as balance
+from quillroad.balancing.actions import CancelAttempt, Fail, Reject, SendAttempt, SetTimer
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import (
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import (
     AttemptFinished,
-    CancelAttempt,
     ClientDisconnected,
-    DeduplicationScope,
-    Endpoint,
-    EndpointStatus,
     EndpointUpdate,
     Event,
-    Fail,
-    Idempotency,
     Outcome,
-    Reject,
     RequestArrived,
-    Route,
-    SendAttempt,
-    SetTimer,
-    Settings,
     TimerFired,
     UpdateKind,
 )
+from quillroad.balancing.settings import DeduplicationScope, Idempotency, Route, Settings
 from tests.balancing.rulecheck import Checker, RuleBroken
 
 WORK_US = 20_000
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -11,20 +11,18 @@
 
 import pytest
 
+from quillroad.balancing.actions import SendAttempt, SetTimer
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import (
+from quillroad.balancing.endpoint import Endpoint
+from quillroad.balancing.events import (
     AttemptFinished,
-    Endpoint,
     EndpointUpdate,
-    Idempotency,
     Outcome,
     RequestArrived,
-    SendAttempt,
-    SetTimer,
-    Settings,
     TimerFired,
     UpdateKind,
 )
+from quillroad.balancing.settings import Idempotency, Settings
 from tests.balancing.helpers import DEADLINE_US, Stage, route, settings
 from tests.net import hang, on_loop, world
 
--- a/tests/config/test_file.py
+++ b/tests/config/test_file.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from quillroad.balancing.interface import Idempotency
+from quillroad.balancing.settings import Idempotency
 from quillroad.config import ConfigError, ConsulHosts, StaticHosts
 from quillroad.config.file import load_file
 
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -6,17 +6,11 @@
 
 import pytest
 
-from quillroad.balancing.interface import (
-    DeduplicationScope,
-    Endpoint,
-    Idempotency,
-    Outcome,
-    Route,
-    SendAttempt,
-    Settings,
-    StreamStarted,
-)
+from quillroad.balancing.actions import SendAttempt
+from quillroad.balancing.endpoint import Endpoint
+from quillroad.balancing.events import Outcome, StreamStarted
 from quillroad.balancing.platform_settings import read_settings
+from quillroad.balancing.settings import DeduplicationScope, Idempotency, Route, Settings
 from tests.balancing.helpers import Stage, route, settings
 
 
--- a/tests/discovery/test_reducer.py
+++ b/tests/discovery/test_reducer.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.balancing.interface import EndpointStatus
+from quillroad.balancing.endpoint import EndpointStatus
 from quillroad.discovery.consul.merge import Views
 from quillroad.discovery.instance import Health, Instance, Snapshot, SourceState, Standing
 from quillroad.discovery.reducer import REMEMBERED, Reducer, server_number
--- a/tests/downstream/test_gateway.py
+++ b/tests/downstream/test_gateway.py
@@ -11,7 +11,7 @@
 
 import quillroad.engine.engine
 import quillroad.upstream.pool
-from quillroad.balancing.interface import ClientDisconnected, Event, RequestArrived, TimerFired
+from quillroad.balancing.events import ClientDisconnected, Event, RequestArrived, TimerFired
 from quillroad.discovery.reducer import server_number
 from quillroad.downstream import connection_limit, server
 from quillroad.downstream.connection_limit import ConnectionState
--- a/tests/membership/test_followers.py
+++ b/tests/membership/test_followers.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, cast
 
-from quillroad.balancing.interface import GatewayCountChanged
+from quillroad.balancing.events import GatewayCountChanged
 from quillroad.config import Config, Peers
 from quillroad.discovery.source import Source
 from quillroad.engine.engine import Engine
--- a/tests/recordings/adapter.py
+++ b/tests/recordings/adapter.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from bench.decisions import hidden_deadline_us, wire_form
+from quillroad.balancing.actions import Action
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import (
-    Action,
+from quillroad.balancing.endpoint import Endpoint
+from quillroad.balancing.events import (
     CrossZoneBytes,
-    Endpoint,
     EndpointUpdate,
     Event,
     GatewayCountChanged,
--- a/tests/recordings/operators.py
+++ b/tests/recordings/operators.py
@@ -11,7 +11,8 @@
 from quillroad.admin.calls import Act, BadCall, Call, read_call
 from quillroad.admin.figures import GAUGES, OUTCOMES, Figures
 from quillroad.admin.front import REASONS, Page, page
-from quillroad.balancing.interface import Endpoint, EndpointUpdate, Outcome, UpdateKind
+from quillroad.balancing.endpoint import Endpoint
+from quillroad.balancing.events import EndpointUpdate, Outcome, UpdateKind
 from quillroad.counts import Counts
 from quillroad.gateway import Gateway
 from tests.admin import test_decisions
--- a/tests/recordings/rejections.py
+++ b/tests/recordings/rejections.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from quillroad.balancing.interface import Route, Settings
 from quillroad.balancing.platform_settings import read_settings
+from quillroad.balancing.settings import Route, Settings
 from quillroad.config import Config, ConfigError, load
 from quillroad.config.file import load_file
 from quillroad.membership.settings import load_fleet
--- a/tests/recordings/upgrade.py
+++ b/tests/recordings/upgrade.py
@@ -13,7 +13,9 @@
 from msgspec import Struct
 
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import Endpoint, EndpointStatus, Idempotency, Outcome
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import Outcome
+from quillroad.balancing.settings import Idempotency
 from quillroad.gateway import Gateway
 from quillroad.upgrade.canary import Canary
 from quillroad.upgrade.messages import (
--- a/tests/recordings/zones.py
+++ b/tests/recordings/zones.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from quillroad.balancing.interface import Outcome
+from quillroad.balancing.events import Outcome
 from quillroad.balancing.zone_routing import Allowance, Budget, Crossing, Reason
 from quillroad.zones.ledger import Ledger
 from quillroad.zones.report import (
--- a/tests/upgrade/test_sections.py
+++ b/tests/upgrade/test_sections.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from quillroad.balancing.interface import EndpointStatus
+from quillroad.balancing.endpoint import EndpointStatus
 from quillroad.config import ConsulHosts
 from quillroad.discovery.instance import Instance, Snapshot, Standing
 from quillroad.gateway import Gateway
--- a/tests/upgrade/test_state_snapshot.py
+++ b/tests/upgrade/test_state_snapshot.py
@@ -7,16 +7,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from quillroad.balancing.actions import Action, SendAttempt
 from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.interface import (
-    Action,
-    Endpoint,
-    EndpointStatus,
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import (
     EndpointUpdate,
     Event,
     Outcome,
     RequestArrived,
-    SendAttempt,
     SiblingAttempts,
     UpdateKind,
 )
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from quillroad.balancing.interface import Outcome
+from quillroad.balancing.events import Outcome
 from quillroad.config import RESERVED, Address, Descriptors
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
 from quillroad.upstream import pool
--- a/tests/zones/test_crossing.py
+++ b/tests/zones/test_crossing.py
@@ -8,18 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.balancing.interface import (
-    DeduplicationScope,
-    Endpoint,
-    EndpointStatus,
-    EndpointUpdate,
-    Idempotency,
-    LogMessage,
-    Outcome,
-    Reject,
-    SendAttempt,
-    UpdateKind,
-)
+from quillroad.balancing.actions import LogMessage, Reject, SendAttempt
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import EndpointUpdate, Outcome, UpdateKind
+from quillroad.balancing.settings import DeduplicationScope, Idempotency
 from quillroad.balancing.zone_routing import FREE, Allowance, Budget, Crossing, Reason
 from quillroad.zones.ledger import ENDS, Ledger
 from quillroad.zones.report import MINUTES, Minutes
