--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -225,6 +225,13 @@
         budget={"share": 0.1, "classes": ((True, 0.0), (True, 0.3)), "window_us": 5 * SECOND},
         script=restarting_servers,
     ),
+    Scenario(
+        "zones_with_copies", settings(STATUS, SEAT, zone=0), (3, 1),
+        {"crossings": 50, "hedges": 20},
+        gateways=1, servers=4, zones=4, slow_tail=0.15, per_s=30.0, service_us=(6_000,),
+        budget={"share": 0.25, "classes": ((True, 0.0), (True, 0.0)), "window_us": 2 * SECOND,
+                "lost_below": 0.0, "hold_us": 0},
+    ),
     Scenario(
         "zones_with_price", settings(STATUS, ZONAL, zone=0, prices={"cross_zone": 0.15}), (3, 1),
         {"crossings": 50, "retries": 10},
@@ -291,6 +298,11 @@
         "overload", settings(STATUS, SEAT, ONCE, limits=NO_COPIES), (3, 1, 1),
         {"deny": 300, "sends once": 50}, servers=3, per_s=400.0, service_us=(60_000,),
     ),
+    Scenario(
+        "collapse", settings(STATUS, LATE, guarantees={"ask_within": SECOND}), (3, 1),
+        {"deny": 300, "log eject": 5}, servers=6, service_us=(50_000,),
+        faults=(Fault("slow", (0, 1, 2, 3, 4, 5), SECOND, 6 * SECOND),),
+    ),
     Scenario(
         "handover_of_work", settings(STATUS, SEAT, ONCE, orgs=ORGS), (3, 1, 1),
         {"handovers": 4, "open_at_handover": 10, "retries": 20, "hedges": 5, "deny": 5},
