--- a/quillroad/balancing/balancer.py
+++ b/quillroad/balancing/balancer.py
@@ -257,7 +257,7 @@
         # Own share of a server's concurrency limit.
         self.limit = (LIMIT if settings.gateway_count <= LIMIT else SHARED) / settings.gateway_count
         self.crowding = 1.0  # latency in a full server over the uncrowded one, smoothed
-        self.warms = True  # the turns at cold servers are ours
+        self.owns_slow_start = True  # the turns at cold servers are ours
         self.room = max(1.0, self.limit)  # own places at each server drawn from
         self.width = 0  # servers in the window at the last pick
         self.share = 0.0  # own part of the places at all servers of the window
@@ -274,7 +274,7 @@
         self.flying = self.beside = (
             0  # attempts out and not overdue: own, of this gateway's other process
         )
-        self.tally: dict[str, int] = {}  # what was refused, and why; copies and ejections
+        self.counters: dict[str, int] = {}  # what was refused, and why; copies and ejections
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
         self.now, self.actions = now_us, []
@@ -288,8 +288,27 @@
             self.drain()
         return self.actions
 
+    def endpoint(self, number: int) -> Endpoint | None:
+        """The entry of the endpoint list with this id; None where there is none."""
+        host = self.servers.get(number)
+        return None if host is None else host.spec
+
+    def gauges(self, now_us: int) -> dict[str, float]:
+        """How the balancer stands, by the names that the log of each second has for it."""
+        return {
+            "queued": self.queued,
+            "admitted": round(self.admitted, 3),
+            "width": self.width or len(self.candidates),
+            "limit": round(self.limit, 2),
+            "nerve": round(self.nerve, 2),
+            "pace": round(self.recent, 1),
+            "ejected": sum(not s.well(now_us) for s in self.candidates),
+            "cold": len(self.cold),
+            "hosts": len(self.candidates),
+        }
+
     def count(self, what: str) -> None:
-        self.tally[what] = self.tally.get(what, 0) + 1
+        self.counters[what] = self.counters.get(what, 0) + 1
 
     def alarm(self, delay_us: float, act: Callable[[Any], None], about: Any = None) -> None:
         self.tags += 1
@@ -339,7 +358,7 @@
     def on_beside(self, event: SiblingAttempts) -> None:
         """What another process of this gateway has out counts as ours: guards against two that each fill a
         server's limit, and, by `warms`, against two that use one turn at a cold server."""
-        self.warms, self.beside = (
+        self.owns_slow_start, self.beside = (
             event.owns_slow_start,
             sum(out - late for out, late in event.in_flight.values()),
         )
@@ -554,7 +573,7 @@
         Who has the turn may use all that is safe: an even share would be under one request."""
         if not self.is_cold(s):
             return True
-        if not self.warms:
+        if not self.owns_slow_start:
             return False
         told, since_us = self.settings, max(0, self.now - (s.spec.started_us or 0))
         if (
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -161,24 +161,12 @@
     @property
     def counters(self) -> dict[str, int]:
         """What the module has counted since its start."""
-        return self._balancer.tally
+        return self._balancer.counters
 
     @property
     def gauges(self) -> dict[str, float]:
         """How the module stands at the moment."""
-        module = self._balancer
-        return {
-            "open": len(self._open),
-            "queued": module.queued,
-            "admitted": round(module.admitted, 3),
-            "width": module.width or len(module.candidates),
-            "limit": round(module.limit, 2),
-            "nerve": round(module.nerve, 2),
-            "pace": round(module.recent, 1),
-            "ejected": sum(not s.well(self._latest_us) for s in module.candidates),
-            "cold": len(module.cold),
-            "hosts": len(module.candidates),
-        }
+        return {"open": len(self._open), **self._balancer.gauges(self._latest_us)}
 
     # From the client side.
 
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -97,7 +97,7 @@
             [
                 HostLine(host.name, host.address, *_line(_listed(gateway, number)))
                 for number, host in engine.hosts.items()
-                if number in engine.balancer.servers
+                if engine.balancer.endpoint(number) is not None
             ],
             source,
             position,
@@ -151,7 +151,9 @@
 def _listed(gateway: Gateway, number: int) -> Endpoint:
     """A host as its source tells it, under whatever operators have done."""
     told = gateway.admin.hands.told(number) if gateway.admin is not None else None
-    return told or _engine(gateway).balancer.servers[number].spec
+    listed = told or _engine(gateway).balancer.endpoint(number)
+    assert listed is not None  # the caller asks for hosts of the endpoint list only
+    return listed
 
 
 def _names(config: Config) -> Names:
--- a/quillroad/upgrade/shared.py
+++ b/quillroad/upgrade/shared.py
@@ -79,7 +79,7 @@
 
     def learn_warms(self, warms: bool) -> None:
         """Whose the turns at cold hosts are has changed."""
-        if warms is not self._balancer.warms:
+        if warms is not self._balancer.owns_slow_start:
             self.feed(SiblingAttempts(self._beside, warms))
 
     def alone(self) -> None:
--- a/tests/upgrade/test_sections.py
+++ b/tests/upgrade/test_sections.py
@@ -139,9 +139,9 @@
         number = next(iter(engine.hosts))
         engine.learn(Out([(number, 2, 1)], ["r-1"]), warms=False)
         server = engine.balancer.servers[number]
-        assert not engine.balancer.warms and (server.in_flight, server.overdue) == (2, 1)
+        assert not engine.balancer.owns_slow_start and (server.in_flight, server.overdue) == (2, 1)
         assert engine.is_open("r-1") and engine.out() is None
         engine.learn_warms(True)
-        assert engine.balancer.warms and (server.in_flight, server.overdue) == (2, 1)
+        assert engine.balancer.owns_slow_start and (server.in_flight, server.overdue) == (2, 1)
         engine.alone()
         assert (server.in_flight, server.overdue) == (0, 0) and not engine.is_open("r-1")
