--- a/quillroad/discovery/__init__.py
+++ b/quillroad/discovery/__init__.py
@@ -1,5 +1,7 @@
-"""Which hosts there are: sources that tell of them, and the one reducer that turns what they tell into lists.
+"""Discovery: which hosts there are.
 
-`instance`, `reduce` and the rules under `consul/` (`index`, `health`, `agents`) decide and do no I/O; sources
-are the sides towards the network and files. Nothing here knows of requests.
+Sources (the platform, Consul, a file) tell of instances; one reducer turns what they tell into
+endpoint lists for the engine. `instance`, `reducer`, `platform_list`, `freshness`, `poll_schedule`
+and the rules under `consul/` (`index`, `health`, `agents`, `merge`, `register`) decide and do no
+I/O; the sources are the sides towards the network and files. Nothing here knows of requests.
 """
--- a/quillroad/discovery/consul/__init__.py
+++ b/quillroad/discovery/consul/__init__.py
@@ -1,1 +1,1 @@
-"""Consul's catalogue and health API as a source (https://developer.hashicorp.com/consul/api-docs)."""
+"""Consul's health API as a source of hosts (https://developer.hashicorp.com/consul/api-docs)."""
--- a/quillroad/discovery/consul/health.py
+++ b/quillroad/discovery/consul/health.py
@@ -1,7 +1,7 @@
 """What an answer of `/v1/health/service/:name` says of each instance. No I/O.
 
-Source: https://developer.hashicorp.com/consul/api-docs/health#list-service-instances-for-service. Fields that
-are not named here are passed over. An entry that cannot be read costs itself and no other.
+Source: https://developer.hashicorp.com/consul/api-docs/health#list-service-instances-for-service.
+Fields that are not named here are passed over. An entry that cannot be read is left out alone.
 """
 
 from __future__ import annotations
@@ -12,10 +12,13 @@
 import msgspec
 
 from quillroad.config import Address
-from quillroad.discovery.instance import Instance, Standing
+from quillroad.discovery.instance import Instance, InstanceStatus
 
 NODE_MAINTENANCE, SERVICE_MAINTENANCE = "_node_maintenance", "_service_maintenance:"
-MOST_ENTRIES = 20_000  # of one answer
+MOST_ENTRIES = 20_000  # of one answer: ten times the largest fleet
+LEAST_WEIGHT = 1e-3
+LONGEST_NUMBER = 15  # digits of a number in the metadata
+SHOWN_CHARACTERS = 40  # of a value that makes no sense, in the reason
 
 
 class ConsulError(Exception):
@@ -61,25 +64,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mapping:
-    """Under which keys of `Service.Meta` an instance tells what, and which tagged address to use (empty: the
-    service's own address, and the node's where it has none). Starts are Unix time in milliseconds."""
+class MetadataKeys:
+    """Under which keys of `Service.Meta` an instance tells what, and which tagged address to use.
+
+    No tagged address: the service's own address, and the node's where it has none. Starts are Unix
+    time in milliseconds.
+    """
 
     zone: str = "zone"
-    kind: str = "machine-type"
+    machine_type: str = "machine-type"
     cell: str = "cell"
     started: str = "started-at-ms"
     tagged_address: str = ""
 
 
-class Reading(NamedTuple):
+class HealthReading(NamedTuple):
     """The instances, and a plain line for each entry that could not be read."""
 
     instances: tuple[Instance, ...]
     unread: tuple[str, ...]
 
 
-def read_health(body: bytes, mapping: Mapping) -> Reading:
+def read_health(body: bytes, keys: MetadataKeys) -> HealthReading:
     """All entries of an answer; raises `ConsulError` where it is no list of entries."""
     try:
         entries = msgspec.json.decode(body, type=list[msgspec.Raw])
@@ -90,54 +96,58 @@
     instances, unread = [], []
     for number, raw in enumerate(entries):
         try:
-            instances.append(_instance(msgspec.json.decode(raw, type=_Entry), mapping))
+            instances.append(_instance(msgspec.json.decode(raw, type=_Entry), keys))
         except (msgspec.DecodeError, ValueError) as error:
             unread.append(f"entry {number}: {error}")
-    return Reading(tuple(instances), tuple(unread))
+    return HealthReading(tuple(instances), tuple(unread))
 
 
-def _instance(entry: _Entry, mapping: Mapping) -> Instance:
+def _instance(entry: _Entry, keys: MetadataKeys) -> Instance:
     node, service, meta = entry.Node, entry.Service, entry.Service.Meta or {}
     if not service.ID or not node.Node:
         raise ValueError("no name of a node or service")
-    standing, warning = judge(entry.Checks or [])
+    status, is_warning = status_of(entry.Checks or [])
     weights = service.Weights or _Weights()
-    weight = weights.Warning if warning else weights.Passing
+    weight = weights.Warning if is_warning else weights.Passing
     return Instance(
         id=f"{node.Node}/{service.ID}",  # a service's id is unique within its node only
-        address=_address(node, service, mapping.tagged_address),
-        standing=standing if weight > 0 else Standing.DRAINING,
-        zone=meta.get(mapping.zone, ""),
-        kind=meta.get(mapping.kind, ""),
-        cell=_number(meta, mapping.cell),
-        weight=max(weight, 1e-3),
-        started_us=_number(meta, mapping.started) * 1000,
+        address=_address(node, service, keys.tagged_address),
+        status=status if weight > 0 else InstanceStatus.DRAINING,
+        zone=meta.get(keys.zone, ""),
+        machine_type=meta.get(keys.machine_type, ""),
+        cell=_number(meta, keys.cell),
+        weight=max(weight, LEAST_WEIGHT),
+        started_us=_number(meta, keys.started) * 1000,
     )
 
 
-def judge(checks: list[_Check]) -> tuple[Standing, bool]:
-    """The standing that its checks give an instance, and whether it is a warning.
+def status_of(checks: list[_Check]) -> tuple[InstanceStatus, bool]:
+    """The status that its checks give an instance, and whether there is a warning.
 
-    Maintenance, of the node or of the service, is a drain: somebody wants it empty, and its process runs. Any
-    other check that is critical puts it out. A status that is not known is taken for critical."""
-    if any(
-        c.CheckID == NODE_MAINTENANCE or c.CheckID.startswith(SERVICE_MAINTENANCE) for c in checks
-    ):
-        return Standing.DRAINING, False
+    Maintenance, of the node or of the service, is a drain: somebody wants it empty, and its process
+    runs. Any other check that is critical makes it unhealthy. An unknown status is taken for
+    critical.
+    """
+    if any(_is_maintenance(check) for check in checks):
+        return InstanceStatus.DRAINING, False
     statuses = {check.Status for check in checks}
     if statuses - {"passing", "warning"}:
-        return Standing.OUT, False
-    return Standing.UP, "warning" in statuses
+        return InstanceStatus.UNHEALTHY, False
+    return InstanceStatus.UP, "warning" in statuses
+
+
+def _is_maintenance(check: _Check) -> bool:
+    return check.CheckID == NODE_MAINTENANCE or check.CheckID.startswith(SERVICE_MAINTENANCE)
 
 
 def _address(node: _Node, service: _Service, tag: str) -> Address:
     host, port = service.Address or node.Address, service.Port
-    if tag:
-        told = (service.TaggedAddresses or {}).get(tag)
-        if told is not None:
-            host, port = told.address or told.Address or host, told.port or told.Port or port
-        elif tag in (node.TaggedAddresses or {}):
-            host = (node.TaggedAddresses or {})[tag]
+    tagged = (service.TaggedAddresses or {}).get(tag) if tag else None
+    if tagged is not None:
+        host = tagged.address or tagged.Address or host
+        port = tagged.port or tagged.Port or port
+    elif tag and tag in (node.TaggedAddresses or {}):
+        host = (node.TaggedAddresses or {})[tag]
     if not host or not 0 < port < 65536:
         raise ValueError(f"no address: {host!r}:{port}")
     return host, port
@@ -147,6 +157,7 @@
     text = meta.get(key, "")
     if not text:
         return 0
-    if not (text.isascii() and text.isdigit() and len(text) < 16):
-        raise ValueError(f"Meta.{key}: needs a whole number, not {text[:40]!r}")
+    if not (text.isascii() and text.isdigit() and len(text) <= LONGEST_NUMBER):
+        shown = text[:SHOWN_CHARACTERS]
+        raise ValueError(f"Meta.{key}: needs a whole number, not {shown!r}")
     return int(text)
--- a/quillroad/discovery/fetch.py
+++ b/quillroad/discovery/fetch.py
@@ -1,15 +1,18 @@
-"""One request, with a bound on its time and its size: what sources need of HTTP and no more."""
+"""One HTTP request with a bound on its time and its size: what sources need of HTTP."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Mapping
 from typing import NamedTuple
 
 import httptools
 
 from quillroad.config import Address
 
-HEAD_LIMIT = 16 * 1024
+HEAD_LIMIT_BYTES = 16 * 1024
+CONNECT_TIMEOUT_S = 1.0
+READ_BYTES = 65536
 
 
 class FetchError(Exception):
@@ -17,21 +20,22 @@
 
 
 class Response(NamedTuple):
-    """A whole answer; names of headers in small letters."""
+    """A whole answer; header names in lower case."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
 
-class _Reader:
-    """Callbacks of the parser."""
+class _ResponseReader:
+    """Callbacks of the parser, with bounds on head and body."""
 
     def __init__(self, body_limit: int) -> None:
         self.headers: dict[str, str] = {}
         self.body: list[bytes] = []
         self.complete = False
-        self._left, self._head_left = body_limit, HEAD_LIMIT
+        self._body_left = body_limit
+        self._head_left = HEAD_LIMIT_BYTES
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._head_left -= len(name) + len(value)
@@ -40,8 +44,8 @@
         self.headers[name.lower().decode("latin-1")] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        self._left -= len(body)
-        if self._left < 0:
+        self._body_left -= len(body)
+        if self._body_left < 0:
             raise FetchError("body too long")
         self.body.append(body)
 
@@ -52,44 +56,62 @@
 async def fetch(
     address: Address,
     target: str,
-    headers: dict[str, str],
+    headers: Mapping[str, str],
     timeout_s: float,
     body_limit: int,
-    connect_s: float = 1.0,
+    connect_s: float = CONNECT_TIMEOUT_S,
     method: str = "GET",
     body: bytes = b"",
 ) -> Response:
-    """Ask for `target` on a connection of its own; raises `FetchError` for whatever keeps an answer from
-    being whole in time."""
-    reader = _Reader(body_limit)
-    parser = httptools.HttpResponseParser(reader)
+    """Request `target` on a connection of its own.
+
+    `timeout_s` seconds are for the answer, `connect_s` for the connect, `body_limit` is in bytes.
+    Raises `FetchError` for whatever keeps an answer from being whole in time.
+    """
     try:
         async with asyncio.timeout(connect_s):
             source, sink = await asyncio.open_connection(*address)
     except (OSError, TimeoutError) as error:
         raise FetchError(f"cannot connect: {error or 'no answer'}") from None
     try:
-        lines = [f"{method} {target} HTTP/1.1", f"Host: {address[0]}:{address[1]}"]
-        lines.append("Accept: application/json")
-        lines += [f"{name}: {value}" for name, value in headers.items()]
-        if method != "GET":
-            lines.append(f"Content-Length: {len(body)}")
-        sink.write("\r\n".join(lines).encode() + b"\r\nConnection: close\r\n\r\n" + body)
+        sink.write(_request(address, target, headers, method, body))
         async with asyncio.timeout(timeout_s):
-            while not reader.complete:
-                data = await source.read(65536)
-                if not data:
-                    raise FetchError("the answer is not whole")
-                parser.feed_data(data)
+            return await _read_response(source, body_limit)
     except TimeoutError:
         raise FetchError("silent") from None
     except OSError as error:
         raise FetchError(f"broken off: {error}") from None
-    except httptools.HttpParserError as error:
-        context = error.__context__
-        raise FetchError(
-            str(context) if isinstance(context, FetchError) else f"not HTTP: {error}"
-        ) from None
     finally:
         sink.close()
+
+
+def _request(
+    address: Address, target: str, headers: Mapping[str, str], method: str, body: bytes
+) -> bytes:
+    lines = [
+        f"{method} {target} HTTP/1.1",
+        f"Host: {address[0]}:{address[1]}",
+        "Accept: application/json",
+        *(f"{name}: {value}" for name, value in headers.items()),
+    ]
+    if method != "GET":
+        lines.append(f"Content-Length: {len(body)}")
+    return "\r\n".join(lines).encode() + b"\r\nConnection: close\r\n\r\n" + body
+
+
+async def _read_response(source: asyncio.StreamReader, body_limit: int) -> Response:
+    reader = _ResponseReader(body_limit)
+    parser = httptools.HttpResponseParser(reader)
+    while not reader.complete:
+        data = await source.read(READ_BYTES)
+        if not data:
+            raise FetchError("the answer is not whole")
+        try:
+            parser.feed_data(data)
+        except httptools.HttpParserError as error:
+            # The parser wraps what a callback raises.
+            context = error.__context__
+            if isinstance(context, FetchError):
+                raise context from None
+            raise FetchError(f"not HTTP: {error}") from None
     return Response(parser.get_status_code(), reader.headers, b"".join(reader.body))
--- a/quillroad/discovery/freshness.py
+++ b/quillroad/discovery/freshness.py
@@ -1,61 +1,75 @@
-"""How current the list of hosts is, as one clock that all steps of asking for it anew share. No I/O.
+"""How current the endpoint list is: one clock that all steps of polling for it share. No I/O.
 
-A change counts as told 6 s after discovery had it and could be reached, whatever became of a call. So there
-is one moment from which on a change may have been missed: the last sign of life of the watch, or the begin
-of the last call that failed, for until then discovery could not be reached. Noticing silence, connecting,
-the wait for the own turn and the answer have to fit into the 6 s behind it together; with a time-out for
-each they took 3 s of silence, 1 s for the connect and a wait of up to 10 s.
+A change counts as notified 6 s after discovery had it and could be reached, whatever became of a
+call. So there is one moment from which on a change may have been missed: the last sign of life of
+the watch, or the begin of the last call that failed, for until then discovery could not be reached.
+Noticing silence, connecting, waiting for this gateway's part of the round and the answer have to
+fit into the 6 s after that moment together. With a timeout for each of them they took up to 14 s.
 
-The list itself never ends (static stability): what it holds is served by for as long as discovery says
-nothing, since a fleet that runs is not given up because nobody tells of it.
+The list itself never expires (static stability): what it holds is served by for as long as
+discovery says nothing, since a fleet that runs is not given up because nobody tells of it.
 """
 
 from __future__ import annotations
 
-TOLD_S = 6.0  # so long after discovery had a change and could be reached it counts as told
-MOVED_S = 4.0  # after discovery has moved
-# For connect and answer. Hosts that leave may be sent to for 0.5 s more, which a slow answer may use up.
+# A change counts as notified so long after discovery had it and could be reached: the operators'
+# own term.
+NOTIFIED_AFTER_S = 6.0
+# The same after the configuration named another discovery service: the old list may be that of
+# another fleet.
+NOTIFIED_AFTER_MOVE_S = 4.0
+# For connecting and the answer. Hosts that leave may be sent to for 0.5 s more, which a slow answer
+# may use up.
 ANSWER_S = 0.5
-# Without a sign of life: one is due every 2 s, and loops and networks take up to half a second. With 3 s,
-# and a round of those 3 s that are left, 200 gateways at a service of 40 calls a second had their lists
-# after 7 s.
+# Without a sign of life: one is due every 2 s, and loops and networks take up to half a second of
+# that.
 SILENCE_S = 2.5
-# Of a new call to an agent of one's own, which answers at once: one that has fallen silent swallows calls,
-# and when it is back it counts as heard, so it is asked often.
-AGENT_S = 0.4
-AGENT_CALLS = (
-    20  # so many in vain, and each waits twice as long: an agent that has got slow is heard, too
-)
+# The first timeout of a call to an agent of one's own, which answers at once. An agent that fell
+# silent swallows calls, and when it is back its list counts as notified, so it is polled often.
+AGENT_TIMEOUT_S = 0.4
+# After so many failed calls the timeout doubles: an agent that has become slow is heard, too.
+AGENT_CALLS_PER_DOUBLING = 20
 
 
-class Currency:
-    """The clock of one gateway's list. Times are seconds of one clock that never goes back. `own` says that
-    the list comes from an agent on this machine that answers at once."""
+class EndpointFreshness:
+    """The clock of one gateway's endpoint list.
 
-    def __init__(self, now: float, own: bool) -> None:
-        self._own, self._in_vain = own, 0
-        self.since, self._told_s = now, TOLD_S  # from when on a change may have been missed
+    Times are seconds of one clock that never goes back. `has_own_agent` says that the list comes
+    from an agent on this machine that answers at once.
+    """
+
+    def __init__(self, now: float, has_own_agent: bool) -> None:
+        self._has_own_agent = has_own_agent
+        self._failed_calls = 0  # since the last sign of life
+        self.since = now  # from when on a change may have been missed
+        self._notified_after_s = NOTIFIED_AFTER_S
 
     def heard(self, now: float) -> None:
-        """A sign of life of a watch: all that was told before has come."""
-        self.since, self._told_s, self._in_vain = max(self.since, now), TOLD_S, 0
+        """Note a sign of life of a watch: all that was told before it has come."""
+        self.since = max(self.since, now)
+        self._notified_after_s = NOTIFIED_AFTER_S
+        self._failed_calls = 0
 
     def failed(self, began: float) -> None:
-        """A call that began then has brought no list."""
+        """Note that a call that began then has brought no list."""
         if began > self.since:
-            self.since, self._told_s = began, TOLD_S
-        self._in_vain += 1
+            self.since = began
+            self._notified_after_s = NOTIFIED_AFTER_S
+        self._failed_calls += 1
 
     def moved(self, now: float) -> None:
-        """Another discovery is to be asked from now on."""
-        self.since, self._told_s, self._in_vain = now, MOVED_S, 0
+        """Note that another discovery service is to be polled from now on."""
+        self.since = now
+        self._notified_after_s = NOTIFIED_AFTER_MOVE_S
+        self._failed_calls = 0
 
     def first_byte_s(self) -> float:
         """Seconds that a new call may take until its first list begins to come."""
-        if not self._own:
+        if not self._has_own_agent:
             return SILENCE_S
-        return min(SILENCE_S, AGENT_S * 2.0 ** (self._in_vain // AGENT_CALLS))
+        doublings = self._failed_calls // AGENT_CALLS_PER_DOUBLING
+        return min(SILENCE_S, AGENT_TIMEOUT_S * 2.0**doublings)
 
     def left_s(self, now: float) -> float:
-        """Seconds until the next call has to begin, for its answer to come in time; 0 at the least."""
-        return max(0.0, self.since + self._told_s - ANSWER_S - now)
+        """Seconds until the next call has to begin for its answer to come in time; not below 0."""
+        return max(0.0, self.since + self._notified_after_s - ANSWER_S - now)
--- a/quillroad/discovery/instance.py
+++ b/quillroad/discovery/instance.py
@@ -1,5 +1,4 @@
-"""What sources tell: instances of the service, whole lists and changes, and how the source itself fares. No
-I/O."""
+"""What sources tell: instances of the service, and how the source itself fares. No I/O."""
 
 from __future__ import annotations
 
@@ -10,24 +9,27 @@
 from quillroad.config import Address
 
 
-class Standing(Enum):
+class InstanceStatus(Enum):
     """What a source says of an instance."""
 
     UP = "up"
     DRAINING = "draining"  # finishes what it has, wants nothing new: a drain, or maintenance
-    OUT = "out"  # is there and may not be used: its check fails
+    UNHEALTHY = "out"  # is there and may not be used: its check fails
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One instance. `id` is the same at every gateway and after a restart of the process; `started_us` is
-    when the process last started (Unix time, microseconds), 0 where that is long ago or not told."""
+    """One instance of the service.
+
+    `id` is the same at every gateway and after a restart of the process. `started_us` is when the
+    process last started (Unix time, microseconds), 0 where that is long ago or unknown.
+    """
 
     id: str
     address: Address
-    standing: Standing = Standing.UP
+    status: InstanceStatus = InstanceStatus.UP
     zone: str = ""
-    kind: str = ""
+    machine_type: str = ""
     cell: int = 0
     weight: float = 1.0
     started_us: int = 0
@@ -35,34 +37,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The whole list. `tells_starts`: the source knows when processes start, so that nothing has to be
-    guessed from their coming and going."""
+    """The whole list.
+
+    `tells_starts`: the source knows when processes start, so that nothing has to be guessed from
+    their coming and going.
+    """
 
     instances: tuple[Instance, ...]
     version: int = 0
     tells_starts: bool = False
 
 
-class Health(Enum):
+class SourceHealth(Enum):
     """How a source fares."""
 
     STARTING = "starting"  # has told nothing yet
     FRESH = "fresh"
-    STALE = "stale"  # what it told stands, and nobody knows of later changes
+    STALE = "stale"  # what it told stays in use, and nobody knows of later changes
 
 
 @dataclass(frozen=True, slots=True)
 class SourceState:
-    """`since` is when it came to that (monotonic seconds), `why` one plain line."""
+    """A source's health, since when (monotonic seconds), and why, as one plain line."""
 
-    health: Health = Health.STARTING
+    health: SourceHealth = SourceHealth.STARTING
     since: float = 0.0
     why: str = ""
 
 
 @dataclass(slots=True)
-class Listener:
-    """Who is told: of each list, and of the source's own state."""
+class SourceListener:
+    """Who is told of each list, and of the source's own state."""
 
     on_snapshot: Callable[[Snapshot], None]
     on_state: Callable[[SourceState], None] = field(default=lambda _: None)
--- a/quillroad/discovery/partial_line_recovery.py
+++ b/quillroad/discovery/partial_line_recovery.py
@@ -1,46 +1,73 @@
-"""What a broken line of the list still tells. No I/O.
+"""What a broken document of the endpoint list still tells. No I/O.
 
-A line that broke off or can't be read whole is not believed as a list. But what it had told by then is told:
-a host that it says drains or is gone must get nothing new, whatever became of the rest. A host of which only
-the id can be read has changed, and nobody knows how: until the next list it gets nothing new either.
+A document that broke off or cannot be read whole is not believed as a list. But what it had told by
+then counts as notified: a host that it says drains or is gone must get nothing new, whatever became
+of the rest. A host of which only the id can be read has changed, and nobody knows how: until the
+next list it gets nothing new either.
 """
 
 from __future__ import annotations
 
 import json
 import re
-from typing import Any
+from typing import Any, NamedTuple
+
+LONGEST_BYTES = 256 * 1024  # looked at: a list of 1,000 hosts
+MOST_UNREADABLE = 64  # places where no entry could be read, before the search ends
+NOT_FOUND = -1  # of `str.find`
 
-LONGEST, MOST_UNREADABLE = 256 * 1024, 64  # bytes looked at; places where no entry could be read
 _decode = json.JSONDecoder().raw_decode
-_named = re.compile(r'"instanceId"\s*:\s*"([^"\\{}]+)"')
-_up = re.compile(r'"lifecycle"\s*:\s*"up"')
+_ID = re.compile(r'"instanceId"\s*:\s*"([^"\\{}]+)"')
+_IS_UP = re.compile(r'"lifecycle"\s*:\s*"up"')
+
+
+class _Found(NamedTuple):
+    """What stands at one brace: the id of a host that leaves, or none; and where it ends."""
 
+    name: str | None
+    end: int
+    readable: bool
 
-def leaving(line: bytes) -> list[str]:
-    """Ids of the hosts that a broken line says, or may have been about to say, drain or are gone, in their
-    order."""
-    text = line[:LONGEST].decode("utf-8", "replace")
-    at = text.find('"instances"')
-    at = text.find("{", at) if at >= 0 else -1
+
+def draining_ids(document: bytes) -> list[str]:
+    """Ids of the hosts that a broken document says drain or are gone.
+
+    Also those of which it may have been about to say so. They come in the document's order.
+    """
+    text = document[:LONGEST_BYTES].decode("utf-8", "replace")
+    position = text.find('"instances"')
+    if position != NOT_FOUND:
+        position = text.find("{", position)
     names: list[str] = []
     unreadable = 0
-    while at >= 0 and unreadable < MOST_UNREADABLE:
-        entry: Any
-        try:
-            entry, end = _decode(text, at)
-        except (ValueError, RecursionError):
-            unreadable += 1
-            end = at + 1  # past what can't be read, the next entry may be whole
-            after = text.find("{", end)
-            part = text[at : after if after >= 0 else len(text)]
-            named = _named.search(part)
-            if named and not _up.search(part):
-                names.append(named[1])
-        else:
-            if entry.get("lifecycle") in ("draining", "removed") and isinstance(
-                entry.get("instanceId"), str
-            ):
-                names.append(entry["instanceId"])
-        at = text.find("{", end)
+    while position != NOT_FOUND and unreadable < MOST_UNREADABLE:
+        found = _entry_at(text, position)
+        unreadable += not found.readable
+        if found.name is not None:
+            names.append(found.name)
+        position = text.find("{", found.end)
     return names
+
+
+def _entry_at(text: str, position: int) -> _Found:
+    try:
+        entry, end = _decode(text, position)
+    except (ValueError, RecursionError):
+        return _unreadable_entry_at(text, position)
+    return _Found(_leaving_id(entry), end, readable=True)
+
+
+def _leaving_id(entry: Any) -> str | None:
+    name = entry.get("instanceId")
+    leaves = entry.get("lifecycle") in ("draining", "removed")
+    return name if leaves and isinstance(name, str) else None
+
+
+def _unreadable_entry_at(text: str, position: int) -> _Found:
+    """Past what cannot be read, the next entry may be whole."""
+    end = position + 1
+    following = text.find("{", end)
+    part = text[position : following if following != NOT_FOUND else len(text)]
+    named = _ID.search(part)
+    name = named[1] if named and not _IS_UP.search(part) else None
+    return _Found(name, end, readable=False)
--- a/quillroad/discovery/platform.py
+++ b/quillroad/discovery/platform.py
@@ -1,51 +1,43 @@
-"""The platform's discovery: watches the list of hosts and turns each document into a `ServerList`.
+"""The platform's discovery service: watches the endpoint list over HTTP.
 
-The last list stands whatever happens to the watch: a fleet that runs is not given up because nobody tells of
-it. Of a line that broke off or makes no sense no more is taken than which hosts leave; the watch starts again
-from the last version understood.
+The last list stays in use whatever happens to the watch (static stability): a fleet that runs is
+not given up because nobody tells of it. A watch that broke, fell silent or made no sense is begun
+again from the last generation understood.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
 import logging
 import random
-from collections.abc import Mapping
 from time import monotonic
-from typing import Any
 
 import httptools
 
-from quillroad.balancing.endpoint import Endpoint, EndpointStatus
-from quillroad.balancing.events import EndpointUpdate, UpdateKind
-from quillroad.config import Address, Config, ConfigError, read_address
+from quillroad.balancing.events import UpdateKind
+from quillroad.config import Address, Config, ConfigError
 from quillroad.discovery.feed import Update
-from quillroad.discovery.freshness import SILENCE_S, Currency
-from quillroad.discovery.json_stream import BrokenDocument, Documents
-from quillroad.discovery.partial_line_recovery import leaving
-from quillroad.discovery.poll_schedule import Pacing
-from quillroad.discovery.reducer import server_number
+from quillroad.discovery.freshness import SILENCE_S, EndpointFreshness
+from quillroad.discovery.json_stream import BrokenDocumentError, JsonDocumentStream
+from quillroad.discovery.platform_list import ListChange, MalformedListError, PlatformList
+from quillroad.discovery.poll_schedule import PollSchedule
 
 log = logging.getLogger("quillroad.discovery.platform")
 
-STATES = {
-    "up": EndpointStatus.READY,
-    "draining": EndpointStatus.DRAINING,
-    "removed": EndpointStatus.REMOVED,
-}
 SILENT = "silent"
-LATE_S = 0.05  # for what lies in the kernel when a time is up: timers run before sockets are read
-CONNECT_S = 1.0
-LIST_LIMIT = 4 * 1024 * 1024  # bytes of one list
-
-
-class Malformed(Exception):
-    """The watch sent what is no list."""
+# After a timeout, for bytes that already lie in the kernel: timers run before sockets are read.
+LATE_READ_S = 0.05
+CONNECT_TIMEOUT_S = 1.0
+LIST_LIMIT_BYTES = 4 * 1024 * 1024  # of one document: a list of 10,000 hosts has about 2 MB
+READ_BYTES = 65536
+SHOWN_CHARACTERS = 2000  # of a list, in the log
 
 
 class _Reader(asyncio.StreamReader):
-    """Gives what came before a reset, too: it has been told, and the library's own drops it."""
+    """Gives what came before a reset, too.
+
+    It counts as notified, and the library's reader drops it.
+    """
 
     def set_exception(self, exc: BaseException) -> None:
         self.feed_eof()
@@ -59,274 +51,249 @@
     return reader, asyncio.StreamWriter(transport, protocol, reader, loop)
 
 
-class Discovery:
-    """One watch after another."""
+class _Answer:
+    """One answer as the HTTP parser reports it."""
+
+    def __init__(self) -> None:
+        self.status = 0  # 0: the head has not come yet
+        self.ended = False
+        self.body = b""  # that was not cut into documents yet
+        self.documents = JsonDocumentStream(LIST_LIMIT_BYTES)
+        self._parser = httptools.HttpResponseParser(self)
+
+    def feed(self, data: bytes) -> bytes:
+        """Parse `data`; returns the bytes of the body in it."""
+        self._parser.feed_data(data)
+        if self.status not in (0, 200):
+            raise MalformedListError(f"status {self.status}")
+        body, self.body = self.body, b""
+        return body
+
+    @property
+    def unread(self) -> bytes:
+        """What came and is no whole document."""
+        return self.documents.rest + self.body
+
+    # Callbacks of the parser.
+
+    def on_headers_complete(self) -> None:
+        """Note the status."""
+        self.status = self._parser.get_status_code()
+
+    def on_body(self, body: bytes) -> None:
+        """Keep the bytes of the body."""
+        self.body += body
+
+    def on_message_complete(self) -> None:
+        """Note the end."""
+        self.ended = True
+
+
+class PlatformSource:
+    """Watches the endpoint list, one watch after another.
+
+    `update` is called with each change. Raises `ConfigError` from `begin` where the known list of
+    the configuration is no list.
+    """
 
     def __init__(self, config: Config, update: Update) -> None:
         assert config.discovery is not None
-        self.address, self._update = config.discovery, update
-        self._zones = {name: i for i, name in enumerate(config.zones)}
-        self._kinds = {name: i for i, name in enumerate(config.kinds)}
-        self._generation = 0
-        self._held: dict[str, Endpoint] = {}  # the list as it stands
-        self._addresses: dict[str, Address] = {}
-        self._whole_due = False  # the version held is another discovery's
-        self._documents = Documents(LIST_LIMIT)
-        self._body = b""  # of an answer, and not looked at yet
-        self._status = 0
-        self._ended = False
-        self._heard = self._unread = (
-            False  # of the last call: a list has come; part of one has, or one amiss
+        self.address = config.discovery
+        self._update = update
+        self._list = PlatformList(config.zones, config.kinds)
+        self._answer = _Answer()
+        self._list_received = False  # by the last call
+        self._partly_received = (
+            False  # by the last call: a part of a list, or one that is malformed
         )
-        self._parser: httptools.HttpResponseParser | None = None
         self._task: asyncio.Task[None] | None = None
-        told = config.settings
-        # Where lists are pushed each gateway has an agent of its own, and company with nobody.
-        self._shared = told.discovery_is_polled
-        self._pacing = Pacing(
-            told.gateway_count if self._shared else 1,
-            told.gateway_index,
+        settings = config.settings
+        # Where lists are pushed, each gateway has an agent of its own and shares it with nobody.
+        self._is_shared = settings.discovery_is_polled
+        self._schedule = PollSchedule(
+            settings.gateway_count if self._is_shared else 1,
+            settings.gateway_index,
             random.Random(config.seed).random,
-            own=not self._shared,
+            has_own_agent=not self._is_shared,
         )
-        self._currency = Currency(monotonic(), own=not self._shared)
+        self._freshness = EndpointFreshness(monotonic(), has_own_agent=not self._is_shared)
 
     def divide(self, number: int, balancers: int) -> None:
-        if self._shared:
-            self._pacing.divide(number, balancers)
+        """So many gateways poll this service now, and which of them this is, from 0."""
+        if self._is_shared:
+            self._schedule.divide(number, balancers)
 
     def begin(self, config: Config) -> None:
         """Serve by the list as this gateway last had it until discovery's first answer."""
         if config.known:
             try:
-                self._take(config.known, UpdateKind.CACHED)
-            except Malformed as error:
+                self._apply(self._list.read(config.known, UpdateKind.CACHED))
+            except MalformedListError as error:
                 raise ConfigError(f"known: {error}") from None
 
     @property
     def position(self) -> tuple[str, int]:
-        return (
-            ("", 0)
-            if self._whole_due
-            else (f"{self.address[0]}:{self.address[1]}", self._generation)
-        )
+        """The service's address and the newest generation; ("", 0) if it is another service's."""
+        if self._list.needs_full_list:
+            return "", 0
+        host, port = self.address
+        return f"{host}:{port}", self._list.generation
 
     def resume(self, position: int) -> None:
-        if position > self._generation and not self._whole_due:
-            self._generation = position
+        """Go on from this generation of the same service, whose list is in use already."""
+        if position > self._list.generation and not self._list.needs_full_list:
+            self._list.generation = position
             if self._task is not None:
                 self.stop()
-                self._begin(0.0)  # one gateway's own matter: nobody else asks for this reason
+                self._start_watch(0.0)  # this concerns one gateway alone: no round of polls is due
 
     def start(self) -> None:
-        self._begin(self._pacing.start_s(self._currency.left_s(monotonic())))
+        """Begin to watch, when it is this gateway's part of the round."""
+        self._start_watch(self._schedule.start_s(self._freshness.left_s(monotonic())))
 
-    def _begin(self, wait_s: float) -> None:
-        self._task = asyncio.get_running_loop().create_task(self._run(wait_s))
+    def _start_watch(self, wait_s: float) -> None:
+        self._task = asyncio.get_running_loop().create_task(self._watch_forever(wait_s))
 
     def stop(self) -> None:
+        """End the watch; nothing is reported after that."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     def follow(self, config: Config) -> None:
-        """Watch another discovery from now on; the list held stands until its first answer.
+        """Watch another discovery service; the list stays in use until its first answer.
 
-        The old watch takes no step more, so that nothing left in its buffers can undo what the new one tells.
-        Generations of two discoveries cannot be compared: the new one is asked for its whole list. (Changes
-        from version 0 on are no substitute: they leave out what was there at version 0.)
+        The old watch takes no further step, so that nothing left in its buffers can undo what the
+        new one tells. Generations of two services cannot be compared, so the new one is asked for
+        its whole list. (Changes since generation 0 are no substitute: they leave out what was there
+        at generation 0.)
         """
         assert config.discovery is not None
-        self.address, self._whole_due = config.discovery, True
-        self._currency.moved(monotonic())
+        self.address = config.discovery
+        self._list.needs_full_list = True
+        self._freshness.moved(monotonic())
         if self._task is not None:
             self.stop()
             self.start()
 
-    async def _run(self, wait_s: float) -> None:
-        """Watch for ever; a broken, silent or malformed watch is begun again, later each time."""
-        pacing, currency = self._pacing, self._currency
+    async def _watch_forever(self, wait_s: float) -> None:
+        """One watch after another, each after the wait that the schedule gives."""
         while True:
             await asyncio.sleep(wait_s)
-            self._heard, self._unread = False, False
-            self._documents, self._body = Documents(LIST_LIMIT), b""
+            self._list_received = self._partly_received = False
+            self._answer = _Answer()
             began = monotonic()
-            try:
-                await self._watch()
-                reason = "ended"
-            except (
-                OSError,
-                TimeoutError,
-                Malformed,
-                BrokenDocument,
-                httptools.HttpParserError,
-            ) as error:
-                reason = str(error) or (
-                    SILENT if isinstance(error, TimeoutError) else type(error).__name__
-                )
-            except Exception:
-                # With no watch a drain would go unheard while all else seems well: no fault may end it.
-                log.exception("the watch of hosts failed")
-                reason = "a fault of ours"
-            # Here, where a watch that was called off for another's never comes.
-            rest = self._documents.rest + self._body
-            if rest.strip():
-                self._unread = True
-                self._salvage(rest)
-            took_s = monotonic() - began
-            if self._heard:
-                pacing.succeeded(took_s)
-            else:
-                currency.failed(began)
-            # Silence is most often everybody's at once, and an end one gateway's own.
-            ended = self._heard and reason != SILENT
-            left_s = currency.left_s(began + took_s)
-            wait_s = pacing.wait_s(left_s, self._unread or ended, 0.0 if self._heard else took_s)
+            reason = await self._watch_until_it_ends()
+            # Here, where a watch that was cancelled for another never comes.
+            if self._answer.unread.strip():
+                self._partly_received = True
+                self._recover_drains(self._answer.unread)
+            wait_s = self._next_wait_s(began, reason)
             log.warning("watch of hosts lost: %s; again in %.1f s", reason, wait_s)
 
+    async def _watch_until_it_ends(self) -> str:
+        """Why it ended, as one plain line."""
+        try:
+            await self._watch()
+        except TimeoutError as error:
+            return str(error) or SILENT
+        except (
+            OSError,
+            MalformedListError,
+            BrokenDocumentError,
+            httptools.HttpParserError,
+        ) as error:
+            return str(error) or type(error).__name__
+        except Exception:
+            # Without a watch a drain would go unheard while all else seems well: no fault may end
+            # it.
+            log.exception("the watch of hosts failed")
+            return "a fault of ours"
+        return "ended"
+
+    def _next_wait_s(self, began: float, reason: str) -> float:
+        took_s = monotonic() - began
+        if self._list_received:
+            self._schedule.succeeded(took_s)
+        else:
+            self._freshness.failed(began)
+        # Silence mostly concerns all gateways at once, an end mostly this one alone.
+        ended_alone = self._list_received and reason != SILENT
+        return self._schedule.wait_s(
+            self._freshness.left_s(began + took_s),
+            self._partly_received or ended_alone,
+            0.0 if self._list_received else took_s,
+        )
+
     async def _watch(self) -> None:
         """One watch until its connection ends."""
-        if self._whole_due:
-            await self._ask("/discovery/hosts")
-            if self._whole_due:
-                raise Malformed("no list")
-        await self._ask(f"/discovery/hosts?watch=1&from={self._generation}")
-
-    async def _ask(self, target: str) -> None:
-        """Take each line of an answer as it comes."""
-        async with asyncio.timeout(min(CONNECT_S, self._currency.first_byte_s())):
+        if self._list.needs_full_list:
+            await self._request("/discovery/hosts")
+            if self._list.needs_full_list:
+                raise MalformedListError("no list")
+        await self._request(f"/discovery/hosts?watch=1&from={self._list.generation}")
+
+    async def _request(self, target: str) -> None:
+        """Take over each document of an answer as it comes."""
+        async with asyncio.timeout(min(CONNECT_TIMEOUT_S, self._freshness.first_byte_s())):
             reader, writer = await _connect(self.address)
         try:
-            self._documents, self._body = Documents(LIST_LIMIT), b""
-            self._status, self._ended = 0, False
-            self._parser = httptools.HttpResponseParser(self)
+            answer = self._answer = _Answer()
             host = f"{self.address[0]}:{self.address[1]}"
             writer.write(f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
-            while not self._ended:
+            while not answer.ended:
                 data = await self._read(reader)
                 if not data:
                     break
-                if self._heard:
-                    self._currency.heard(monotonic())
-                self._parser.feed_data(data)
-                if self._status not in (0, 200):
-                    raise Malformed(f"status {self._status}")
-                body, self._body = self._body, b""
-                for document in self._documents.feed(body):
-                    self._hear(document)
-            if self._ended:
-                for document in self._documents.finish():
-                    self._hear(document)
+                if self._list_received:
+                    self._freshness.heard(monotonic())
+                for document in answer.documents.feed(answer.feed(data)):
+                    self._take_document(document)
+            if answer.ended:
+                for document in answer.documents.finish():
+                    self._take_document(document)
         finally:
             writer.close()
 
     async def _read(self, reader: asyncio.StreamReader) -> bytes:
         """Some bytes; none at the end. Raises `TimeoutError`."""
+        timeout_s = SILENCE_S if self._list_received else self._freshness.first_byte_s()
         try:
-            async with asyncio.timeout(SILENCE_S if self._heard else self._currency.first_byte_s()):
-                return await reader.read(65536)
+            async with asyncio.timeout(timeout_s):
+                return await reader.read(READ_BYTES)
         except TimeoutError:
-            async with asyncio.timeout(LATE_S):
-                return await reader.read(65536)
-
-    # Callbacks of the parser.
-
-    def on_headers_complete(self) -> None:
-        if self._parser is not None:
-            self._status = self._parser.get_status_code()
-
-    def on_body(self, body: bytes) -> None:
-        self._body += body
-
-    def on_message_complete(self) -> None:
-        self._ended = True
-
-    def _hear(self, document: bytes) -> None:
-        """One list has come whole."""
-        try:
-            self._take_document(document)
-        except Malformed:
-            self._unread = True
-            self._salvage(document)
-            raise
-        self._heard = True
-        self._currency.heard(monotonic())
+            async with asyncio.timeout(LATE_READ_S):
+                return await reader.read(READ_BYTES)
 
     def _take_document(self, document: bytes) -> None:
         try:
-            data = json.loads(document)
-        except ValueError:
-            raise Malformed(f"not JSON: {document[:60]!r}") from None
-        if not isinstance(data, dict):
-            raise Malformed(f"no object: {document[:60]!r}")
-        whole = data.get("reset") or self._whole_due
-        self._take(data, UpdateKind.FULL if whole else UpdateKind.INCREMENTAL)
-        self._whole_due = False
-
-    def _take(self, data: Mapping[str, Any], kind: UpdateKind) -> None:
-        generation, entries = data.get("generation"), data.get("instances")
-        if type(generation) is not int or not isinstance(entries, list):
-            raise Malformed("generation or instances missing")
-        servers: list[Endpoint] = []
-        names: dict[int, str] = {}
-        addresses: dict[int, Address] = {}
-        for entry in entries:
-            server, name, address = self._entry(entry)
-            servers.append(server)
-            names[server.id] = name
-            if address is not None:
-                addresses[server.id] = address
-        self._generation = generation
-        if kind is not UpdateKind.INCREMENTAL:
-            self._held, self._addresses = {}, {}
-        for server in servers:
-            name = names[server.id]
-            if server.status is EndpointStatus.REMOVED:
-                self._held.pop(name, None)
-                self._addresses.pop(name, None)
-            else:
-                self._held[name], self._addresses[name] = server, addresses[server.id]
-        shown = ", ".join(f"{names[s.id]} ({s.id}) {s.status.name.lower()}" for s in servers)
-        log.info("list %d (%s): %s", generation, kind.name.lower(), shown[:2000] or "nothing")
-        self._update(EndpointUpdate(kind, tuple(servers), generation), names, addresses)
-
-    def _salvage(self, line: bytes) -> None:
-        """Stop sending to the hosts that a broken line says are leaving. They count as draining, so that a
-        later whole line can say otherwise; where the list stands is not moved on."""
-        servers = [
-            self._held[name]._replace(status=EndpointStatus.DRAINING)
-            for name in leaving(line)
-            if name in self._held and self._held[name].status is EndpointStatus.READY
-        ]
-        if not servers:
-            return
-        names = {server_number(name): name for name in self._held}
-        log.warning("of a broken line: %s draining", ", ".join(names[s.id] for s in servers)[:2000])
-        self._held.update({names[s.id]: s for s in servers})
-        told = {s.id: names[s.id] for s in servers}
-        self._update(
-            EndpointUpdate(UpdateKind.INCREMENTAL, tuple(servers), self._generation),
-            told,
-            {number: self._addresses[name] for number, name in told.items()},
+            change = self._list.read_document(document)
+        except MalformedListError:
+            self._partly_received = True
+            self._recover_drains(document)
+            raise
+        self._apply(change)
+        self._list_received = True
+        self._freshness.heard(monotonic())
+
+    def _apply(self, change: ListChange) -> None:
+        update, names, _ = change
+        shown = ", ".join(
+            f"{names[endpoint.id]} ({endpoint.id}) {endpoint.status.name.lower()}"
+            for endpoint in update.endpoints
+        )
+        log.info(
+            "list %d (%s): %s",
+            update.version,
+            update.kind.name.lower(),
+            shown[:SHOWN_CHARACTERS] or "nothing",
         )
+        self._update(*change)
 
-    def _entry(self, entry: Any) -> tuple[Endpoint, str, Address | None]:
-        try:
-            name, state = str(entry["instanceId"]), STATES[entry["lifecycle"]]
-            address = (
-                None
-                if state is EndpointStatus.REMOVED
-                else read_address(entry.get("hostPort"), "hostPort")
-            )
-            server = Endpoint(
-                id=server_number(name),
-                status=state,
-                zone=self._zones.get(entry.get("zone"), -1),
-                cell=int(entry.get("cell") or 0),
-                machine_type=self._kinds.get(entry.get("machineType"), -1),
-                weight=float(entry.get("weight") or 1.0),
-                started_us=int(entry.get("startedAtMs") or 0) * 1000,
-            )
-        except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as error:
-            raise Malformed(f"an entry cannot be read: {error!r}") from None
-        return server, name, address
+    def _recover_drains(self, document: bytes) -> None:
+        change = self._list.recover_drains(document)
+        if change is None:
+            return
+        shown = ", ".join(change.names[endpoint.id] for endpoint in change.update.endpoints)
+        log.warning("of a broken line: %s draining", shown[:SHOWN_CHARACTERS])
+        self._update(*change)
--- /dev/null
+++ b/quillroad/discovery/platform_list.py
@@ -0,0 +1,141 @@
+"""The platform's endpoint list: reads its documents and keeps the list as it stands. No I/O.
+
+A document holds a generation and entries, either the whole list or what has changed. Of a document
+that cannot be read whole, only the drains are taken over (`partial_line_recovery`).
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping, Sequence
+from typing import Any, NamedTuple
+
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
+from quillroad.balancing.events import EndpointUpdate, UpdateKind
+from quillroad.config import Address, ConfigError, read_address
+from quillroad.discovery.partial_line_recovery import draining_ids
+from quillroad.discovery.reducer import endpoint_id
+
+STATUSES = {
+    "up": EndpointStatus.READY,
+    "draining": EndpointStatus.DRAINING,
+    "removed": EndpointStatus.REMOVED,
+}
+SHOWN_BYTES = 60  # of a document that cannot be read, in the error
+
+
+class MalformedListError(Exception):
+    """Discovery sent something that is not an endpoint list; the text is one plain line."""
+
+
+class ListChange(NamedTuple):
+    """What the engine takes: the update, and by endpoint id the names and the addresses.
+
+    An endpoint that was removed has no address.
+    """
+
+    update: EndpointUpdate
+    names: dict[int, str]
+    addresses: dict[int, Address]
+
+
+class _Entry(NamedTuple):
+    """One entry of a document."""
+
+    endpoint: Endpoint
+    name: str
+    address: Address | None
+
+
+class PlatformList:
+    """The list as this gateway last had it.
+
+    `zones` and `machine_types` are the names in the order of the settings; names that they do not
+    have become -1.
+    """
+
+    def __init__(self, zones: Sequence[str], machine_types: Sequence[str]) -> None:
+        self.generation = 0  # of the newest document that was read
+        self.needs_full_list = False  # the generation is another discovery service's
+        self._zones = {name: i for i, name in enumerate(zones)}
+        self._machine_types = {name: i for i, name in enumerate(machine_types)}
+        self._endpoints: dict[str, Endpoint] = {}
+        self._addresses: dict[str, Address] = {}
+
+    def read_document(self, document: bytes) -> ListChange:
+        """Take over one JSON document. Raises `MalformedListError`, and then changes nothing."""
+        try:
+            data = json.loads(document)
+        except ValueError:
+            raise MalformedListError(f"not JSON: {document[:SHOWN_BYTES]!r}") from None
+        if not isinstance(data, dict):
+            raise MalformedListError(f"no object: {document[:SHOWN_BYTES]!r}")
+        is_full = data.get("reset") or self.needs_full_list
+        change = self.read(data, UpdateKind.FULL if is_full else UpdateKind.INCREMENTAL)
+        self.needs_full_list = False
+        return change
+
+    def read(self, data: Mapping[str, Any], kind: UpdateKind) -> ListChange:
+        """Take over a decoded document as an update of this kind. Raises `MalformedListError`."""
+        generation, raw_entries = data.get("generation"), data.get("instances")
+        if type(generation) is not int or not isinstance(raw_entries, list):
+            raise MalformedListError("generation or instances missing")
+        entries = [self._read_entry(raw) for raw in raw_entries]
+        self.generation = generation
+        if kind is not UpdateKind.INCREMENTAL:
+            self._endpoints, self._addresses = {}, {}
+        for endpoint, name, address in entries:
+            if address is None:
+                self._endpoints.pop(name, None)
+                self._addresses.pop(name, None)
+            else:
+                self._endpoints[name], self._addresses[name] = endpoint, address
+        return ListChange(
+            EndpointUpdate(kind, tuple(entry.endpoint for entry in entries), generation),
+            {entry.endpoint.id: entry.name for entry in entries},
+            {entry.endpoint.id: entry.address for entry in entries if entry.address is not None},
+        )
+
+    def recover_drains(self, document: bytes) -> ListChange | None:
+        """Take the drains out of a document that cannot be read whole; None where it tells none.
+
+        Without this, a watch line that breaks off after it has told of a drain leaves the host in
+        use until the next list. The hosts count as draining, not as removed, so that a later whole
+        document can say otherwise, and the generation stays where it is.
+        """
+        drained = {
+            name: self._endpoints[name]._replace(status=EndpointStatus.DRAINING)
+            for name in draining_ids(document)
+            if self._is_ready(name)
+        }
+        if not drained:
+            return None
+        self._endpoints.update(drained)
+        return ListChange(
+            EndpointUpdate(UpdateKind.INCREMENTAL, tuple(drained.values()), self.generation),
+            {endpoint.id: name for name, endpoint in drained.items()},
+            {endpoint.id: self._addresses[name] for name, endpoint in drained.items()},
+        )
+
+    def _is_ready(self, name: str) -> bool:
+        endpoint = self._endpoints.get(name)
+        return endpoint is not None and endpoint.status is EndpointStatus.READY
+
+    def _read_entry(self, entry: Any) -> _Entry:
+        try:
+            name, status = str(entry["instanceId"]), STATUSES[entry["lifecycle"]]
+            address = None
+            if status is not EndpointStatus.REMOVED:
+                address = read_address(entry.get("hostPort"), "hostPort")
+            endpoint = Endpoint(
+                id=endpoint_id(name),
+                status=status,
+                zone=self._zones.get(entry.get("zone"), -1),
+                cell=int(entry.get("cell") or 0),
+                machine_type=self._machine_types.get(entry.get("machineType"), -1),
+                weight=float(entry.get("weight") or 1.0),
+                started_us=int(entry.get("startedAtMs") or 0) * 1000,
+            )
+        except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as error:
+            raise MalformedListError(f"an entry cannot be read: {error!r}") from None
+        return _Entry(endpoint, name, address)
--- a/quillroad/discovery/static.py
+++ b/quillroad/discovery/static.py
@@ -1,63 +1,64 @@
-"""Hosts that stand in the configuration: told at the start, and again when the file is read again."""
+"""Hosts that stand in the configuration: told at the start and at each reload."""
 
 from __future__ import annotations
 
 from time import monotonic
 
-from quillroad.config import Config, StaticHosts
+from quillroad.config import Config, StaticHost, StaticHosts
 from quillroad.discovery.instance import (
-    Health,
     Instance,
-    Listener,
+    InstanceStatus,
     Snapshot,
+    SourceHealth,
+    SourceListener,
     SourceState,
-    Standing,
 )
 
 
 class StaticSource:
     """What is listed is what there is; nothing is known of starts."""
 
-    def __init__(self, listener: Listener) -> None:
-        self._listener, self._version = listener, 0
+    def __init__(self, listener: SourceListener) -> None:
+        self._listener = listener
+        self._version = 0
 
     def begin(self, config: Config) -> None:
+        """Tell the hosts of the configuration."""
         assert isinstance(config.hosts, StaticHosts)
         self._version += 1
-        self._listener.on_state(SourceState(Health.FRESH, monotonic()))
-        self._listener.on_snapshot(
-            Snapshot(
-                tuple(
-                    Instance(
-                        host.id,
-                        host.address,
-                        Standing.DRAINING if host.draining else Standing.UP,
-                        host.zone,
-                        host.kind,
-                        host.cell,
-                        host.weight,
-                    )
-                    for host in config.hosts.hosts
-                ),
-                self._version,
-            )
-        )
+        self._listener.on_state(SourceState(SourceHealth.FRESH, monotonic()))
+        instances = tuple(_instance(host) for host in config.hosts.hosts)
+        self._listener.on_snapshot(Snapshot(instances, self._version))
 
     @property
     def position(self) -> tuple[str, int]:
+        """Versions of two processes cannot be compared."""
         return "", 0
 
     def resume(self, position: int) -> None:
         """What stands in the file counts."""
 
     def start(self) -> None:
-        pass
+        """Nothing to watch."""
 
     def stop(self) -> None:
-        pass
+        """Nothing to end."""
 
     def divide(self, number: int, balancers: int) -> None:
-        """Nobody is asked."""
+        """Nobody is polled."""
 
     def follow(self, config: Config) -> None:
+        """Tell the hosts of another configuration."""
         self.begin(config)
+
+
+def _instance(host: StaticHost) -> Instance:
+    return Instance(
+        host.id,
+        host.address,
+        InstanceStatus.DRAINING if host.draining else InstanceStatus.UP,
+        host.zone,
+        host.kind,
+        host.cell,
+        host.weight,
+    )
--- a/testbed/service.py
+++ b/testbed/service.py
@@ -1,5 +1,5 @@
-"""A fleet that asks one service for its list, in virtual time: the program's own waits (`pacing.py`,
-`currency.py`) against a service that takes calls in turn. No sockets, no clock."""
+"""A fleet that asks one service for its list, in virtual time: the program's own waits (`poll_schedule.py`,
+`freshness.py`) against a service that takes calls in turn. No sockets, no clock."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import random
 from dataclasses import dataclass, field
 
-from quillroad.discovery.freshness import SILENCE_S, Currency
-from quillroad.discovery.poll_schedule import Pacing
+from quillroad.discovery.freshness import SILENCE_S, EndpointFreshness
+from quillroad.discovery.poll_schedule import PollSchedule
 
 PATIENCE_S = 2.0  # that a call waits at most
 END_S = 60.0
@@ -45,13 +45,13 @@
     gateways `start`. A gateway that never gets one until `END_S` counts with that."""
     rng = random.Random(seed)
     due: list[tuple[float, int]] = []
-    pacings = [Pacing(gateways, number, rng.random) for number in range(gateways)]
+    pacings = [PollSchedule(gateways, number, rng.random) for number in range(gateways)]
     clocks = []
     for number, pacing in enumerate(pacings):
         last = (
             0.0 if start or not silent else -2.0 * rng.random()
         )  # an empty line came up to 2 s before
-        clock = Currency(last, own=False)
+        clock = EndpointFreshness(last, has_own_agent=False)
         clocks.append(clock)
         if start:
             at = pacing.start_s(clock.left_s(0.0))
--- a/tests/discovery/test_consul.py
+++ b/tests/discovery/test_consul.py
@@ -15,22 +15,22 @@
 
 from quillroad.config import ConsulHosts
 from quillroad.discovery.consul.agents import Limits
-from quillroad.discovery.consul.index import Pace
-from quillroad.discovery.consul.source import ConsulSource, Told
+from quillroad.discovery.consul.index import QueryPace
+from quillroad.discovery.consul.source import ConsulSource, HealthQuery
 from quillroad.discovery.feed import Feed
-from quillroad.discovery.instance import Health, Listener, Snapshot, Standing
+from quillroad.discovery.instance import InstanceStatus, Snapshot, SourceHealth, SourceListener
 from quillroad.gateway import Gateway
 from quillroad.overload.acceptor import open_listener
 from testbed.consul import SERVICE, Agent, Catalogue, Registered
 from tests.net import Client, FakeHost, make_config, on_loop, serve_ok, until
 
 GRACE_S = 0.5  # rule 3
-QUICK = Pace(wait_s=0.2, grace_s=0.2)
+QUICK = QueryPace(wait_s=0.2, grace_s=0.2)
 SOON = Limits(first_wait_s=0.02, most_wait_s=0.1, denied_wait_s=0.1)
 
 
-def told(*agents: Agent, **changes: Any) -> Told:
-    return Told(
+def told(*agents: Agent, **changes: Any) -> HealthQuery:
+    return HealthQuery(
         ConsulHosts(tuple(agent.address for agent in agents), SERVICE, **changes), QUICK, SOON
     )
 
@@ -40,14 +40,14 @@
     """What a source has said."""
 
     lists: list[Snapshot] = field(default_factory=list)
-    states: list[Health] = field(default_factory=list)
+    states: list[SourceHealth] = field(default_factory=list)
 
-    def listener(self) -> Listener:
-        return Listener(self.lists.append, lambda state: self.states.append(state.health))
+    def listener(self) -> SourceListener:
+        return SourceListener(self.lists.append, lambda state: self.states.append(state.health))
 
     def up(self) -> set[str]:
         last = self.lists[-1].instances if self.lists else ()
-        return {one.id.partition("/")[2] for one in last if one.standing is Standing.UP}
+        return {one.id.partition("/")[2] for one in last if one.status is InstanceStatus.UP}
 
 
 Watched = tuple[Catalogue, list[Agent], Heard, ConsulSource]
@@ -115,7 +115,7 @@
         agents[0].fail("")
         catalogue.change("n1", "s1", maintenance="")
         await until(lambda: heard.up() == {"s1", "s2", "s3"})
-        assert Health.STALE not in heard.states
+        assert SourceHealth.STALE not in heard.states
 
 
 @pytest.mark.parametrize("fault", ["silent", "no-leader", "denied", "half", "garbage"])
@@ -125,13 +125,13 @@
         for agent in agents:
             agent.fail(fault)
             agent.drop()
-        await until(lambda: heard.states[-1] is Health.STALE)
+        await until(lambda: heard.states[-1] is SourceHealth.STALE)
         assert heard.up() == {"s1", "s2", "s3"}
         catalogue.change("n1", "s1", maintenance="service")
         for agent in agents:
             agent.fail("")
         await until(lambda: heard.up() == {"s2", "s3"})
-        assert heard.states[-1] is Health.FRESH
+        assert heard.states[-1] is SourceHealth.FRESH
 
 
 @on_loop
@@ -157,7 +157,7 @@
         other = Catalogue()
         other.register(Registered("n9", "s9", "127.0.0.1", 9009))
         agent = await Agent(other).start()
-        source.follow_told(told(agent))
+        source.use(told(agent))
         catalogue.change("n1", "s1", maintenance="service")
         await until(lambda: heard.up() == {"s9"})
         lists = len(heard.lists)
--- a/tests/discovery/test_consul_rules.py
+++ b/tests/discovery/test_consul_rules.py
@@ -11,18 +11,18 @@
 from hypothesis import strategies as st
 
 from quillroad.discovery.consul.agents import Agents, Limits, Verdict, judge
-from quillroad.discovery.consul.health import ConsulError, Mapping, read_health
-from quillroad.discovery.consul.index import Index, Pace
-from quillroad.discovery.instance import Standing
+from quillroad.discovery.consul.health import ConsulError, MetadataKeys, read_health
+from quillroad.discovery.consul.index import QueryIndex, QueryPace
+from quillroad.discovery.instance import InstanceStatus
 from testbed.consul import Registered
 
 
 def test_indexes_follow_the_published_rules() -> None:
-    index = Index(Pace())
-    assert index.silence_s() == Pace().grace_s  # the first query does not block
+    index = QueryIndex(QueryPace())
+    assert index.silence_s() == QueryPace().grace_s  # the first query does not block
     assert index.told("17") == ""
     assert index.value == 17
-    assert index.silence_s() > Pace().wait_s
+    assert index.silence_s() > QueryPace().wait_s
     assert "went back from 17 to 5" in index.told("5")
     assert index.value == 0
     assert index.told("0")
@@ -34,8 +34,8 @@
 
 @given(st.lists(st.floats(0.0, 0.2), max_size=200))
 def test_the_rate_of_asking_is_bounded(gaps: list[float]) -> None:
-    pace = Pace(burst=5, rate=10.0)
-    index, now, asked = Index(pace), 100.0, []
+    pace = QueryPace(burst=5, rate=10.0)
+    index, now, asked = QueryIndex(pace), 100.0, []
     for gap in gaps:
         now += gap
         now += index.delay_s(now)
@@ -49,34 +49,34 @@
     return Registered("node-1", "web-1", "10.0.0.1", 8000, **changes).entry()
 
 
-def read(*entries: Any, mapping: Mapping | None = None) -> Any:
-    return read_health(json.dumps(entries).encode(), mapping or Mapping())
+def read(*entries: Any, mapping: MetadataKeys | None = None) -> Any:
+    return read_health(json.dumps(entries).encode(), mapping or MetadataKeys())
 
 
 @pytest.mark.parametrize(
-    ("changes", "standing", "weight"),
+    ("changes", "status", "weight"),
     [
-        ({}, Standing.UP, 10.0),
-        ({"status": "warning"}, Standing.UP, 2.0),
-        ({"status": "critical"}, Standing.OUT, 10.0),
-        ({"status": "odd"}, Standing.OUT, 10.0),
-        ({"maintenance": "node"}, Standing.DRAINING, 10.0),
-        ({"maintenance": "service"}, Standing.DRAINING, 10.0),
-        ({"maintenance": "service", "status": "critical"}, Standing.DRAINING, 10.0),
+        ({}, InstanceStatus.UP, 10.0),
+        ({"status": "warning"}, InstanceStatus.UP, 2.0),
+        ({"status": "critical"}, InstanceStatus.UNHEALTHY, 10.0),
+        ({"status": "odd"}, InstanceStatus.UNHEALTHY, 10.0),
+        ({"maintenance": "node"}, InstanceStatus.DRAINING, 10.0),
+        ({"maintenance": "service"}, InstanceStatus.DRAINING, 10.0),
+        ({"maintenance": "service", "status": "critical"}, InstanceStatus.DRAINING, 10.0),
     ],
 )
-def test_checks_make_the_standing(
-    changes: dict[str, Any], standing: Standing, weight: float
+def test_checks_make_the_status(
+    changes: dict[str, Any], status: InstanceStatus, weight: float
 ) -> None:
     ((instance,), unread) = read(entry(weights=(10, 2), **changes))
-    assert (instance.standing, instance.weight, unread) == (standing, weight, ())
+    assert (instance.status, instance.weight, unread) == (status, weight, ())
     assert instance.id == "node-1/web-1"
     assert instance.address == ("10.0.0.1", 8000)
 
 
 def test_a_weight_of_nothing_is_a_drain() -> None:
     ((instance,), _) = read(entry(weights=(0, 0)))
-    assert instance.standing is Standing.DRAINING
+    assert instance.status is InstanceStatus.DRAINING
 
 
 def test_addresses_and_meta() -> None:
@@ -86,10 +86,10 @@
     )
     ((instance,), _) = read(told)
     assert instance.address == ("10.0.0.1", 8000)  # the node's
-    assert (instance.zone, instance.kind, instance.cell) == ("z1", "big", 4)
+    assert (instance.zone, instance.machine_type, instance.cell) == ("z1", "big", 4)
     assert instance.started_us == 1_700_000_000_000_000
     told["Service"]["TaggedAddresses"] = {"wan": {"address": "192.0.2.1", "port": 9000}}
-    ((instance,), _) = read(told, mapping=Mapping(tagged_address="wan"))
+    ((instance,), _) = read(told, mapping=MetadataKeys(tagged_address="wan"))
     assert instance.address == ("192.0.2.1", 9000)
 
 
@@ -111,13 +111,13 @@
 @pytest.mark.parametrize("body", [b"", b"{}", b"null", b"[", b"No cluster leader", b"\xff\xfe"])
 def test_what_is_no_list_is_told_so(body: bytes) -> None:
     with pytest.raises(ConsulError):
-        read_health(body, Mapping())
+        read_health(body, MetadataKeys())
 
 
 @given(st.binary(max_size=200))
 def test_no_body_brings_the_reader_down(body: bytes) -> None:
     with contextlib.suppress(ConsulError):
-        read_health(body, Mapping())
+        read_health(body, MetadataKeys())
 
 
 @pytest.mark.parametrize(
--- a/tests/discovery/test_json_stream.py
+++ b/tests/discovery/test_json_stream.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.discovery.json_stream import BrokenDocument, Documents
+from quillroad.discovery.json_stream import BrokenDocumentError, JsonDocumentStream
 
 LIMIT = 100_000
 VALUES = st.recursive(
@@ -37,7 +37,7 @@
 def test_every_layout_gives_the_same_documents(
     objects: list[dict[str, Any]], indents: list[int | None], end: str, cuts: list[int]
 ) -> None:
-    documents = Documents(LIMIT)
+    documents = JsonDocumentStream(LIMIT)
     found = [
         json.loads(text)
         for data in pieces(laid_out(objects, indents, end), cuts)
@@ -51,7 +51,7 @@
 def test_the_last_document_needs_no_end_of_line(
     objects: list[dict[str, Any]], indent: int | None
 ) -> None:
-    documents = Documents(LIMIT)
+    documents = JsonDocumentStream(LIMIT)
     data = laid_out(objects, [indent], "\n").rstrip()
     assert [json.loads(text) for text in [*documents.feed(data), *documents.finish()]] == objects
 
@@ -61,9 +61,9 @@
 )
 def test_what_cannot_become_whole_is_noticed_at_once_and_kept(data: bytes) -> None:
     """Not waited for: all that comes after it would go unread."""
-    documents = Documents(LIMIT)
+    documents = JsonDocumentStream(LIMIT)
     found = []
-    with pytest.raises(BrokenDocument):
+    with pytest.raises(BrokenDocumentError):
         for text in documents.feed(data):
             found.append(text)
     assert found == ([b'{"a":1}'] if data.startswith(b'{"a":1}') else [])
@@ -71,18 +71,18 @@
 
 
 def test_a_document_over_many_lines_has_a_limit() -> None:
-    documents = Documents(1000)
-    with pytest.raises(BrokenDocument):
+    documents = JsonDocumentStream(1000)
+    with pytest.raises(BrokenDocumentError):
         for _ in range(200):
             list(documents.feed(b'{"a": [\n'))
 
 
 @given(st.binary(max_size=300), CUTS)
 def test_noise_is_bounded_and_breaks_nothing_else(noise: bytes, cuts: list[int]) -> None:
-    documents = Documents(LIMIT)
+    documents = JsonDocumentStream(LIMIT)
     try:
         for data in pieces(noise, cuts):
             list(documents.feed(data))
-    except BrokenDocument:
+    except BrokenDocumentError:
         pass
     assert len(documents.rest) <= len(noise) + 1
--- a/tests/discovery/test_platform.py
+++ b/tests/discovery/test_platform.py
@@ -11,9 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.discovery import platform as discovery
-from quillroad.discovery.partial_line_recovery import leaving
-from quillroad.discovery.reducer import server_number
+from quillroad.discovery import platform
+from quillroad.discovery.partial_line_recovery import draining_ids
+from quillroad.discovery.platform import PlatformSource
+from quillroad.discovery.reducer import endpoint_id
 from tests.net import (
     Client,
     FakeDiscovery,
@@ -68,7 +69,7 @@
 @on_loop
 async def test_a_silent_watch_begins_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """An agent that is cut off says nothing, and a connection to it stays open for ever."""
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.2)
+    monkeypatch.setattr(platform, "SILENCE_S", 0.2)
     async with world(serve_ok) as w, w.client() as client:
         await w.discovery.asked.get()
         assert (await client.ask()).status == 200
@@ -176,8 +177,8 @@
 
 
 def test_numbers_of_hosts_are_the_same_everywhere() -> None:
-    assert server_number("s-5be2a07c") == server_number("s-5be2a07c")
-    assert server_number("s-5be2a07c") != server_number("s-5be2a07d")
+    assert endpoint_id("s-5be2a07c") == endpoint_id("s-5be2a07c")
+    assert endpoint_id("s-5be2a07c") != endpoint_id("s-5be2a07d")
 
 
 async def successor(w: World, *entries: dict[str, Any]) -> FakeDiscovery:
@@ -193,10 +194,10 @@
     `from=0` what was there before its first."""
     async with world(serve_ok) as w, w.client() as client:
         watch = w.gateway.source
-        assert isinstance(watch, discovery.Discovery)
+        assert isinstance(watch, PlatformSource)
         w.discovery.generation = 8
         w.discovery.tell(w.hosts[0].entry(weight=2.0))
-        await until(lambda: watch._generation == 9)
+        await until(lambda: watch._list.generation == 9)
         other = await FakeHost("s-other").start()
         new = await successor(w, w.hosts[0].entry(lifecycle="draining"), other.entry())
         assert await new.asked.get() == "/discovery/hosts"
@@ -215,8 +216,8 @@
         broken = json.dumps(w.hosts[0].entry(lifecycle="draining")).encode()
         w.discovery.send(b'{"instances":[' + broken)
         watch = w.gateway.source
-        assert isinstance(watch, discovery.Discovery)
-        await until(lambda: bool(watch._documents.rest))
+        assert isinstance(watch, PlatformSource)
+        await until(lambda: bool(watch._answer.unread))
         w.discovery.tell(w.hosts[0].entry(lifecycle="removed"))
         new = await successor(w, w.hosts[0].entry(), other.entry())
         await until(lambda: len(new.watches) == 1)
@@ -264,7 +265,7 @@
 
 @on_loop
 async def test_what_came_before_a_reset_is_taken() -> None:
-    reader = discovery._Reader()
+    reader = platform._Reader()
     reader.feed_data(b"a line\n")
     reader.set_exception(ConnectionResetError())
     assert await reader.read(100) == b"a line\n" and await reader.read(100) == b""
@@ -280,9 +281,9 @@
     entries = [{"instanceId": f"s-{i}", "lifecycle": state} for i, state in enumerate(states)]
     line = json.dumps({"generation": 1, "instances": entries}).encode()
     told = [f"s-{i}" for i, state in enumerate(states) if state != "up"]
-    assert leaving(line) == told
+    assert draining_ids(line) == told
     cut %= len(line) + 1
-    part = leaving(line[:cut])
+    part = draining_ids(line[:cut])
     # Whoever's id came whole, and who was not said to stay: wherever the line broke off.
     whole = [
         entry for entry in entries if line.find(entry["instanceId"].encode() + b'"') + 4 <= cut
@@ -294,14 +295,14 @@
     ):
         assert part.pop() == whole.pop()["instanceId"]
     assert part == [entry["instanceId"] for entry in whole if entry["lifecycle"] != "up"]
-    leaving(noise)
-    spoilt = set(leaving(line[:30] + noise + line[30:]))
+    draining_ids(noise)
+    spoilt = set(draining_ids(line[:30] + noise + line[30:]))
     assert spoilt <= {entry["instanceId"] for entry in entries}
 
 
 @pytest.mark.parametrize("rest", ['", "lifecycle": "dr', '"', '", "lifecycle": \0, "cell": 1}]}'])
 def test_a_host_of_which_only_the_id_came_gets_nothing_new(rest: str) -> None:
     line = '{"generation": 5, "instances": [{"cell": 1, "instanceId": "s-7' + rest
-    assert leaving(line.encode()) == ["s-7"]
-    assert leaving(line.replace("instanceId", "instance").encode()) == []
-    assert leaving((line + '", "lifecycle": "up"').encode()) == []
+    assert draining_ids(line.encode()) == ["s-7"]
+    assert draining_ids(line.replace("instanceId", "instance").encode()) == []
+    assert draining_ids((line + '", "lifecycle": "up"').encode()) == []
--- a/tests/discovery/test_reducer.py
+++ b/tests/discovery/test_reducer.py
@@ -6,14 +6,22 @@
 from hypothesis import strategies as st
 
 from quillroad.balancing.endpoint import EndpointStatus
-from quillroad.discovery.consul.merge import Views
-from quillroad.discovery.instance import Health, Instance, Snapshot, SourceState, Standing
-from quillroad.discovery.reducer import REMEMBERED, Reducer, server_number
+from quillroad.discovery.consul.merge import MergedViews
+from quillroad.discovery.instance import (
+    Instance,
+    InstanceStatus,
+    Snapshot,
+    SourceHealth,
+    SourceState,
+)
+from quillroad.discovery.reducer import REMEMBERED, Reducer, endpoint_id
 
 S = 1_000_000  # a second in microseconds
 
 
-def one(name: str, standing: Standing = Standing.UP, port: int = 0, **more: int) -> Instance:
+def one(
+    name: str, standing: InstanceStatus = InstanceStatus.UP, port: int = 0, **more: int
+) -> Instance:
     return Instance(name, ("127.0.0.1", port or 1000 + ord(name[-1])), standing, **more)  # type: ignore[arg-type]
 
 
@@ -21,14 +29,14 @@
     reducer: Reducer, now_s: int, *instances: Instance, tells: bool = False
 ) -> dict[str, int]:
     reduced = reducer.reduce(Snapshot(instances, 1, tells), now_s * S)
-    return {reduced.names[s.id]: (s.started_us or 0) // S for s in reduced.servers.endpoints}
+    return {reduced.names[s.id]: (s.started_us or 0) // S for s in reduced.update.endpoints}
 
 
 def test_a_host_that_was_told_out_comes_back_cold() -> None:
     """Flapping passing, critical, passing: its process may have restarted, and must not be flooded."""
     reducer = Reducer((), ())
     assert starts(reducer, 100, one("a"), one("b")) == {"a": 0, "b": 0}
-    assert starts(reducer, 110, one("a"), one("b", Standing.OUT)) == {"a": 0}
+    assert starts(reducer, 110, one("a"), one("b", InstanceStatus.UNHEALTHY)) == {"a": 0}
     assert starts(reducer, 120, one("a"), one("b")) == {"a": 0, "b": 120}
     assert starts(reducer, 130, one("a"), one("b")) == {"a": 0, "b": 120}
     assert starts(reducer, 140, one("a")) == {"a": 0}  # deregistered
@@ -38,7 +46,7 @@
 def test_a_drain_is_no_restart_and_a_new_host_is_cold() -> None:
     reducer = Reducer((), ())
     starts(reducer, 100, one("a"))
-    starts(reducer, 110, one("a", Standing.DRAINING))
+    starts(reducer, 110, one("a", InstanceStatus.DRAINING))
     assert starts(reducer, 120, one("a"), one("n")) == {"a": 0, "n": 120}
 
 
@@ -60,7 +68,7 @@
     reducer = Reducer((), ())
     starts(reducer, 100, one("a"))
     reduced = reducer.reduce(Snapshot((), 2), 110 * S)
-    assert reduced.servers.endpoints == ()
+    assert reduced.update.endpoints == ()
 
 
 def test_two_ids_at_one_address_get_the_work_of_one() -> None:
@@ -70,23 +78,23 @@
     assert len(first.refused) == 1
     # An address that moves to a new id: the old one gone, the new one cold.
     moved = reducer.reduce(Snapshot((one("c", port=9),)), 110 * S)
-    assert [(moved.names[s.id], s.started_us) for s in moved.servers.endpoints] == [("c", 110 * S)]
+    assert [(moved.names[s.id], s.started_us) for s in moved.update.endpoints] == [("c", 110 * S)]
 
 
 def test_an_id_listed_twice_counts_once() -> None:
     reduced = Reducer((), ()).reduce(
-        Snapshot((one("a", Standing.OUT), one("a"), one("a", port=7))), 100 * S
+        Snapshot((one("a", InstanceStatus.UNHEALTHY), one("a"), one("a", port=7))), 100 * S
     )
-    assert [s.status for s in reduced.servers.endpoints] == [EndpointStatus.READY]
+    assert [s.status for s in reduced.update.endpoints] == [EndpointStatus.READY]
     assert len(reduced.refused) == 2
 
 
 def test_names_become_the_settings_numbers() -> None:
-    told = Instance("a", ("h", 1), zone="north", kind="big", cell=3, weight=2.0)
+    told = Instance("a", ("h", 1), zone="north", machine_type="big", cell=3, weight=2.0)
     reduced = Reducer(("south", "north"), ("big",)).reduce(Snapshot((told,)), 0)
-    (server,) = reduced.servers.endpoints
+    (server,) = reduced.update.endpoints
     assert (server.zone, server.machine_type, server.cell, server.weight) == (1, 0, 3, 2.0)
-    assert server.id == server_number("a")
+    assert server.id == endpoint_id("a")
 
 
 def test_what_is_remembered_is_bounded() -> None:
@@ -94,11 +102,11 @@
     for turn in range(30):
         names = (Instance(f"{turn}-{i}", ("h", i + 1)) for i in range(400))
         reducer.reduce(Snapshot(tuple(names)), turn * S)
-    assert len(reducer._known) <= REMEMBERED + 400
+    assert len(reducer._remembered) <= REMEMBERED + 400
 
 
 FLIPS = st.lists(
-    st.dictionaries(st.sampled_from("abcd"), st.sampled_from(Standing), max_size=4),
+    st.dictionaries(st.sampled_from("abcd"), st.sampled_from(InstanceStatus), max_size=4),
     min_size=1,
     max_size=30,
 )
@@ -106,7 +114,7 @@
 
 @given(FLIPS)
 def test_nothing_told_draining_or_gone_is_ready_and_what_was_out_comes_back_cold(
-    lists: list[dict[str, Standing]],
+    lists: list[dict[str, InstanceStatus]],
 ) -> None:
     reducer, out = Reducer((), ()), set[str]()
     for turn, told in enumerate(lists):
@@ -115,31 +123,37 @@
         reduced = reducer.reduce(Snapshot(instances, turn), now_s * S)
         ready = {
             reduced.names[s.id]: s
-            for s in reduced.servers.endpoints
+            for s in reduced.update.endpoints
             if s.status is EndpointStatus.READY
         }
-        assert set(ready) == {name for name, standing in told.items() if standing is Standing.UP}
+        assert set(ready) == {
+            name for name, standing in told.items() if standing is InstanceStatus.UP
+        }
         for name, server in ready.items():
             assert (server.started_us == now_s * S) or name not in out
-        seen = set(reducer._known)
-        out = {name for name in seen if told.get(name, Standing.OUT) is Standing.OUT}
+        seen = set(reducer._remembered)
+        out = {
+            name
+            for name in seen
+            if told.get(name, InstanceStatus.UNHEALTHY) is InstanceStatus.UNHEALTHY
+        }
 
 
 # Several agents.
 
 
 def test_the_more_careful_word_counts() -> None:
-    views = Views()
+    views = MergedViews()
     both = (one("a"), one("b"))
     assert views.told(1, 0.0, both) == both
     assert views.told(2, 0.1, both) is None
-    drains = one("a", Standing.DRAINING)
+    drains = one("a", InstanceStatus.DRAINING)
     assert views.told(1, 0.2, (drains, one("b"))) == (drains, one("b"))
     assert views.told(2, 0.3, (drains,)) == (drains,)
     assert views.failed(1, 0.4, "silent") is None
-    assert views.state == SourceState(Health.FRESH, 0.0)
+    assert views.state == SourceState(SourceHealth.FRESH, 0.0)
     assert views.failed(2, 0.5, "silent") is None  # the last list stands
-    assert views.state == SourceState(Health.STALE, 0.5, "silent")
+    assert views.state == SourceState(SourceHealth.STALE, 0.5, "silent")
     assert views.told(2, 0.6, both) == both
 
 
@@ -148,15 +162,19 @@
         st.tuples(
             st.integers(0, 2),
             st.booleans(),
-            st.dictionaries(st.sampled_from("abc"), st.sampled_from(Standing)),
+            st.dictionaries(st.sampled_from("abc"), st.sampled_from(InstanceStatus)),
         ),
         max_size=40,
     )
 )
 def test_what_is_merged_is_in_service_only_by_everybodys_word(
-    steps: list[tuple[int, bool, dict[str, Standing]]],
+    steps: list[tuple[int, bool, dict[str, InstanceStatus]]],
 ) -> None:
-    views, heard, merged = Views(), dict[int, dict[str, Standing]](), dict[str, Standing]()
+    views, heard, merged = (
+        MergedViews(),
+        dict[int, dict[str, InstanceStatus]](),
+        dict[str, InstanceStatus](),
+    )
     for now, (watch, fails, told) in enumerate(steps):
         if fails:
             heard.pop(watch, None)
@@ -165,11 +183,11 @@
             heard[watch] = told
             got = views.told(watch, float(now), tuple(one(name, s) for name, s in told.items()))
         if got is not None:
-            merged = {instance.id: instance.standing for instance in got}
+            merged = {instance.id: instance.status for instance in got}
         if heard:
             for name in "abc":
-                everybody = all(view.get(name) is Standing.UP for view in heard.values())
-                assert (merged.get(name) is Standing.UP) == everybody
-            assert views.state.health is Health.FRESH
+                everybody = all(view.get(name) is InstanceStatus.UP for view in heard.values())
+                assert (merged.get(name) is InstanceStatus.UP) == everybody
+            assert views.state.health is SourceHealth.FRESH
         else:
-            assert views.state.health is not Health.FRESH
+            assert views.state.health is not SourceHealth.FRESH
--- a/tests/discovery/test_register.py
+++ b/tests/discovery/test_register.py
@@ -15,7 +15,7 @@
 
 from quillroad.config import Register, StaticHost, StaticHosts
 from quillroad.config.file import load_file
-from quillroad.discovery.consul.register import LEAVE_S, Entry, Registration, Where
+from quillroad.discovery.consul.register import LEAVE_S, Entry, Registration, RegistrationState
 from quillroad.gateway import Gateway
 from testbed.consul import Agent, Catalogue
 from testbed.gateway import ROOT
@@ -89,7 +89,7 @@
         now += wait_s
         assert now <= end and said(machine) == "service/deregister"
         machine.answered(now, machine.call(), 0)
-    assert machine.where is Where.GONE
+    assert machine.state is RegistrationState.GONE
 
 
 Scene = tuple[Catalogue, Agent, Gateway, Callable[[], str]]
--- a/tests/discovery/test_silence.py
+++ b/tests/discovery/test_silence.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from quillroad.discovery.freshness import TOLD_S
+from quillroad.discovery.freshness import NOTIFIED_AFTER_S
 from testbed.account import Work, tally, total
 from testbed.hosts import CrowdedDiscovery, Discovery
 from testbed.schedule import steady
@@ -46,7 +46,9 @@
     async with stage:
         loads = [stage.load(number) for number in range(GATEWAYS)]
         await until(lambda: stage.discovery.watching == GATEWAYS)
-        running = asyncio.gather(*(load.open_loop(steady(RATE, TOLD_S + 1.5)) for load in loads))
+        running = asyncio.gather(
+            *(load.open_loop(steady(RATE, NOTIFIED_AFTER_S + 1.5)) for load in loads)
+        )
         await asyncio.sleep(0.5)
         silent = time.monotonic()
         stage.discovery.fall_silent()
@@ -61,9 +63,14 @@
         assert stage.broken(*loads) == []
         for host in leaves:
             assert len(host.receipts) > 20  # in use until then, by all of them
-            assert max(receipt.at for receipt in host.receipts) <= silent + TOLD_S + GRACE_S
+            assert (
+                max(receipt.at for receipt in host.receipts) <= silent + NOTIFIED_AFTER_S + GRACE_S
+            )
         late = [
-            r for host in stage.hosts[2:] for r in host.receipts if r.at > silent + TOLD_S + GRACE_S
+            r
+            for host in stage.hosts[2:]
+            for r in host.receipts
+            if r.at > silent + NOTIFIED_AFTER_S + GRACE_S
         ]
         assert {receipt.id.partition("-")[0] for receipt in late} == {
             f"g{n}" for n in range(GATEWAYS)
--- a/tests/downstream/test_gateway.py
+++ b/tests/downstream/test_gateway.py
@@ -12,7 +12,7 @@
 import quillroad.engine.engine
 import quillroad.upstream.pool
 from quillroad.balancing.events import ClientDisconnected, Event, RequestArrived, TimerFired
-from quillroad.discovery.reducer import server_number
+from quillroad.discovery.reducer import endpoint_id
 from quillroad.downstream import connection_limit, server
 from quillroad.downstream.connection_limit import ConnectionState
 from quillroad.downstream.server import RECEIVE_S, UNREAD_S, ClientConnection
@@ -307,7 +307,7 @@
         while not leaving.seen:
             await client.ask()
         w.discovery.tell(leaving.entry(lifecycle=lifecycle))
-        hosts, number = w.gateway.engine.hosts, server_number(leaving.name)
+        hosts, number = w.gateway.engine.hosts, endpoint_id(leaving.name)
         await until(lambda: number not in hosts or not hosts[number].ready)
         await client.ask()  # what was on its way has arrived by now
         before = len(leaving.seen)
@@ -371,7 +371,7 @@
         )
         await until(lambda: len(w.gateway.engine.hosts) == 3)
         balancer = w.gateway.engine._balancer
-        assert [s.spec.id for s in balancer.cold] == [server_number("s-young")]
+        assert [s.spec.id for s in balancer.cold] == [endpoint_id("s-young")]
 
 
 @on_loop
--- a/tests/upgrade/test_sections.py
+++ b/tests/upgrade/test_sections.py
@@ -13,7 +13,7 @@
 
 from quillroad.balancing.endpoint import EndpointStatus
 from quillroad.config import ConsulHosts
-from quillroad.discovery.instance import Instance, Snapshot, Standing
+from quillroad.discovery.instance import Instance, InstanceStatus, Snapshot
 from quillroad.gateway import Gateway
 from quillroad.upgrade.messages import Out
 from quillroad.upgrade.sections import KNOWN, read, write
@@ -94,7 +94,7 @@
     assert old.feed is not None and new.feed is not None
     take = old.feed.listener().on_snapshot
     take(Snapshot(tuple(instances), 1))
-    take(Snapshot((instances[0], replace(instances[1], standing=Standing.OUT)), 2))
+    take(Snapshot((instances[0], replace(instances[1], status=InstanceStatus.UNHEALTHY)), 2))
     take(Snapshot(tuple(instances), 3))
     new.feed.listener().on_snapshot(Snapshot(tuple(instances), 1))
     engine = new.engine
