--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -1,6 +1,6 @@
-"""The keeper as a process: holds the listening socket, starts workers, and serves the operators' socket.
+"""The supervisor as a process: holds the listening socket, starts workers and carries out commands.
 
-`keeper.py` decides; this carries out. It serves no request, knows no host and holds nothing that grows.
+`supervisor` decides. This process serves no request, knows no host and holds nothing that grows.
 """
 
 from __future__ import annotations
@@ -10,10 +10,9 @@
 import os
 import signal
 import socket
-import stat
 import sys
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Coroutine, Sequence
 from pathlib import Path
 from typing import assert_never
 
@@ -21,34 +20,35 @@
 from quillroad.gateway import start_log
 from quillroad.overload.acceptor import open_listener
 from quillroad.upgrade.canary import Canary
-from quillroad.upgrade.channel import Channel, pair, peer
+from quillroad.upgrade.channel import Channel, pair
+from quillroad.upgrade.control_socket import ControlSocket
 from quillroad.upgrade.messages import Message, Take, Welcome
 from quillroad.upgrade.settings import Upgrades, load_upgrades
-from quillroad.upgrade.supervisor import (
-    Act,
-    Exit,
-    Join,
-    Keeper,
-    Kill,
-    Say,
-    Settled,
-    Spawn,
-    Stop,
-    Tell,
-    Unlisten,
+from quillroad.upgrade.supervisor import Supervisor
+from quillroad.upgrade.supervisor_commands import (
+    CloseListener,
+    Command,
+    ConnectWorkers,
+    ExitSupervisor,
+    KillWorker,
+    LogEvent,
+    SendMessage,
+    StartWorker,
+    StopWorker,
+    UpgradeEnded,
 )
 from quillroad.upgrade.worker import SEAT
 
 log = logging.getLogger("quillroad.upgrade")
 
-BIND_S = 15.0  # for an address to come free: workers of a keeper that was killed drain first
+BIND_TIMEOUT_S = 15.0  # for an address to come free: workers of a killed supervisor drain first
 BIND_AGAIN_S = 0.1
-ASKING = 16  # operators at once
-COMMAND_S = 5.0  # for a command to come
+COULD_NOT_START = 127  # exit status for a command that cannot be run, as shells have it
+HAS_ENDED = "it has ended"  # reason of a channel whose other end was closed
 
 
-class KeeperProcess:
-    """One gateway. `command` starts a worker, whose seat is told by the environment."""
+class SupervisorProcess:
+    """One gateway. `command` starts a worker, whose channel is told by the environment."""
 
     def __init__(
         self,
@@ -57,111 +57,109 @@
         listener: socket.socket,
         command: Sequence[str],
     ) -> None:
-        self._loop, self._upgrades, self._command = loop, upgrades, command
+        self._loop = loop
+        self._command = command
         self._listener: socket.socket | None = listener
-        self._keeper = Keeper(upgrades.limits, Canary(upgrades.tuning))
+        self._supervisor = Supervisor(upgrades.limits, Canary(upgrades.tuning))
+        self._control = ControlSocket(upgrades.control, self.ask, self._supervisor.status)
         self._channels: dict[int, Channel] = {}
         self._processes: dict[int, asyncio.subprocess.Process] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._waiting: list[asyncio.Future[str]] = []
-        self._control: asyncio.Server | None = None
-        self._inode = 0
-        self._asking = 0
         self.status: asyncio.Future[int] = loop.create_future()
 
     async def start(self) -> None:
-        await self._open_control()
-        self._do(self._keeper.begin(time.monotonic()))
+        """Listen for operators and start the first worker. Raises `ConfigError`."""
+        await self._control.open()
+        self._perform_all(self._supervisor.begin(time.monotonic()))
 
     # What happens.
 
-    def _heard(self, number: int, message: Message, fds: list[int]) -> None:
-        for fd in fds:  # workers send none
-            os.close(fd)
-        self._do(self._keeper.heard(time.monotonic(), number, message))
+    def _heard(self, number: int, message: Message, descriptors: list[int]) -> None:
+        for descriptor in descriptors:  # workers send none
+            os.close(descriptor)
+        self._perform_all(self._supervisor.heard(time.monotonic(), number, message))
 
-    def _lost(self, number: int, why: str) -> None:
-        """The channel has ended: with its process as a rule, whose end is then seen soon."""
+    def _channel_lost(self, number: int, why: str) -> None:
+        """The channel has ended: mostly with its process, whose end is then seen soon."""
         process = self._processes.get(number)
-        if process is not None and process.returncode is None and why != "it has ended":
-            self._do(self._keeper.lost(time.monotonic(), number, why))
+        if process is not None and process.returncode is None and why != HAS_ENDED:
+            self._perform_all(self._supervisor.lost(number, why))
 
-    async def _watch(self, number: int, process: asyncio.subprocess.Process) -> None:
+    async def _wait_for(self, number: int, process: asyncio.subprocess.Process) -> None:
         status = await process.wait()
         if (channel := self._channels.pop(number, None)) is not None:
             channel.close()
         self._processes.pop(number, None)
-        self._do(self._keeper.ended(time.monotonic(), number, status))
+        self._perform_all(self._supervisor.ended(time.monotonic(), number, status))
 
     def ask(self, what: str) -> str:
-        """An operator's command; returns why not, or nothing."""
-        why, acts = self._keeper.ask(time.monotonic(), what)
-        self._do(acts)
+        """Take an operator's command; returns why not, or nothing."""
+        why, commands = self._supervisor.ask(time.monotonic(), what)
+        self._perform_all(commands)
         if why:
             log.error("%s: %s", what, why)
         return why
 
     def reload(self) -> None:
-        """Workers read their configuration again, also those that start later."""
-        for number in self._keeper.reload():
+        """Have workers read their configuration again, also those that start later."""
+        for number in self._supervisor.reload():
             self._signal(number, signal.SIGHUP)
 
     def _tick(self) -> None:
         self._timer = None
-        self._do(self._keeper.tick(time.monotonic()))
+        self._perform_all(self._supervisor.tick(time.monotonic()))
 
     # What is done.
 
-    def _do(self, acts: list[Act]) -> None:
-        for act in acts:
-            self._act(act)
+    def _perform_all(self, commands: list[Command]) -> None:
+        for command in commands:
+            self._perform(command)
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        wait_s = self._keeper.next_s(time.monotonic())
+        wait_s = self._supervisor.next_s(time.monotonic())
         if wait_s is not None and not self.status.done():
             self._timer = self._loop.call_later(wait_s, self._tick)
 
-    def _act(self, act: Act) -> None:
-        match act:
-            case Spawn():
-                self._task(self._spawn(act.worker))
-            case Tell():
-                channel = self._channels.get(act.worker)
-                if channel is not None:
-                    listener = [self._listener.fileno()] if self._listener is not None else []
-                    channel.send(act.message, listener if isinstance(act.message, Welcome) else ())
-            case Join():
-                self._join(act)
-            case Stop():
-                self._signal(act.worker, signal.SIGTERM)
-            case Kill():
-                self._signal(act.worker, signal.SIGKILL)
-            case Unlisten():
-                if self._listener is not None:
-                    self._listener.close()
-                    self._listener = None
-            case Say():
-                at = f" worker {act.worker}" if act.worker else ""
-                log.info("%s%s%s", act.event, at, f": {act.why}" if act.why else "")
-            case Settled():
-                for waiting in self._waiting:
-                    if not waiting.done():
-                        waiting.set_result(act.why)
-                self._waiting.clear()
-            case Exit():
-                if not self.status.done():
-                    self.status.set_result(act.status)
+    def _perform(self, command: Command) -> None:
+        match command:
+            case StartWorker():
+                self._own_task(self._run_worker(command.worker))
+            case SendMessage():
+                self._send(command)
+            case ConnectWorkers():
+                self._connect(command)
+            case StopWorker():
+                self._signal(command.worker, signal.SIGTERM)
+            case KillWorker():
+                self._signal(command.worker, signal.SIGKILL)
+            case CloseListener():
+                self._close_listener()
+            case LogEvent():
+                self._log(command)
+            case UpgradeEnded():
+                self._control.upgrade_ended(command.why)
+            case ExitSupervisor():
+                self._exit(command.status)
             case _:
-                assert_never(act)
+                assert_never(command)
 
-    def _join(self, act: Join) -> None:
-        giver, taker = self._channels.get(act.giver), self._channels.get(act.taker)
+    def _send(self, command: SendMessage) -> None:
+        channel = self._channels.get(command.worker)
+        if channel is None:
+            return
+        descriptors: list[int] = []
+        if isinstance(command.message, Welcome) and self._listener is not None:
+            descriptors.append(self._listener.fileno())
+        channel.send(command.message, descriptors)
+
+    def _connect(self, command: ConnectWorkers) -> None:
+        giver, taker = self._channels.get(command.giver), self._channels.get(command.taker)
         ends = pair()
         if giver is not None and taker is not None:
-            giver.send(act.message, [ends[0].fileno()])
-            taker.send(Take(act.giver), [ends[1].fileno()])
+            giver.send(command.message, [ends[0].fileno()])
+            taker.send(Take(command.giver), [ends[1].fileno()])
         for end in ends:
             end.close()  # the kernel keeps them for the messages
 
@@ -170,7 +168,20 @@
         if process is not None and process.returncode is None:
             process.send_signal(what)
 
-    async def _spawn(self, number: int) -> None:
+    def _close_listener(self) -> None:
+        if self._listener is not None:
+            self._listener.close()
+            self._listener = None
+
+    def _log(self, event: LogEvent) -> None:
+        worker = f" worker {event.worker}" if event.worker else ""
+        log.info("%s%s%s", event.event, worker, f": {event.why}" if event.why else "")
+
+    def _exit(self, status: int) -> None:
+        if not self.status.done():
+            self.status.set_result(status)
+
+    async def _run_worker(self, number: int) -> None:
         ours, theirs = pair()
         try:
             process = await asyncio.create_subprocess_exec(
@@ -181,7 +192,8 @@
         except OSError as error:
             log.error("cannot start %s: %s", self._command[0], error)
             ours.close()
-            self._do(self._keeper.ended(time.monotonic(), number, 127))
+            now = time.monotonic()
+            self._perform_all(self._supervisor.ended(now, number, COULD_NOT_START))
             return
         finally:
             theirs.close()
@@ -189,87 +201,27 @@
         self._channels[number] = Channel(
             self._loop,
             ours,
-            lambda message, fds: self._heard(number, message, fds),
-            lambda why: self._lost(number, why),
+            lambda message, descriptors: self._heard(number, message, descriptors),
+            lambda why: self._channel_lost(number, why),
         )
-        await self._watch(number, process)
+        await self._wait_for(number, process)
 
-    def _task(self, coroutine: object) -> None:
-        assert asyncio.iscoroutine(coroutine)
-        task: asyncio.Task[None] = self._loop.create_task(coroutine)
+    def _own_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        """Run it, and keep a reference until it is done: the loop has weak ones only."""
+        task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # The operators' socket.
-
-    async def _open_control(self) -> None:
-        """Listen where commands come. A socket that a keeper left when it was killed is taken away; one that
-        answers is another gateway's."""
-        path = self._upgrades.control
-        try:
-            if path.exists():
-                if not stat.S_ISSOCK(path.stat().st_mode):
-                    raise ConfigError(f"control: {path} is no socket")
-                with socket.socket(socket.AF_UNIX) as probe:
-                    if probe.connect_ex(str(path)) == 0:
-                        raise ConfigError(f"control: {path} is in use by another gateway")
-                path.unlink()
-            before = os.umask(0o177)
-            try:
-                self._control = await asyncio.start_unix_server(self._serve, path, limit=1024)
-            finally:
-                os.umask(before)
-            self._inode = path.stat().st_ino
-        except OSError as error:
-            raise ConfigError(f"control: cannot listen on {path}: {error.strerror}") from None
-
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One command and its answer: a line for what was done or why not, for `status` several."""
-        if self._asking >= ASKING:
-            writer.close()
-            return
-        self._asking += 1
-        try:
-            sock = writer.get_extra_info("socket")
-            if peer(sock)[1] not in (0, os.geteuid()):
-                writer.write(b"error: not yours\n")
-                return
-            async with asyncio.timeout(COMMAND_S):
-                line = (await reader.readline()).decode("utf-8", "replace").strip()
-            if line == "status":
-                writer.write("".join(f"{each}\n" for each in self._keeper.status()).encode())
-                return
-            waiting: asyncio.Future[str] = self._loop.create_future()
-            if line in ("upgrade", "check"):
-                self._waiting.append(waiting)
-            why = self.ask(line)
-            if why and waiting in self._waiting:
-                self._waiting.remove(waiting)
-            if line in ("upgrade", "check") and not why:
-                writer.write(b"begun\n")
-                why = await waiting
-            writer.write(f"error: {why}\n".encode() if why else b"done\n")
-        except (TimeoutError, ConnectionError, ValueError):
-            pass
-        finally:
-            self._asking -= 1
-            writer.close()
-
     def close(self) -> None:
-        if self._control is not None:
-            self._control.close()
-            path = self._upgrades.control
-            if (
-                path.exists() and path.stat().st_ino == self._inode
-            ):  # not another's that came after us
-                path.unlink()
+        """End listening for operators, and the timer."""
+        self._control.close()
         if self._timer is not None:
             self._timer.cancel()
 
 
 async def _listen(config: Config) -> socket.socket:
-    """The gateway's address, once it is free."""
-    end = time.monotonic() + BIND_S
+    """Listen at the gateway's address, once it is free. Raises `ConfigError`."""
+    end = time.monotonic() + BIND_TIMEOUT_S
     while True:
         try:
             return open_listener(*config.listen)
@@ -279,33 +231,35 @@
         await asyncio.sleep(BIND_AGAIN_S)
 
 
-async def keep(config: Config, upgrades: Upgrades, command: Sequence[str]) -> int:
-    """Run a keeper until it was told to end; returns the status to exit with."""
+async def supervise(config: Config, upgrades: Upgrades, command: Sequence[str]) -> int:
+    """Run a supervisor until it was told to end; returns the status to exit with."""
     loop = asyncio.get_running_loop()
-    keeper = KeeperProcess(loop, upgrades, await _listen(config), command)
+    supervisor = SupervisorProcess(loop, upgrades, await _listen(config), command)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, keeper.ask, "stop")
-    loop.add_signal_handler(signal.SIGHUP, keeper.reload)
-    loop.add_signal_handler(signal.SIGUSR2, keeper.ask, "upgrade")
+        loop.add_signal_handler(number, supervisor.ask, "stop")
+    loop.add_signal_handler(signal.SIGHUP, supervisor.reload)
+    loop.add_signal_handler(signal.SIGUSR2, supervisor.ask, "upgrade")
     try:
-        await keeper.start()
-        return await keeper.status
+        await supervisor.start()
+        return await supervisor.status
     finally:
-        keeper.close()
+        supervisor.close()
 
 
 def run(first: Callable[[], Config], file: Path, arguments: Sequence[str] = ()) -> int:
-    """A gateway with upgrades from its start to its end; returns the status to exit with. `arguments` are
-    those of the command line by which its workers find their configuration."""
+    """Run a gateway with upgrades from its start to its end; returns the status to exit with.
+
+    `first` reads the configuration, `file` turns upgrades on, and `arguments` are those of the
+    command line by which workers find their configuration.
+    """
     start_log()
     try:
         config = first()
         upgrades = load_upgrades(file, config.sockets, config.name)
         # Workers are found where this process was: without -P the folder it runs in would come first.
         path = ("-P",) if sys.flags.safe_path else ()
-        return asyncio.run(
-            keep(config, upgrades, [sys.executable, *path, "-m", "quillroad", *arguments])
-        )
+        command = [sys.executable, *path, "-m", "quillroad", *arguments]
+        return asyncio.run(supervise(config, upgrades, command))
     except ConfigError as error:
         print(f"quillroad: {error}", file=sys.stderr)
         return 2
--- a/tests/recordings/upgrade.py
+++ b/tests/recordings/upgrade.py
@@ -74,7 +74,7 @@
     adopt,
     export,
 )
-from quillroad.upgrade.supervisor import Keeper, Limits, Phase, Worker
+from quillroad.upgrade.supervisor import Limits, Phase, Supervisor, WorkerInfo
 from tests.balancing.helpers import Stage, route, settings
 from tests.net import make_config
 from tests.recordings.kinds import Documents
@@ -349,12 +349,12 @@
     for phase in Phase:
         numbers = range(1, 5)
         workers = {
-            n: Worker(n, 5.5, memory_mb=6.5 + n, open=7 + n, connections=8 * n) for n in numbers
+            n: WorkerInfo(n, 5.5, memory_mb=6.5 + n, open=7 + n, connections=8 * n) for n in numbers
         }
-        keeper = Keeper(Limits(), Canary(), phase, workers, 1, 2, 3, {1}, {4: 9.5})
-        told[phase.value] = "\n".join(keeper.status())
-        keeper.last = "it ended with 3"
-        told[f"{phase.value}, after an upgrade"] = "\n".join(keeper.status())
+        supervisor = Supervisor(Limits(), Canary(), phase, workers, 1, 2, 3, {1}, {4: 9.5})
+        told[phase.value] = "\n".join(supervisor.status())
+        supervisor.last = "it ended with 3"
+        told[f"{phase.value}, after an upgrade"] = "\n".join(supervisor.status())
     return told
 
 
--- a/tests/upgrade/test_machines.py
+++ b/tests/upgrade/test_machines.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from quillroad.config import RESERVED
-from quillroad.upgrade import supervisor as k
+from quillroad.upgrade import supervisor_commands as commands
 from quillroad.upgrade.canary import Canary, Counts, Tuning, bounds
 from quillroad.upgrade.messages import (
     VERSION,
@@ -28,6 +28,7 @@
     Unfit,
     Welcome,
 )
+from quillroad.upgrade.supervisor import Limits, Phase, Supervisor
 from quillroad.upgrade.worker_state import (
     Act,
     Adopt,
@@ -45,7 +46,7 @@
     ToOther,
 )
 
-LIMITS = k.Limits(
+LIMITS = Limits(
     start_s=5.0, prepare_s=2.0, switch_s=1.0, canary_s=10.0, retire_s=3.0, silence_s=2.0
 )
 IDLE = frozenset(range(40))  # client connections
@@ -79,7 +80,7 @@
 class Machine:
     """What lies between processes is in order for each pair, and in any order between pairs."""
 
-    keeper: k.Keeper = field(default_factory=lambda: k.Keeper(LIMITS))
+    supervisor: Supervisor = field(default_factory=lambda: Supervisor(LIMITS))
     now: float = 0.0
     processes: dict[int, Process] = field(default_factory=dict)
     wires: dict[tuple[int, int], deque[tuple[Message, set[int]]]] = field(default_factory=dict)
@@ -132,24 +133,24 @@
                 wire.clear()
             if sender == number and to == 0:
                 while wire:
-                    self.carry(self.keeper.heard(self.now, number, wire.popleft()[0]))
+                    self.carry(self.supervisor.heard(self.now, number, wire.popleft()[0]))
         if process.other in self.processes:
             wire = self.wires.get((number, process.other), deque())
             while wire:
                 self.deliver(number, process.other)
             if process.other in self.processes:
                 self.act(process.other, self.processes[process.other].seat.cut())
-        self.carry(self.keeper.ended(self.now, number, status))
+        self.carry(self.supervisor.ended(self.now, number, status))
 
-    def carry(self, acts: list[k.Act]) -> None:
+    def carry(self, acts: list[commands.Command]) -> None:
         for act in acts:
             match act:
-                case k.Spawn():
+                case commands.StartWorker():
                     self.processes[act.worker] = Process()
                     self.post(act.worker, 0, Hello(VERSION))
-                case k.Tell():
+                case commands.SendMessage():
                     self.post(0, act.worker, act.message)
-                case k.Join():
+                case commands.ConnectWorkers():
                     for one, other, message in (
                         (act.giver, act.taker, act.message),
                         (act.taker, act.giver, Take()),
@@ -157,14 +158,14 @@
                         if one in self.processes:
                             self.processes[one].other = other
                             self.post(0, one, Take(other) if isinstance(message, Take) else message)
-                case k.Stop():
+                case commands.StopWorker():
                     if act.worker in self.processes:
                         self.processes[act.worker].stopping = True
-                case k.Kill():
+                case commands.KillWorker():
                     self.end(act.worker)
-                case k.Settled():
+                case commands.UpgradeEnded():
                     self.settled.append(act.why)
-                case k.Exit():
+                case commands.ExitSupervisor():
                     self.status = act.status
         self.check()
 
@@ -254,7 +255,7 @@
     def deliver(self, sender: int, to: int) -> None:
         message, self.carried = self.wires[(sender, to)].popleft()
         if to == 0:
-            self.carry(self.keeper.heard(self.now, sender, message))
+            self.carry(self.supervisor.heard(self.now, sender, message))
             return
         process = self.processes.get(to)
         if process is None or process.mute:
@@ -281,12 +282,12 @@
                     self.end(number, 0)
                 elif process.seat.accepts and not process.mute:
                     self.post(number, 0, Report(served=10))
-            self.carry(self.keeper.tick(self.now))
+            self.carry(self.supervisor.tick(self.now))
 
     def check(self) -> None:
         accepting = [n for n, p in self.processes.items() if p.seat.accepts]
         assert len(accepting) <= 1, "two accept"
-        assert set(accepting) <= self.keeper.granted
+        assert set(accepting) <= self.supervisor.granted
         readers = [c for p in self.processes.values() for c in p.holds]
         assert len(readers) == len(set(readers)), "a connection with two readers"
         told = [message for wire in self.wires.values() for message, _ in wire]
@@ -304,7 +305,7 @@
 
 def started() -> Machine:
     machine = Machine()
-    machine.carry(machine.keeper.begin(0.0))
+    machine.carry(machine.supervisor.begin(0.0))
     machine.run(until=3.0)
     assert machine.serving() == 1
     machine.processes[1].holds = set(IDLE)
@@ -312,7 +313,7 @@
 
 
 def upgrade(machine: Machine, choose: st.DataObject | None = None, seconds: float = 40.0) -> None:
-    why, acts = machine.keeper.ask(machine.now, "upgrade")
+    why, acts = machine.supervisor.ask(machine.now, "upgrade")
     assert not why
     machine.carry(acts)
     machine.run(choose, machine.now + seconds)
@@ -344,7 +345,7 @@
     assert machine.kill_at is None, "the step was never reached"
     assert len(machine.settled) == 1
     survivor = machine.serving()
-    assert machine.keeper.phase is k.Phase.SERVING and machine.keeper.granted == {survivor}
+    assert machine.supervisor.phase is Phase.SERVING and machine.supervisor.granted == {survivor}
     if victim == 2:
         assert survivor == 1 and machine.settled[0]
     # Only what was the dead process's own is gone: nothing that the other one held a copy of.
@@ -377,9 +378,9 @@
     """All that workers carry out in an upgrade and on the way back, from the machines' own run."""
     machine = started()
     machine.did.clear()
-    machine.carry(machine.keeper.ask(machine.now, "upgrade")[1])
+    machine.carry(machine.supervisor.ask(machine.now, "upgrade")[1])
     machine.run(until=machine.now + 1.0)
-    machine.carry(machine.keeper.ask(machine.now, "rollback")[1])
+    machine.carry(machine.supervisor.ask(machine.now, "rollback")[1])
     machine.run(until=machine.now + 5.0)
     upgrade(machine)
     return sorted({step for step in machine.did if step[1] < 3})
@@ -391,14 +392,14 @@
     """A fault inside a step, on either side, on the way forward and on the way back."""
     machine = started()
     machine.fail_at = (what, who)
-    machine.carry(machine.keeper.ask(machine.now, "upgrade")[1])
+    machine.carry(machine.supervisor.ask(machine.now, "upgrade")[1])
     machine.run(until=machine.now + 1.0)
     if back:
-        machine.carry(machine.keeper.ask(machine.now, "rollback")[1])
+        machine.carry(machine.supervisor.ask(machine.now, "rollback")[1])
     machine.run(until=machine.now + 40.0)
     assert len(machine.settled) == 1
     survivor = machine.serving()
-    assert machine.keeper.phase is k.Phase.SERVING and machine.keeper.granted == {survivor}
+    assert machine.supervisor.phase is Phase.SERVING and machine.supervisor.granted == {survivor}
     # Nobody was killed: each connection is served, or its client saw it end between two requests.
     assert machine.processes[survivor].holds | machine.closed == IDLE
     machine.fail_at = None
@@ -414,12 +415,12 @@
     for _ in range(data.draw(st.integers(1, 3))):
         if data.draw(st.booleans()):
             kind, sender = data.draw(st.sampled_from(kinds))
-            base = machine.keeper.owner - 1
+            base = machine.supervisor.owner - 1
             machine.kill_at = (kind, sender + base, data.draw(st.integers(1, 2)) + base)
         upgrade(machine, data, 25.0)
         machine.kill_at = None
         machine.serving()
-    why, acts = machine.keeper.ask(machine.now, "stop")
+    why, acts = machine.supervisor.ask(machine.now, "stop")
     machine.carry(acts)
     machine.run(until=machine.now + 5.0)
     assert not why and machine.status == 0 and not machine.processes
@@ -427,10 +428,10 @@
 
 def test_a_bad_new_process_hands_back() -> None:
     machine = started()
-    machine.carry(machine.keeper.ask(machine.now, "upgrade")[1])
+    machine.carry(machine.supervisor.ask(machine.now, "upgrade")[1])
     machine.run(until=machine.now + 1.0)
     assert machine.serving() == 2
-    machine.carry(machine.keeper.heard(machine.now, 2, Report(served=10, failed=90)))
+    machine.carry(machine.supervisor.heard(machine.now, 2, Report(served=10, failed=90)))
     machine.run(until=machine.now + 10.0)
     assert (
         machine.serving() == 1 and list(machine.processes) == [1] and "failed" in machine.settled[0]
@@ -440,15 +441,15 @@
 
 def test_a_rollback_by_command_and_a_second_upgrade_meanwhile() -> None:
     machine = started()
-    machine.carry(machine.keeper.ask(machine.now, "upgrade")[1])
-    assert machine.keeper.ask(machine.now, "upgrade")[0] == "not now: probing"
+    machine.carry(machine.supervisor.ask(machine.now, "upgrade")[1])
+    assert machine.supervisor.ask(machine.now, "upgrade")[0] == "not now: probing"
     machine.run(until=machine.now + 1.0)
     assert machine.serving() == 2
-    why, acts = machine.keeper.ask(machine.now, "rollback")
+    why, acts = machine.supervisor.ask(machine.now, "rollback")
     machine.carry(acts)
     machine.run(until=machine.now + 5.0)
     assert not why and machine.serving() == 1 and machine.settled == ["asked for"]
-    assert machine.keeper.ask(machine.now, "rollback")[0] == "nothing to go back to: serving"
+    assert machine.supervisor.ask(machine.now, "rollback")[0] == "nothing to go back to: serving"
 
 
 def test_an_unfit_or_too_large_candidate_changes_nothing() -> None:
@@ -457,22 +458,23 @@
         (Hello(VERSION + 1), 0.0, f"it speaks version {VERSION + 1}, this is {VERSION}"),
         (Ready(150.0), 192.0, "both processes take 210 MB, 192 are allowed"),
     ):
-        keeper = k.Keeper(k.Limits(memory_mb=limit))
-        keeper.begin(0.0)
-        keeper.heard(0.0, 1, Hello(VERSION))
-        keeper.heard(0.0, 1, Ready(60.0))
-        keeper.heard(0.0, 1, Owning(1))
-        _, acts = keeper.ask(1.0, "upgrade")
-        acts = keeper.heard(1.1, 2, message)
-        assert k.Settled(why) in acts and k.Kill(2) in acts
-        assert keeper.granted == {1} and not any(
-            isinstance(a, k.Tell) and a.worker == 1 and isinstance(a.message, Give) for a in acts
+        supervisor = Supervisor(Limits(memory_mb=limit))
+        supervisor.begin(0.0)
+        supervisor.heard(0.0, 1, Hello(VERSION))
+        supervisor.heard(0.0, 1, Ready(60.0))
+        supervisor.heard(0.0, 1, Owning(1))
+        _, acts = supervisor.ask(1.0, "upgrade")
+        acts = supervisor.heard(1.1, 2, message)
+        assert commands.UpgradeEnded(why) in acts and commands.KillWorker(2) in acts
+        assert supervisor.granted == {1} and not any(
+            isinstance(a, commands.SendMessage) and a.worker == 1 and isinstance(a.message, Give)
+            for a in acts
         )
 
 
 def test_a_check_proves_the_build_and_changes_nothing() -> None:
     machine = started()
-    why, acts = machine.keeper.ask(machine.now, "check")
+    why, acts = machine.supervisor.ask(machine.now, "check")
     machine.said.clear()
     machine.carry(acts)
     machine.run(until=machine.now + 5.0)
@@ -482,42 +484,44 @@
 
 
 def test_who_starts_after_a_reload_reads_what_the_reload_read() -> None:
-    keeper = k.Keeper()
-    keeper.begin(0.0)
-    assert keeper.heard(0.0, 1, Hello(VERSION))[-1] == k.Tell(1, Welcome(1024))
-    keeper.heard(0.0, 1, Ready())
-    keeper.heard(0.0, 1, Owning(1))
-    assert keeper.reload() == [1]
-    keeper.ask(1.0, "upgrade")
-    assert keeper.reload() == [1]  # the new one could not take a signal yet
-    assert keeper.heard(1.0, 2, Hello(VERSION))[-1] == k.Tell(2, Welcome(64, reloaded=True))
-    assert keeper.reload() == [1, 2]
+    supervisor = Supervisor()
+    supervisor.begin(0.0)
+    assert supervisor.heard(0.0, 1, Hello(VERSION))[-1] == commands.SendMessage(1, Welcome(1024))
+    supervisor.heard(0.0, 1, Ready())
+    supervisor.heard(0.0, 1, Owning(1))
+    assert supervisor.reload() == [1]
+    supervisor.ask(1.0, "upgrade")
+    assert supervisor.reload() == [1]  # the new one could not take a signal yet
+    assert supervisor.heard(1.0, 2, Hello(VERSION))[-1] == commands.SendMessage(
+        2, Welcome(64, reloaded=True)
+    )
+    assert supervisor.reload() == [1, 2]
 
 
 def test_crashes_back_off_and_calm_forgets_them() -> None:
-    keeper, now, waits = k.Keeper(k.Limits(again_s=0.1, again_most_s=1.0, calm_s=10.0)), 0.0, []
-    acts = keeper.begin(now)
+    supervisor, now, waits = Supervisor(Limits(again_s=0.1, again_most_s=1.0, calm_s=10.0)), 0.0, []
+    acts = supervisor.begin(now)
     for served_s in (0.1,) * 7 + (20.0, 0.1):
-        (worker,) = (act.worker for act in acts if isinstance(act, k.Spawn))
+        (worker,) = (act.worker for act in acts if isinstance(act, commands.StartWorker))
         for message in (Hello(VERSION), Ready()):
-            keeper.heard(now, worker, message)
-        keeper.heard(now, worker, Owning(keeper._grant))
-        assert keeper.phase is k.Phase.SERVING
+            supervisor.heard(now, worker, message)
+        supervisor.heard(now, worker, Owning(supervisor._grant))
+        assert supervisor.phase is Phase.SERVING
         now += served_s
-        acts, wait_s = keeper.ended(now, worker, -11), 0.0
-        if not any(isinstance(act, k.Spawn) for act in acts):
-            wait_s = keeper.next_s(now) or 0.0
+        acts, wait_s = supervisor.ended(now, worker, -11), 0.0
+        if not any(isinstance(act, commands.StartWorker) for act in acts):
+            wait_s = supervisor.next_s(now) or 0.0
             now += wait_s
-            acts = keeper.tick(now)
+            acts = supervisor.tick(now)
         waits.append(round(wait_s, 3))
     assert waits == [0.0, 0.2, 0.4, 0.8, 1.0, 1.0, 1.0, 0.0, 0.2]
 
 
 def test_a_configuration_that_cannot_work_ends_the_keeper_and_not_the_gateway() -> None:
-    keeper = k.Keeper()
-    keeper.begin(0.0)
-    keeper.heard(0.0, 1, Hello(VERSION))
-    assert k.Exit(2) in keeper.ended(0.1, 1, 2)
+    supervisor = Supervisor()
+    supervisor.begin(0.0)
+    supervisor.heard(0.0, 1, Hello(VERSION))
+    assert commands.ExitSupervisor(2) in supervisor.ended(0.1, 1, 2)
 
 
 @given(st.integers(0, 500), st.integers(0, 500), st.floats(0.5, 4.0))
