--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -46,7 +46,7 @@
 LINE = re.compile(r"^(\d\d):(\d\d):(\d\d\.\d\d\d) quillroad\.upgrade: (\w+)", re.MULTILINE)
 # With no section told, everything is learned anew.
 COLD = """
-    import quillroad.upgrade.worker as w
+    import quillroad.upgrade.worker_process as w
     w.read = lambda gateway, sections, trial: []"""
 
 
--- a/quillroad/upgrade/pair.py
+++ b/quillroad/upgrade/sibling_handover.py
@@ -38,14 +38,18 @@
     batch_of,
 )
 
-OTHER = 1  # the number by which each knows the other
-FOUND_S = 1.5  # for the one that serves to answer a newcomer: it answers in one turn of its loop
-TAKEN_S = 4.0  # from a newcomer's start to its serving, if need be alone: operators want its yes within 6 s
-BUSY_S = 2.0  # for which a newcomer asks again where another is being served
-NEWCOMER = 2 * RESERVED  # descriptors that it has from its start on, while it tests its path
+SIBLING = 1  # the number by which each knows the other
+ANSWER_TIMEOUT_S = (
+    1.5  # for the one that serves to answer a newcomer: it answers in one turn of its loop
+)
+HANDOVER_TIMEOUT_S = 4.0  # from a newcomer's start to its serving, if need be alone: operators want its yes within 6 s
+BUSY_TIMEOUT_S = 2.0  # for which a newcomer asks again where another is being served
+NEWCOMER_DESCRIPTORS = (
+    2 * RESERVED
+)  # descriptors that it has from its start on, while it tests its path
 
 
-class Stage(Enum):
+class HandoverStage(Enum):
     """Where a process is."""
 
     LOOKS = "looks"  # for one that serves
@@ -57,7 +61,7 @@
     STANDS_BY = "stands by"  # another serves; takes the listener again if that one fails
 
 
-class Do(Enum):
+class HandoverStep(Enum):
     """What needs no more than a word."""
 
     PREPARE = "prepare"  # read the configuration, test the path
@@ -67,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendToSibling:
     """To the other process; with the listening socket where `listener`."""
 
     message: Message
@@ -75,107 +79,109 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class TellWorker:
     """To the own seat."""
 
     message: Message
 
 
-Act = Do | Say | Tell
+HandoverCommand = HandoverStep | SendToSibling | TellWorker
 
 
 @dataclass(slots=True)
-class Pair:
+class SiblingHandover:
     """`descriptors` are what both processes may hold together, without what the operators' address keeps."""
 
     descriptors: int
-    stage: Stage = Stage.LOOKS
+    stage: HandoverStage = HandoverStage.LOOKS
     build: str = ""
     ending: bool = False
     _grant: int = 0
 
     @property
     def _newcomers(self) -> int:
-        return min(NEWCOMER, self.descriptors // 2)
+        return min(NEWCOMER_DESCRIPTORS, self.descriptors // 2)
 
-    def _own(self) -> list[Act]:
+    def _own(self) -> list[HandoverCommand]:
         self._grant += 1
-        self.stage = Stage.SERVES
-        return [Tell(Own(self._grant)), Do.PUBLISH]
+        self.stage = HandoverStage.SERVES
+        return [TellWorker(Own(self._grant)), HandoverStep.PUBLISH]
 
     # As a newcomer.
 
-    def found(self) -> list[Act]:
+    def found(self) -> list[HandoverCommand]:
         """One that serves was reached."""
-        self.stage = Stage.ASKS
-        return [Say(Hello(VERSION, self.build))]
+        self.stage = HandoverStage.ASKS
+        return [SendToSibling(Hello(VERSION, self.build))]
 
-    def nobody(self) -> list[Act]:
+    def nobody(self) -> list[HandoverCommand]:
         """None was, or it does not answer in time."""
-        self.stage = Stage.PREPARES
-        return [Do.CUT, Do.PREPARE]
+        self.stage = HandoverStage.PREPARES
+        return [HandoverStep.CUT, HandoverStep.PREPARE]
 
-    def prepared(self, linked: bool) -> list[Act]:
+    def prepared(self, linked: bool) -> list[HandoverCommand]:
         """The configuration is read and the path works."""
         if linked:
-            self.stage = Stage.TAKES
-            return [Tell(Take(OTHER)), Say(Ready())]
+            self.stage = HandoverStage.TAKES
+            return [TellWorker(Take(SIBLING)), SendToSibling(Ready())]
         return self._alone()
 
-    def late(self) -> list[Act]:
+    def late(self) -> list[HandoverCommand]:
         """The other did not bring this process to serving in time."""
-        return [Do.CUT, *self._alone()] if self.stage is Stage.TAKES else []
+        return [HandoverStep.CUT, *self._alone()] if self.stage is HandoverStage.TAKES else []
 
-    def _alone(self) -> list[Act]:
-        return [Do.OPEN, Tell(Room(self.descriptors)), *self._own()]
+    def _alone(self) -> list[HandoverCommand]:
+        return [HandoverStep.OPEN, TellWorker(Room(self.descriptors)), *self._own()]
 
     # As the one that serves.
 
     def may_come(self) -> bool:
         """Whether a newcomer is served now; else it asks again, or serves alone."""
-        return self.stage is Stage.SERVES and not self.ending
+        return self.stage is HandoverStage.SERVES and not self.ending
 
     # Either.
 
-    def heard(self, message: Message) -> list[Act]:
+    def heard(self, message: Message) -> list[HandoverCommand]:
         """The other says something that is not for the seat."""
         match message:
             case Hello() if self.may_come():
                 if message.version != VERSION:
-                    return [Do.CUT]
-                self.stage = Stage.GIVES
+                    return [HandoverStep.CUT]
+                self.stage = HandoverStage.GIVES
                 left = self.descriptors - self._newcomers - 2 * batch_of(self.descriptors)
-                return [Tell(Room(left)), Say(Welcome(self.descriptors // 2), True)]
-            case Ready() if self.stage is Stage.GIVES:
-                return [Tell(Give(self.descriptors // 2 - self._newcomers, OTHER))]
-            case Welcome() if self.stage is Stage.ASKS:
-                self.stage = Stage.PREPARES
-                return [Do.PREPARE]
+                return [TellWorker(Room(left)), SendToSibling(Welcome(self.descriptors // 2), True)]
+            case Ready() if self.stage is HandoverStage.GIVES:
+                return [TellWorker(Give(self.descriptors // 2 - self._newcomers, SIBLING))]
+            case Welcome() if self.stage is HandoverStage.ASKS:
+                self.stage = HandoverStage.PREPARES
+                return [HandoverStep.PREPARE]
         return []
 
-    def seat(self, message: Message) -> list[Act]:
+    def seat(self, message: Message) -> list[HandoverCommand]:
         """The own seat says something."""
         match message:
-            case Prepared() if self.stage is Stage.GIVES:
-                self.stage = Stage.STANDS_BY
+            case Prepared() if self.stage is HandoverStage.GIVES:
+                self.stage = HandoverStage.STANDS_BY
                 self._grant += 1
-                return [Tell(Yield(self._grant))]
-            case Held() if self.stage is Stage.TAKES:
+                return [TellWorker(Yield(self._grant))]
+            case Held() if self.stage is HandoverStage.TAKES:
                 return self._own()
         return []
 
-    def cut(self) -> list[Act]:
+    def cut(self) -> list[HandoverCommand]:
         """The other can't be heard any more; the own seat knows."""
         if self.ending:
             return []  # whoever ends takes nothing over
         match self.stage:
-            case Stage.ASKS:
-                self.stage = Stage.LOOKS  # it is busy with another newcomer, or has just ended
-            case Stage.TAKES:
+            case HandoverStage.ASKS:
+                self.stage = (
+                    HandoverStage.LOOKS
+                )  # it is busy with another newcomer, or has just ended
+            case HandoverStage.TAKES:
                 return self._alone()
-            case Stage.STANDS_BY:
-                return [Tell(Room(self.descriptors)), *self._own()]
-            case Stage.GIVES | Stage.SERVES:
-                self.stage = Stage.SERVES
-                return [Tell(Room(self.descriptors))]
+            case HandoverStage.STANDS_BY:
+                return [TellWorker(Room(self.descriptors)), *self._own()]
+            case HandoverStage.GIVES | HandoverStage.SERVES:
+                self.stage = HandoverStage.SERVES
+                return [TellWorker(Room(self.descriptors))]
         return []
--- a/quillroad/upgrade/sibling_process.py
+++ b/quillroad/upgrade/sibling_process.py
@@ -24,10 +24,21 @@
 from quillroad.gateway import start_log
 from quillroad.overload.acceptor import open_listener
 from quillroad.upgrade.messages import Ended, Hello, Message, Ready, Room, Welcome, batch_of
-from quillroad.upgrade.pair import BUSY_S, FOUND_S, OTHER, TAKEN_S, Act, Do, Pair, Say, Stage, Tell
 from quillroad.upgrade.selftest import SelfTestError, selftest
-from quillroad.upgrade.supervised_worker import Seated
-from quillroad.upgrade.worker_state import Do as SeatDo
+from quillroad.upgrade.sibling_handover import (
+    ANSWER_TIMEOUT_S,
+    BUSY_TIMEOUT_S,
+    HANDOVER_TIMEOUT_S,
+    SIBLING,
+    HandoverCommand,
+    HandoverStage,
+    HandoverStep,
+    SendToSibling,
+    SiblingHandover,
+    TellWorker,
+)
+from quillroad.upgrade.worker_process import WorkerProcess
+from quillroad.upgrade.worker_state import Step as WorkerStep
 
 log = logging.getLogger("quillroad.upgrade")
 
@@ -37,7 +48,7 @@
 LONGEST_PATH = 100  # bytes of a socket's path; the kernel takes 107
 
 
-class Meeting:
+class Rendezvous:
     """The place in a folder where a newcomer finds who serves at an address."""
 
     def __init__(self, folder: str | None, port: int) -> None:
@@ -104,7 +115,7 @@
                 os.unlink(path)
 
 
-class Beside(Seated):
+class SiblingProcess(WorkerProcess):
     """One process, from its start on."""
 
     def __init__(
@@ -117,181 +128,183 @@
     ) -> None:
         super().__init__(loop, again, zones)
         self._config = config
-        self._meeting = Meeting(folder, config.listen[1])
-        self._door: socket.socket | None = None  # where newcomers come
+        self._rendezvous = Rendezvous(folder, config.listen[1])
+        self._listening: socket.socket | None = None  # where newcomers come
         build = f"{sys.version_info[0]}.{sys.version_info[1]}"
-        self._pair = Pair(config.sockets - admin.RESERVED, build=build)
+        self._handover = SiblingHandover(config.sockets - admin.RESERVED, build=build)
         self._pidfd = -1  # of the other process
-        self._began = loop.time()
+        self._started_at = loop.time()
 
     def begin(self) -> None:
         """Look for one that serves, and then serve."""
-        self._task(self._look())
+        self._own_task(self._look_for_sibling())
 
-    async def _look(self) -> None:
-        until = self._began + BUSY_S
+    async def _look_for_sibling(self) -> None:
+        until = self._started_at + BUSY_TIMEOUT_S
         while not self._ending:
-            if self._pair.stage is Stage.LOOKS:
-                sock = self._meeting.reach() if self._loop.time() < until else None
+            if self._handover.stage is HandoverStage.LOOKS:
+                sock = self._rendezvous.reach() if self._loop.time() < until else None
                 if sock is not None:
-                    self._link(sock)
-                if self._other is None:
-                    self._pairs(self._pair.nobody())
+                    self._open_link(sock)
+                if self._sibling is None:
+                    self._perform_handover(self._handover.nobody())
                     return
-                self._pairs(self._pair.found())
-                self._loop.call_later(FOUND_S, self._unanswered)
-            elif self._pair.stage is not Stage.ASKS:
+                self._perform_handover(self._handover.found())
+                self._loop.call_later(ANSWER_TIMEOUT_S, self._sibling_is_silent)
+            elif self._handover.stage is not HandoverStage.ASKS:
                 return
             # One that is busy with another newcomer ends the link, and may have time later.
             await asyncio.sleep(LOOK_S)
 
-    def _unanswered(self) -> None:
-        if self._pair.stage is Stage.ASKS:
+    def _sibling_is_silent(self) -> None:
+        if self._handover.stage is HandoverStage.ASKS:
             log.warning("the process that serves does not answer")
-            self._pairs(self._pair.nobody())
+            self._perform_handover(self._handover.nobody())
 
     # The other process.
 
-    def _link(self, sock: socket.socket) -> None:
-        super()._link(sock)
-        if self._other is not None:
-            self._watch(self._other.peer)
+    def _open_link(self, sock: socket.socket) -> None:
+        super()._open_link(sock)
+        if self._sibling is not None:
+            self._watch_process(self._sibling.peer)
 
-    def _watch(self, pid: int) -> None:
+    def _watch_process(self, pid: int) -> None:
         """See the end of the other process: what it had offered and not released is nobody else's then."""
-        self._unwatch()
+        self._unwatch_process()
         try:
             self._pidfd = os.pidfd_open(pid)
         except (OSError, AttributeError):
             return  # the batch at hand is closed where its giver dies in the middle of it
-        self._loop.add_reader(self._pidfd, self._ended)
+        self._loop.add_reader(self._pidfd, self._sibling_ended)
 
-    def _unwatch(self) -> None:
+    def _unwatch_process(self) -> None:
         if self._pidfd >= 0:
             self._loop.remove_reader(self._pidfd)
             os.close(self._pidfd)
             self._pidfd = -1
 
-    def _ended(self) -> None:
-        self._unwatch()
-        self._do(self._seat.told(Ended(OTHER)))
+    def _sibling_ended(self) -> None:
+        self._unwatch_process()
+        self._perform_all(self._state.told(Ended(SIBLING)))
 
-    def _heard(self, message: Message, fds: list[int]) -> None:
+    def _on_sibling_message(self, message: Message, fds: list[int]) -> None:
         if isinstance(message, Hello | Ready | Welcome):
             if isinstance(message, Welcome) and len(fds) == 1 and self._listener is None:
                 self._listener = socket.socket(fileno=fds.pop())
                 self._listener.setblocking(False)
             for fd in fds:
                 os.close(fd)
-            self._pairs(self._pair.heard(message))
+            self._perform_handover(self._handover.heard(message))
         else:
-            super()._heard(message, fds)
+            super()._on_sibling_message(message, fds)
 
-    def _operators(self, on: bool) -> None:
+    def _serve_operators(self, on: bool) -> None:
         """Each process has an address of its own for them, from its start to its end."""
 
-    def _unlink(self) -> None:
-        linked = self._other is not None
-        super()._unlink()
+    def _close_link(self) -> None:
+        linked = self._sibling is not None
+        super()._close_link()
         if linked:
-            self._pairs(self._pair.cut())
+            self._perform_handover(self._handover.cut())
 
-    def _to_keeper(self, message: Message) -> None:
-        self._pairs(self._pair.seat(message))
+    def _to_supervisor(self, message: Message) -> None:
+        self._perform_handover(self._handover.seat(message))
 
-    def _pairs(self, acts: list[Act]) -> None:
+    def _perform_handover(self, acts: list[HandoverCommand]) -> None:
         for act in acts:
             try:
-                self._pair_act(act)
+                self._perform_handover_command(act)
             except Exception:
                 log.exception("could not carry out %s", act)
                 self._fail(1)
                 return
 
-    def _pair_act(self, act: Act) -> None:
+    def _perform_handover_command(self, act: HandoverCommand) -> None:
         match act:
-            case Say():
-                if self._other is not None:
+            case SendToSibling():
+                if self._sibling is not None:
                     fds = (
                         [self._listener.fileno()]
                         if act.listener and self._listener is not None
                         else []
                     )
-                    self._other.send(act.message, fds)
-            case Tell():
+                    self._sibling.send(act.message, fds)
+            case TellWorker():
                 if isinstance(act.message, Room) and self._gateway is None:
                     return
-                self._do(self._seat.told(act.message))
-            case Do.PREPARE:
-                self._task(self._prepare())
-            case Do.OPEN:
+                self._perform_all(self._state.told(act.message))
+            case HandoverStep.PREPARE:
+                self._own_task(self._prepare())
+            case HandoverStep.OPEN:
                 if self._listener is None:
                     self._listener = open_listener(*self._config.listen, shared=True)
-            case Do.PUBLISH:
+            case HandoverStep.PUBLISH:
                 self._publish()
-            case Do.CUT:
-                self._unlink()
+            case HandoverStep.CUT:
+                self._close_link()
 
     # Serving.
 
     async def _prepare(self) -> None:
-        linked = self._other is not None
+        linked = self._sibling is not None
         try:
             if linked:
                 await selftest(self._config)
-            share = self._pair.descriptors // 2 if linked else self._pair.descriptors
+            share = self._handover.descriptors // 2 if linked else self._handover.descriptors
             self._build(self._config, share - RESERVED)
-            self._seat.batch = batch_of(self._pair.descriptors)  # as many as `Pair` sets apart for
+            self._state.batch = batch_of(
+                self._handover.descriptors
+            )  # as many as `Pair` sets apart for
             assert self._gateway is not None
             assert self._gateway.admin is not None
             self._gateway.admin.start()
             self._gateway.admin.serves = lambda: (
-                self._seat.accepts or self._pair.stage is Stage.STANDS_BY
+                self._state.accepts or self._handover.stage is HandoverStage.STANDS_BY
             )
         except (ConfigError, SelfTestError, OSError) as error:
             print(f"quillroad: {error}", file=sys.stderr)
             self._fail(2 if isinstance(error, ConfigError) else 1)
             return
-        self._task(self._lends())
-        linked = self._other is not None  # it may have gone meanwhile
+        self._own_task(self._lend_forever())
+        linked = self._sibling is not None  # it may have gone meanwhile
         if linked:
-            self._loop.call_at(self._began + TAKEN_S, self._late)
-        self._pairs(self._pair.prepared(linked))
+            self._loop.call_at(self._started_at + HANDOVER_TIMEOUT_S, self._handover_is_late)
+        self._perform_handover(self._handover.prepared(linked))
 
-    def _late(self) -> None:
-        if self._pair.stage is Stage.TAKES:
+    def _handover_is_late(self) -> None:
+        if self._handover.stage is HandoverStage.TAKES:
             log.warning("the other process did not hand over in time: this one serves alone")
-            self._pairs(self._pair.late())
+            self._perform_handover(self._handover.late())
 
-    async def _lends(self) -> None:
+    async def _lend_forever(self) -> None:
         while True:
             await asyncio.sleep(TELL_S)
-            if self._seat.yielded:
-                self._tell()
+            if self._state.yielded:
+                self._share_attempts()
 
     def _publish(self) -> None:
-        self._close_door()
-        self._door = self._meeting.open()
-        if self._door is not None:
-            self._loop.add_reader(self._door.fileno(), self._knock)
+        self._stop_listening_for_newcomers()
+        self._listening = self._rendezvous.open()
+        if self._listening is not None:
+            self._loop.add_reader(self._listening.fileno(), self._newcomer)
 
-    def _knock(self) -> None:
-        assert self._door is not None
+    def _newcomer(self) -> None:
+        assert self._listening is not None
         try:
-            sock, _ = self._door.accept()
+            sock, _ = self._listening.accept()
         except OSError:
             return
-        if self._other is None and self._pair.may_come():
-            self._link(sock)
+        if self._sibling is None and self._handover.may_come():
+            self._open_link(sock)
         else:
             sock.close()
 
-    def _close_door(self) -> None:
-        if self._door is not None:
-            self._loop.remove_reader(self._door.fileno())
-            self._door.close()
-            self._door = None
-            self._meeting.close()
+    def _stop_listening_for_newcomers(self) -> None:
+        if self._listening is not None:
+            self._loop.remove_reader(self._listening.fileno())
+            self._listening.close()
+            self._listening = None
+            self._rendezvous.close()
 
     # The end.
 
@@ -300,25 +313,25 @@
         self.end.set()
 
     def drain(self) -> None:
-        self._pair.ending = True
+        self._handover.ending = True
         if self._gateway is not None:
             self._gateway.serving_state.end()
-        self._close_door()
+        self._stop_listening_for_newcomers()
         super().drain()
 
     def _end(self) -> None:
-        if self._gateway is not None and not self._seat.accepts and self._other is not None:
-            self._do(
-                [SeatDo.FINISH]
+        if self._gateway is not None and not self._state.accepts and self._sibling is not None:
+            self._perform_all(
+                [WorkerStep.FINISH]
             )  # the link stays: connections move for as long as there are some
         else:
             super()._end()
 
     async def close(self) -> None:
-        self._ending = self._pair.ending = True
-        self._close_door()
-        self._unlink()
-        self._unwatch()
+        self._ending = self._handover.ending = True
+        self._stop_listening_for_newcomers()
+        self._close_link()
+        self._unwatch_process()
         await super().close()
 
 
@@ -327,7 +340,7 @@
 ) -> int:
     """Run one process to its end; returns the status to exit with."""
     loop = asyncio.get_running_loop()
-    process = Beside(loop, config, again, zones, environment.get("TMPDIR"))
+    process = SiblingProcess(loop, config, again, zones, environment.get("TMPDIR"))
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, process.drain)
     process.begin()
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -28,7 +28,7 @@
     Welcome,
 )
 from quillroad.upgrade.selftest import SelfTestError, selftest
-from quillroad.upgrade.supervised_worker import Seated
+from quillroad.upgrade.worker_process import WorkerProcess
 
 log = logging.getLogger("quillroad.upgrade")
 
@@ -42,7 +42,7 @@
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-class Worker(Seated):
+class SupervisedWorker(WorkerProcess):
     """One process. `first` reads the configuration, `again` reads it for a reload."""
 
     def __init__(
@@ -54,36 +54,36 @@
         zones: Path | None = None,
     ) -> None:
         super().__init__(loop, again, zones)
-        self._first = first
-        self._keeper = Channel(loop, sock, self._told, self._orphaned)
-        self._moved = self._refused = 0  # of what the reports told
-        self._keeper.send(Hello(VERSION, f"{sys.version_info[0]}.{sys.version_info[1]}"))
+        self._read_first = first
+        self._supervisor = Channel(loop, sock, self._on_supervisor_message, self._supervisor_lost)
+        self._reported_migrations = self._reported_rejections = 0  # of what the reports told
+        self._supervisor.send(Hello(VERSION, f"{sys.version_info[0]}.{sys.version_info[1]}"))
 
-    def _to_keeper(self, message: Message) -> None:
-        self._keeper.send(message)
+    def _to_supervisor(self, message: Message) -> None:
+        self._supervisor.send(message)
 
-    def _told(self, message: Message, fds: list[int]) -> None:
+    def _on_supervisor_message(self, message: Message, fds: list[int]) -> None:
         """The keeper says something."""
         if isinstance(message, Welcome) and len(fds) == 1:
             self._listener = socket.socket(fileno=fds[0])
             self._listener.setblocking(False)
-            self._task(self._prepare(message))
+            self._own_task(self._prepare(message))
             return
         if isinstance(message, Give | Take) and len(fds) == 1 and self._gateway is not None:
-            self._link(socket.socket(fileno=fds.pop()))
+            self._open_link(socket.socket(fileno=fds.pop()))
         for fd in fds:
             os.close(fd)
         if self._gateway is not None:
-            self._do(self._seat.told(message))
+            self._perform_all(self._state.told(message))
 
-    def _orphaned(self, why: str) -> None:
+    def _supervisor_lost(self, why: str) -> None:
         """The keeper is gone: nobody would start another. What was taken is answered, then this ends."""
         log.error("the keeper is gone: %s", why)
         self.drain()
 
     async def _prepare(self, welcome: Welcome) -> None:
         try:
-            config = (self._again if welcome.reloaded else self._first)()
+            config = (self._read_again if welcome.reloaded else self._read_first)()
             await selftest(config)
             self._build(config, welcome.descriptors - RESERVED)
         except (ConfigError, SelfTestError) as error:
@@ -93,25 +93,28 @@
             log.exception("this process cannot serve")
             self._unfit(f"{type(error).__name__}: {error}", 1)
         else:
-            self._keeper.send(Ready(memory_mb()))
-            self._task(self._reports())
+            self._supervisor.send(Ready(memory_mb()))
+            self._own_task(self._report_forever())
 
     def _unfit(self, why: str, status: int) -> None:
-        self._keeper.send(Unfit(why))
+        self._supervisor.send(Unfit(why))
         self.status = status
         self.end.set()
 
-    async def _reports(self) -> None:
+    async def _report_forever(self) -> None:
         while True:
             await asyncio.sleep(REPORT_S)
             engine, server = self.engine, self.gateway.server
             counts, engine.counts = engine.counts, type(engine.counts)()
-            refused, self._refused = (
-                server.admission.refused - self._refused,
+            refused, self._reported_rejections = (
+                server.admission.refused - self._reported_rejections,
                 server.admission.refused,
             )
-            moved, self._moved = self.moves.moved - self._moved, self.moves.moved
-            self._keeper.send(
+            moved, self._reported_migrations = (
+                self.migrations.moved - self._reported_migrations,
+                self.migrations.moved,
+            )
+            self._supervisor.send(
                 Report(
                     counts.served,
                     counts.refused + refused,
@@ -122,8 +125,8 @@
                     memory_mb(),
                 )
             )
-            if self._seat.yielded:
-                self._tell()
+            if self._state.yielded:
+                self._share_attempts()
 
 
 async def serve(
@@ -131,7 +134,7 @@
 ) -> int:
     """Run one worker to its end; returns the status to exit with."""
     loop = asyncio.get_running_loop()
-    worker = Worker(loop, socket.socket(fileno=seat), first, again, zones)
+    worker = SupervisedWorker(loop, socket.socket(fileno=seat), first, again, zones)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, worker.drain)
     await worker.end.wait()
--- a/quillroad/upgrade/worker_state.py
+++ b/quillroad/upgrade/worker_state.py
@@ -1,29 +1,28 @@
-"""A worker's part of an upgrade: what it answers to the keeper and to the other worker, and when it accepts.
-No I/O.
+"""A worker's part of an upgrade: its answers to the supervisor and to the sibling. No I/O.
 
-`told` takes what the keeper says, `heard` what the other worker says, `cut` that the other worker can't be
-heard any more; each returns what is to be done, in order. A worker accepts from `Own` to `Yield` and at no
-other time.
+`told` takes what the supervisor says, `heard` what the sibling (the other worker) says, `cut` that
+the sibling cannot be heard any more; each returns what is to be done, in order. A worker accepts
+from `Own` to `Yield` and at no other time.
 
 A hand-over over the link between two workers, where the giver is the one that served:
 
     giver                                   taker
     State(final=False)  ->                  tries it on a copy
-                                        <-  Taken(final=False)       both say Prepared to the keeper
+                                        <-  Taken(final=False)       both say Prepared to the supervisor
     (Yield) accepts nothing
     State(final=True), Out  ->              takes it over
-                                        <-  Taken(final=True)        says Held to the keeper
+                                        <-  Taken(final=True)        says Held to the supervisor
                                             (Own) accepts
                                         <-  Come
     Connections(batch) + descriptors  ->    holds them, reads nothing
                                         <-  Kept(batch)
     Release(batch)  ->                      they are its own
 
-A connection between two requests has one reader at every moment: the giver reads nothing from `Connections`
-on, and the taker nothing before `Release`. Where the link breaks in between, the giver goes on with what it
-has not released, and the taker waits for word of the giver's end: only then is it the taker's.
-Going back is the same from `Out` on with the parts changed, without `State`: who takes
-over again never stopped knowing.
+A connection between two requests has one reader at every moment: the giver reads nothing from
+`Connections` on, and the taker nothing before `Release`. Where the link breaks in between, the giver
+goes on with what it has not released, and the taker waits for word of the giver's end: only then is
+it the taker's. Going back is the same from `Out` on with the roles changed, without `State`: the
+process that takes over again never stopped knowing.
 """
 
 from __future__ import annotations
@@ -55,63 +54,70 @@
     Yielded,
 )
 
-LEAST_LENT = 8  # descriptors for which a message is worth while
+LEAST_LENT = 8  # descriptors for which a message is worthwhile
 
 
-class Part(Enum):
-    """What a worker is on its link."""
+class LinkRole(Enum):
+    """What a worker is on its link to the sibling."""
 
     NONE = 0
     GIVER = 1
     TAKER = 2
 
 
-class Do(Enum):
-    """What needs no more than a word."""
+class Step(Enum):
+    """Commands without parameters."""
 
     ACCEPT = "accept"
     PAUSE = "pause"  # accept nothing
-    SHARE = "share"  # tell the other what is out, now and whenever that changes
+    SHARE = "share"  # tell the sibling what is in flight, now and whenever that changes
     MOVE = "move"  # offer connections that are between two requests, now and as they get there
     STAY = "stay"  # offer no more
-    WAIT = "wait"  # for a while, for word of whether the other worker has ended; then `waited`
-    ALONE = "alone"  # nobody else is at work: what was told of another counts no more
+    WAIT = "wait"  # for a while, for word of whether the sibling has ended; then `waited`
+    ALONE = "alone"  # no sibling is at work: what it told counts no more
     FINISH = "finish"  # end once all that is open has been answered
 
 
 @dataclass(frozen=True, slots=True)
-class ToKeeper:
+class ToSupervisor:
+    """Send a message to the supervisor."""
+
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class ToOther:
+class ToSibling:
+    """Send a message to the sibling."""
+
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Export:
-    """Send a `State`; where `final`, with half of the budgets, and leave cold hosts to the other."""
+class ExportState:
+    """Send a `State`.
+
+    Where `final`, with half of the retry budgets, and leave slow start to the sibling.
+    """
 
     final: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Adopt:
-    """Take a `State` over, or on a copy where it is not final; the answer goes to `adopted`."""
+class AdoptState:
+    """Take a `State` over, or try it on a copy if it is not final; the answer goes to `adopted`."""
 
     state: State
 
 
 @dataclass(frozen=True, slots=True)
-class Learn:
-    """What the other has out, and which ids it has open."""
+class LearnAttempts:
+    """What the sibling has in flight, and which request ids it has open."""
 
     out: Out
 
 
 @dataclass(frozen=True, slots=True)
-class Limit:
+class LimitDescriptors:
     """Hold so many descriptors in all, or so many more where `more`."""
 
     descriptors: int
@@ -119,194 +125,256 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """Hold the descriptors that came with a batch."""
+class KeepBatch:
+    """Hold the descriptors that came with a batch.
+
+    `brought` is how many requests each connection has brought so far.
+    """
 
     batch: int
     brought: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Own_:
+class OwnBatch:
     """Serve what is held of a batch."""
 
     batch: int
 
 
 @dataclass(frozen=True, slots=True)
-class Drop:
-    """Close the descriptors held of all batches: they are the other's."""
+class DropBatches:
+    """Close the descriptors held of all batches: they are the sibling's."""
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
-    """Close this process's descriptors of a batch: they are the other's."""
+class ReleaseBatch:
+    """Close this process's descriptors of a batch: they are the sibling's."""
 
     batch: int
 
 
 @dataclass(frozen=True, slots=True)
-class Back:
+class TakeBackBatch:
     """Serve on what was offered in a batch."""
 
     batch: int
 
 
-Act = Do | ToKeeper | ToOther | Export | Adopt | Learn | Limit | Keep | Own_ | Drop | Gone | Back
+WorkerCommand = (
+    Step
+    | ToSupervisor
+    | ToSibling
+    | ExportState
+    | AdoptState
+    | LearnAttempts
+    | LimitDescriptors
+    | KeepBatch
+    | OwnBatch
+    | DropBatches
+    | ReleaseBatch
+    | TakeBackBatch
+)
 
 
 @dataclass(slots=True)
-class Seat:
-    """One worker. `window` is how many batches may be offered at once, `batch` how many connections one has:
-    each costs descriptors of both."""
+class WorkerState:
+    """One worker.
+
+    `window` is how many batches may be offered at once, `batch` how many connections one has: each
+    costs descriptors of both processes.
+    """
 
     window: int = 1
     batch: int = BATCH
-    part: Part = Part.NONE
+    part: LinkRole = LinkRole.NONE
     accepts: bool = False
     yielded: bool = False  # has served, and accepts nothing now
-    moving: bool = False
-    lent: int = 0  # descriptors that the other may hold of ours
-    other: int = 0  # the other worker's number
-    dead: bool = False  # its end was seen
-    offered: dict[int, int] = field(
-        default_factory=dict
-    )  # batches not released yet, and their sizes
-    held: set[int] = field(default_factory=set)
-    _next: int = 0
-
-    def told(self, message: Message) -> list[Act]:
-        """The keeper says something."""
+    moving: bool = False  # connections are being offered
+    lent: int = 0  # descriptors that the sibling may hold of ours
+    other: int = 0  # the sibling's number
+    dead: bool = False  # the sibling's end was seen
+    offered: dict[int, int] = field(default_factory=dict)  # batches not released, and their sizes
+    held: set[int] = field(default_factory=set)  # batches of the sibling
+    _next_batch: int = 0
+
+    # What the supervisor says.
+
+    def told(self, message: Message) -> list[WorkerCommand]:
+        """Take a message of the supervisor."""
         match message:
             case Give():
-                self.part, self.lent = Part.GIVER, message.descriptors
-                self.other, self.dead = message.other, False
-                return [Limit(-message.descriptors, True), Export(False)]
+                return self._give(message)
             case Take():
-                self.part, self.other, self.dead = Part.TAKER, message.other, False
-                return []
+                self._link_to(LinkRole.TAKER, message.other)
             case Ended():
-                if message.worker == self.other:
-                    self.dead = True
-                    return self._left() if self.part is Part.NONE else []
+                return self._ended(message)
             case Yield():
                 return self._yield(message.grant)
             case Own():
                 return self._own(message.grant)
             case Retire():
-                acts: list[Act] = [Do.PAUSE] if self.accepts else []
-                self.accepts = False
-                return [*acts, Do.FINISH]
+                return [*self._stop_accepting(), Step.FINISH]
             case Room():
-                return [Limit(message.descriptors, False)]
+                return [LimitDescriptors(message.descriptors, False)]
         return []
 
-    def heard(self, message: Message) -> list[Act]:
-        """The other worker says something."""
+    def _link_to(self, role: LinkRole, sibling: int) -> None:
+        self.part, self.other, self.dead = role, sibling, False
+
+    def _give(self, message: Give) -> list[WorkerCommand]:
+        self._link_to(LinkRole.GIVER, message.other)
+        self.lent = message.descriptors
+        return [LimitDescriptors(-message.descriptors, True), ExportState(False)]
+
+    def _ended(self, message: Ended) -> list[WorkerCommand]:
+        if message.worker != self.other:
+            return []
+        self.dead = True
+        return self._own_held_batches() if self.part is LinkRole.NONE else []
+
+    def _stop_accepting(self) -> list[WorkerCommand]:
+        if not self.accepts:
+            return []
+        self.accepts = False
+        return [Step.PAUSE]
+
+    def _yield(self, grant: int) -> list[WorkerCommand]:
+        commands = self._stop_accepting()
+        # What this process gave before, it may have to take again: only the first giver exports.
+        if self.part is LinkRole.GIVER and not self.yielded:
+            commands.append(ExportState(True))
+        self.yielded = True
+        if self.part is not LinkRole.NONE:
+            commands.append(Step.SHARE)
+        return [*commands, ToSupervisor(Yielded(grant))]
+
+    def _own(self, grant: int) -> list[WorkerCommand]:
+        commands: list[WorkerCommand] = []
+        if self.moving:
+            self.moving = False
+            commands.append(Step.STAY)
+        if not self.accepts:
+            commands.append(Step.ACCEPT)
+        self.accepts, self.yielded = True, False
+        commands.append(ToSupervisor(Owning(grant)))
+        if self.part is not LinkRole.NONE:
+            commands += [Step.SHARE, ToSibling(Come())]
+        return commands
+
+    # What the sibling says.
+
+    def heard(self, message: Message) -> list[WorkerCommand]:
+        """Take a message of the sibling."""
         match message:
             case State():
-                return [Adopt(message)] if self.part is Part.TAKER and not self.accepts else []
+                takes = self.part is LinkRole.TAKER and not self.accepts
+                return [AdoptState(message)] if takes else []
             case Taken():
-                if self.part is Part.GIVER and not message.final:
-                    return [ToKeeper(Prepared(message.left))]
+                is_rehearsed = self.part is LinkRole.GIVER and not message.final
+                return [ToSupervisor(Prepared(message.left))] if is_rehearsed else []
             case Out():
-                return [Learn(message)]
+                return [LearnAttempts(message)]
             case Lend():
-                return [Limit(message.descriptors, True)]
+                return [LimitDescriptors(message.descriptors, True)]
             case Come():
-                if self.yielded:
-                    self.moving = True
-                    return [Do.MOVE]
+                return self._come()
             case Connections():
                 self.held.add(message.batch)
-                return [Keep(message.batch, tuple(message.brought)), ToOther(Kept(message.batch))]
+                keep = KeepBatch(message.batch, tuple(message.brought))
+                return [keep, ToSibling(Kept(message.batch))]
             case Kept():
-                if (size := self.offered.get(message.batch)) is not None:
-                    # In this order: a giver that ends in between has not closed what nobody owns yet. One
-                    # whose link is cut by the first act still offers the batch, and takes it back.
-                    return [
-                        ToOther(Release(message.batch, size)),
-                        Limit(-size, True),
-                        Gone(message.batch),
-                    ]
+                return self._kept(message)
             case Release():
-                if message.batch in self.held:
-                    self.held.discard(message.batch)
-                    return [Limit(message.descriptors, True), Own_(message.batch)]
+                return self._released(message)
         return []
 
-    def adopted(self, final: bool, left: list[str]) -> list[Act]:
-        """A state was taken over, or tried where not `final`."""
-        answer: list[Act] = [ToOther(Taken(final, left))]
-        return [*answer, ToKeeper(Held() if final else Prepared(left))]
+    def _come(self) -> list[WorkerCommand]:
+        """The sibling accepts: connections may go there."""
+        if not self.yielded:
+            return []
+        self.moving = True
+        return [Step.MOVE]
+
+    def _kept(self, message: Kept) -> list[WorkerCommand]:
+        """The sibling holds a batch.
+
+        The order counts: a giver that ends in between has not closed what nobody owns yet. A giver
+        whose link breaks at the first command still offers the batch, and takes it back.
+        """
+        size = self.offered.get(message.batch)
+        if size is None:
+            return []
+        return [
+            ToSibling(Release(message.batch, size)),
+            LimitDescriptors(-size, True),
+            ReleaseBatch(message.batch),
+        ]
+
+    def _released(self, message: Release) -> list[WorkerCommand]:
+        if message.batch not in self.held:
+            return []
+        self.held.discard(message.batch)
+        return [LimitDescriptors(message.descriptors, True), OwnBatch(message.batch)]
+
+    # What else happens.
+
+    def adopted(self, final: bool, left: list[str]) -> list[WorkerCommand]:
+        """Note that a state was taken over, or tried where not `final`.
+
+        `left` are plain lines for what could not be used.
+        """
+        result = Held() if final else Prepared(left)
+        return [ToSibling(Taken(final, left)), ToSupervisor(result)]
 
     def gone(self, batch: int) -> None:
-        """A batch was released and is closed here."""
+        """Note that a batch was released and is closed here."""
         self.offered.pop(batch, None)
 
-    def cut(self) -> list[Act]:
-        """The other worker is gone, or makes no sense any more."""
-        if self.part is Part.NONE:
+    def cut(self) -> list[WorkerCommand]:
+        """The sibling cannot be heard any more, or makes no sense."""
+        if self.part is LinkRole.NONE:
             return []
-        acts: list[Act] = [Back(batch) for batch in self.offered]
+        commands: list[WorkerCommand] = [TakeBackBatch(batch) for batch in self.offered]
         if self.held:
-            acts += self._left() if self.dead else [Do.WAIT]
+            commands += self._own_held_batches() if self.dead else [Step.WAIT]
         if self.lent:
-            acts.append(Limit(self.lent, True))
+            commands.append(LimitDescriptors(self.lent, True))
         if self.moving:
-            acts.append(Do.STAY)
+            commands.append(Step.STAY)
         self.offered.clear()
-        self.part, self.lent, self.moving = Part.NONE, 0, False
-        return [*acts, Do.ALONE]
+        self.part, self.lent, self.moving = LinkRole.NONE, 0, False
+        return [*commands, Step.ALONE]
 
-    def lend(self, spare: int) -> list[Act]:
-        """Leave descriptors that this process has no use for any more to the other."""
-        if not self.yielded or self.part is Part.NONE or spare < LEAST_LENT:
+    def lend(self, spare: int) -> list[WorkerCommand]:
+        """Leave descriptors that this process has no use for any more to the sibling."""
+        if not self.yielded or self.part is LinkRole.NONE or spare < LEAST_LENT:
             return []
         self.lent += spare
-        return [Limit(-spare, True), ToOther(Lend(spare))]
+        return [LimitDescriptors(-spare, True), ToSibling(Lend(spare))]
 
-    def waited(self) -> list[Act]:
-        """The other worker was not heard to end, so it goes on with what was held here."""
-        if not self.held or self.part is not Part.NONE:
+    def waited(self) -> list[WorkerCommand]:
+        """The sibling was not heard to end, so it goes on with what was held here."""
+        if not self.held or self.part is not LinkRole.NONE:
             return []
         self.held.clear()
-        return [Drop()]
+        return [DropBatches()]
 
-    def _left(self) -> list[Act]:
+    def _own_held_batches(self) -> list[WorkerCommand]:
         """What a dead process had offered and not released is nobody else's."""
-        acts: list[Act] = [Own_(batch) for batch in sorted(self.held)]
+        commands: list[WorkerCommand] = [OwnBatch(batch) for batch in sorted(self.held)]
         self.held.clear()
-        return acts
+        return commands
 
     def offer(self, waiting: int) -> tuple[int, int] | None:
-        """The next batch and how many connections go into it, with so many `waiting`; None: not now."""
+        """The next batch and how many connections go into it; None: not now.
+
+        `waiting` connections are ready to be offered.
+        """
         if not self.moving or not waiting or len(self.offered) >= self.window:
             return None
-        batch, self._next = self._next, self._next + 1
+        batch = self._next_batch
+        self._next_batch += 1
         size = min(waiting, self.batch)
         self.offered[batch] = size
         return batch, size
-
-    def _yield(self, grant: int) -> list[Act]:
-        acts: list[Act] = [Do.PAUSE] if self.accepts else []
-        # What this process gave before, it may have to take again: only the first giver tells what it knows.
-        if self.part is Part.GIVER and not self.yielded:
-            acts.append(Export(True))
-        self.accepts, self.yielded = False, True
-        if self.part is not Part.NONE:
-            acts.append(Do.SHARE)
-        return [*acts, ToKeeper(Yielded(grant))]
-
-    def _own(self, grant: int) -> list[Act]:
-        acts: list[Act] = []
-        if self.moving:
-            self.moving = False
-            acts.append(Do.STAY)
-        if not self.accepts:
-            acts.append(Do.ACCEPT)
-        self.accepts, self.yielded = True, False
-        acts.append(ToKeeper(Owning(grant)))
-        if self.part is not Part.NONE:
-            acts += [Do.SHARE, ToOther(Come())]
-        return acts
--- a/testbed/builds.py
+++ b/testbed/builds.py
@@ -50,13 +50,13 @@
         return opened
     s.SharedEngine.accept = accept""",
     "hangs once it serves": """
-    import quillroad.upgrade.supervised_worker as w
-    word = w.Seated._word
+    import quillroad.upgrade.worker_process as w
+    word = w.WorkerProcess._take_step
     def hang(self, what):
         word(self, what)
-        if what is w.Do.ACCEPT:
+        if what is w.Step.ACCEPT:
             time.sleep(60)
-    w.Seated._word = hang""",
+    w.WorkerProcess._take_step = hang""",
 }
 
 
--- a/tests/upgrade/test_machines.py
+++ b/tests/upgrade/test_machines.py
@@ -30,20 +30,20 @@
 )
 from quillroad.upgrade.supervisor import Limits, Phase, Supervisor
 from quillroad.upgrade.worker_state import (
-    Act,
-    Adopt,
-    Back,
-    Do,
-    Drop,
-    Export,
-    Gone,
-    Keep,
-    Limit,
-    Own_,
-    Part,
-    Seat,
-    ToKeeper,
-    ToOther,
+    AdoptState,
+    DropBatches,
+    ExportState,
+    KeepBatch,
+    LimitDescriptors,
+    LinkRole,
+    OwnBatch,
+    ReleaseBatch,
+    Step,
+    TakeBackBatch,
+    ToSibling,
+    ToSupervisor,
+    WorkerCommand,
+    WorkerState,
 )
 
 LIMITS = Limits(
@@ -54,7 +54,7 @@
 
 @dataclass
 class Process:
-    seat: Seat = field(default_factory=Seat)
+    seat: WorkerState = field(default_factory=WorkerState)
     other: int = 0
     ready: bool = False
     finishing: bool = False
@@ -67,7 +67,7 @@
     stopping: bool = False
     limit: int = 0  # connections that it may hold
 
-    def limited(self, act: Limit) -> None:
+    def limited(self, act: LimitDescriptors) -> None:
         self.limit = act.descriptors + (self.limit if act.more else -RESERVED)
 
     def descriptors(self) -> int:
@@ -169,21 +169,21 @@
                     self.status = act.status
         self.check()
 
-    def act(self, number: int, acts: list[Act]) -> None:
+    def act(self, number: int, acts: list[WorkerCommand]) -> None:
         process = self.processes[number]
         for act in acts:
-            step = (act.name if isinstance(act, Do) else type(act).__name__, number)
+            step = (act.name if isinstance(act, Step) else type(act).__name__, number)
             self.did.append(step)
             if step == self.fail_at:
                 self.fail_at = None
-                if isinstance(act, Limit):  # set first, whatever fails then
+                if isinstance(act, LimitDescriptors):  # set first, whatever fails then
                     process.limited(act)
-                if act is Do.ACCEPT:
+                if act is Step.ACCEPT:
                     self.end(number, 1)
-                elif isinstance(act, Own_):  # those that it can't serve it ends
+                elif isinstance(act, OwnBatch):  # those that it can't serve it ends
                     self.closed |= process.kept.pop(act.batch)
                 else:
-                    if isinstance(act, Gone):
+                    if isinstance(act, ReleaseBatch):
                         process.seat.gone(act.batch)
                         process.batches.pop(act.batch, None)  # copies are closed first
                     self.part(number)
@@ -191,37 +191,37 @@
                     return
                 continue
             match act:
-                case ToKeeper():
+                case ToSupervisor():
                     self.post(number, 0, act.message)
-                case ToOther():
-                    if process.seat.part is not Part.NONE:
+                case ToSibling():
+                    if process.seat.part is not LinkRole.NONE:
                         self.post(number, process.other, act.message)
-                case Export():
+                case ExportState():
                     self.post(number, process.other, State({}, act.final))
-                case Adopt():
+                case AdoptState():
                     self.act(number, process.seat.adopted(act.state.final, []))
-                case Do.MOVE:
+                case Step.MOVE:
                     process.waiting = set(process.holds)
                     self.offer(number)
-                case Do.STAY:
+                case Step.STAY:
                     process.waiting = set()
-                case Do.FINISH:
+                case Step.FINISH:
                     process.finishing = True
-                case Limit():
+                case LimitDescriptors():
                     process.limited(act)
-                case Keep():
+                case KeepBatch():
                     process.kept[act.batch] = self.carried
-                case Own_():
+                case OwnBatch():
                     process.holds |= process.kept.pop(act.batch, set())
-                case Do.WAIT:
+                case Step.WAIT:
                     process.waits = self.now + 1.0
-                case Drop():
+                case DropBatches():
                     process.kept.clear()
-                case Gone():
+                case ReleaseBatch():
                     process.batches.pop(act.batch, None)
                     process.seat.gone(act.batch)
                     self.offer(number)
-                case Back():
+                case TakeBackBatch():
                     process.holds |= process.batches.pop(act.batch, set())
             if number not in self.processes:
                 return
--- a/tests/upgrade/test_pair.py
+++ b/tests/upgrade/test_sibling_handover.py
@@ -17,10 +17,25 @@
 
 from quillroad.config import RESERVED
 from quillroad.upgrade.messages import Hello, Message, Out, State, batch_of
-from quillroad.upgrade.pair import NEWCOMER, Act, Do, Pair, Say, Stage, Tell
-from quillroad.upgrade.worker_state import Act as SeatAct
-from quillroad.upgrade.worker_state import Adopt, Export, Limit, Seat, ToKeeper, ToOther
-from quillroad.upgrade.worker_state import Do as SeatDo
+from quillroad.upgrade.sibling_handover import (
+    NEWCOMER_DESCRIPTORS,
+    HandoverCommand,
+    HandoverStage,
+    HandoverStep,
+    SendToSibling,
+    SiblingHandover,
+    TellWorker,
+)
+from quillroad.upgrade.worker_state import (
+    AdoptState,
+    ExportState,
+    LimitDescriptors,
+    ToSibling,
+    ToSupervisor,
+    WorkerCommand,
+    WorkerState,
+)
+from quillroad.upgrade.worker_state import Step as WorkerStep
 from testbed.account import Record, Work, broken_rules, tally, total
 from testbed.beside import BesideGateway
 from testbed.builds import Builds
@@ -36,8 +51,8 @@
     """A machine with a seat and no sockets. What it says goes to `wire`."""
 
     name: str
-    pair: Pair = field(default_factory=lambda: Pair(400))
-    seat: Seat = field(default_factory=Seat)
+    pair: SiblingHandover = field(default_factory=lambda: SiblingHandover(400))
+    seat: WorkerState = field(default_factory=WorkerState)
     wire: deque[Message] = field(default_factory=deque)
     linked: bool = False
     listens: bool = False  # has a listener, its own or one that it was given
@@ -49,40 +64,42 @@
     def accepts(self) -> bool:
         return self.seat.accepts
 
-    def carry(self, acts: list[Act]) -> None:
+    def carry(self, acts: list[HandoverCommand]) -> None:
         for act in acts:
             match act:
-                case Say():
+                case SendToSibling():
                     self.wire.append(act.message)
-                case Tell():
+                case TellWorker():
                     self.do(self.seat.told(act.message))
-                case Do.PREPARE:
+                case HandoverStep.PREPARE:
                     self.prepares = True
                     whole = self.pair.descriptors
-                    self.limit = (min(NEWCOMER, whole // 2) if self.linked else whole) - RESERVED
-                case Do.OPEN:
+                    self.limit = (
+                        min(NEWCOMER_DESCRIPTORS, whole // 2) if self.linked else whole
+                    ) - RESERVED
+                case HandoverStep.OPEN:
                     self.listens = True
-                case Do.PUBLISH:
+                case HandoverStep.PUBLISH:
                     self.published = True
-                case Do.CUT:
+                case HandoverStep.CUT:
                     self.cut()
 
-    def do(self, acts: list[SeatAct]) -> None:
+    def do(self, acts: list[WorkerCommand]) -> None:
         for act in acts:
             match act:
-                case ToKeeper():
+                case ToSupervisor():
                     self.carry(self.pair.seat(act.message))
-                case ToOther():
+                case ToSibling():
                     self.wire.append(act.message)
-                case Export():
+                case ExportState():
                     self.wire.append(State({}, act.final))
-                case Adopt():
+                case AdoptState():
                     self.do(self.seat.adopted(act.state.final, []))
-                case SeatDo.SHARE:
+                case WorkerStep.SHARE:
                     self.wire.append(Out([]))
-                case SeatDo.ACCEPT:
+                case WorkerStep.ACCEPT:
                     assert self.listens
-                case Limit():
+                case LimitDescriptors():
                     self.limit = act.descriptors + (self.limit if act.more else -RESERVED)
 
     def hear(self, message: Message) -> None:
@@ -146,7 +163,7 @@
     said = play(old, new)
     assert said[:3] == ["Hello", "Welcome", "Ready"]
     assert new.accepts and new.published and not old.accepts
-    assert old.pair.stage is Stage.STANDS_BY
+    assert old.pair.stage is HandoverStage.STANDS_BY
 
 
 STEPS = len(play(serving(), Side("new")))
@@ -160,7 +177,7 @@
     left = new if who == "old" else old
     if left.prepares:  # it was about to
         left.carry(left.pair.prepared(False))
-    elif left.pair.stage is Stage.LOOKS:  # its next look finds nobody
+    elif left.pair.stage is HandoverStage.LOOKS:  # its next look finds nobody
         left.carry(left.pair.nobody())
         left.carry(left.pair.prepared(False))
     assert left.accepts and left.listens and left.published
@@ -171,14 +188,14 @@
 def test_a_message_that_hangs_at_any_step_keeps_nobody(step: int) -> None:
     old, new = serving(), Side("new")
     play(old, new, lose=step)
-    if new.pair.stage is Stage.ASKS:
+    if new.pair.stage is HandoverStage.ASKS:
         new.carry(new.pair.nobody())
     if new.prepares:
         new.carry(new.pair.prepared(new.linked))
     new.carry(new.pair.late())
     assert new.accepts
     old.cut()  # the newcomer's end of the link is closed by then
-    assert old.accepts or old.pair.stage is Stage.STANDS_BY
+    assert old.accepts or old.pair.stage is HandoverStage.STANDS_BY
 
 
 def test_one_newcomer_at_a_time_and_none_at_the_end() -> None:
