--- a/quillroad/upgrade/control_socket.py
+++ b/quillroad/upgrade/control_socket.py
@@ -91,8 +91,7 @@
             writer.close()
 
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bytes:
-        _, caller_uid = peer(writer.get_extra_info("socket"))[:2]
-        if caller_uid not in (0, os.geteuid()):
+        if peer(writer.get_extra_info("socket")).user not in (0, os.geteuid()):
             return b"error: not yours\n"
         async with asyncio.timeout(COMMAND_TIMEOUT_S):
             command = (await reader.readline()).decode("utf-8", "replace").strip()
--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -20,7 +20,7 @@
 from quillroad.gateway import start_log
 from quillroad.overload.acceptor import open_listener
 from quillroad.upgrade.canary import Canary
-from quillroad.upgrade.channel import Channel, pair
+from quillroad.upgrade.channel import HAS_ENDED, Channel, close_all, pair
 from quillroad.upgrade.control_socket import ControlSocket
 from quillroad.upgrade.messages import Message, Take, Welcome
 from quillroad.upgrade.settings import Upgrades, load_upgrades
@@ -44,7 +44,6 @@
 BIND_TIMEOUT_S = 15.0  # for an address to come free: workers of a killed supervisor drain first
 BIND_AGAIN_S = 0.1
 COULD_NOT_START = 127  # exit status for a command that cannot be run, as shells have it
-HAS_ENDED = "it has ended"  # reason of a channel whose other end was closed
 
 
 class SupervisorProcess:
@@ -76,8 +75,7 @@
     # What happens.
 
     def _heard(self, number: int, message: Message, descriptors: list[int]) -> None:
-        for descriptor in descriptors:  # workers send none
-            os.close(descriptor)
+        close_all(descriptors)  # workers send none
         self._perform_all(self._supervisor.heard(time.monotonic(), number, message))
 
     def _channel_lost(self, number: int, why: str) -> None:
--- a/quillroad/upgrade/sibling_handover.py
+++ b/quillroad/upgrade/sibling_handover.py
@@ -1,19 +1,19 @@
-"""Two processes of one gateway with no keeper: who asks, who gives, and who serves when the other fails. No
-I/O.
+"""Two processes of one gateway without a supervisor: who asks, who gives, who serves. No I/O.
 
-Each process plays the keeper for its own seat (`seat.py`), by what it hears from the other:
+Each process plays the supervisor for its own worker state (`worker_state`), by what it hears from the
+other:
 
     newcomer                                   the one that serves
     Hello  ->                                  one newcomer at a time
                                            <-  Welcome(descriptors) + the listening socket
     reads its configuration, tests its path
-    Ready  ->                                  tells its seat Give
-    tells its seat Take            <- State(final=False) ..., as in `seat.py`
-                                               Prepared: tells its seat Yield
-    Held: tells its seat Own, and is found by the next newcomer from then on
+    Ready  ->                                  tells its worker Give
+    tells its worker Take          <- State(final=False) ..., as in `worker_state`
+                                               Prepared: tells its worker Yield
+    Held: tells its worker Own, and is found by the next newcomer from then on
 
-Whoever stops hearing the other goes on alone: the one that gave takes the listener again, which it never
-closed; the newcomer serves by the listener that it was given, or by one of its own.
+Whoever stops hearing the other goes on alone: the one that gave takes the listener again, which it
+never closed; the newcomer serves by the listener that it was given, or by one of its own.
 """
 
 from __future__ import annotations
@@ -39,21 +39,20 @@
 )
 
 SIBLING = 1  # the number by which each knows the other
-ANSWER_TIMEOUT_S = (
-    1.5  # for the one that serves to answer a newcomer: it answers in one turn of its loop
-)
-HANDOVER_TIMEOUT_S = 4.0  # from a newcomer's start to its serving, if need be alone: operators want its yes within 6 s
+# For the one that serves to answer a newcomer: it answers in one iteration of its event loop.
+ANSWER_TIMEOUT_S = 1.5
+# From a newcomer's start to its serving, if need be alone: operators want its yes within 6 s.
+HANDOVER_TIMEOUT_S = 4.0
 BUSY_TIMEOUT_S = 2.0  # for which a newcomer asks again where another is being served
-NEWCOMER_DESCRIPTORS = (
-    2 * RESERVED
-)  # descriptors that it has from its start on, while it tests its path
+# That a newcomer has from its start on, while it tests its path: twice what is no connection.
+NEWCOMER_DESCRIPTORS = 2 * RESERVED
 
 
 class HandoverStage(Enum):
     """Where a process is."""
 
     LOOKS = "looks"  # for one that serves
-    ASKS = "asks"  # was heard by one, and waits for its word
+    ASKS = "asks"  # was heard by one, and waits for its answer
     PREPARES = "prepares"
     TAKES = "takes"
     SERVES = "serves"
@@ -62,17 +61,17 @@
 
 
 class HandoverStep(Enum):
-    """What needs no more than a word."""
+    """Commands without parameters."""
 
     PREPARE = "prepare"  # read the configuration, test the path
     OPEN = "open"  # a listener of its own, where none was given
     PUBLISH = "publish"  # be found by newcomers
-    CUT = "cut"  # hear nothing more of the other
+    CUT = "cut"  # hear nothing more of the sibling
 
 
 @dataclass(frozen=True, slots=True)
 class SendToSibling:
-    """To the other process; with the listening socket where `listener`."""
+    """Send a message to the sibling; with the listening socket where `listener`."""
 
     message: Message
     listener: bool = False
@@ -80,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TellWorker:
-    """To the own seat."""
+    """Give a message to the own worker state, as a supervisor would."""
 
     message: Message
 
@@ -90,7 +89,10 @@
 
 @dataclass(slots=True)
 class SiblingHandover:
-    """`descriptors` are what both processes may hold together, without what the operators' address keeps."""
+    """One process's view.
+
+    `descriptors` are what both processes may hold together, without what the operators' address keeps.
+    """
 
     descriptors: int
     stage: HandoverStage = HandoverStage.LOOKS
@@ -99,7 +101,7 @@
     _grant: int = 0
 
     @property
-    def _newcomers(self) -> int:
+    def _for_newcomer(self) -> int:
         return min(NEWCOMER_DESCRIPTORS, self.descriptors // 2)
 
     def _own(self) -> list[HandoverCommand]:
@@ -110,27 +112,29 @@
     # As a newcomer.
 
     def found(self) -> list[HandoverCommand]:
-        """One that serves was reached."""
+        """A process that serves was reached."""
         self.stage = HandoverStage.ASKS
         return [SendToSibling(Hello(VERSION, self.build))]
 
     def nobody(self) -> list[HandoverCommand]:
-        """None was, or it does not answer in time."""
+        """No process that serves was reached, or it does not answer in time."""
         self.stage = HandoverStage.PREPARES
         return [HandoverStep.CUT, HandoverStep.PREPARE]
 
     def prepared(self, linked: bool) -> list[HandoverCommand]:
-        """The configuration is read and the path works."""
+        """The configuration is read and the path works; `linked` to the one that serves."""
         if linked:
             self.stage = HandoverStage.TAKES
             return [TellWorker(Take(SIBLING)), SendToSibling(Ready())]
-        return self._alone()
+        return self._serve_alone()
 
     def late(self) -> list[HandoverCommand]:
-        """The other did not bring this process to serving in time."""
-        return [HandoverStep.CUT, *self._alone()] if self.stage is HandoverStage.TAKES else []
+        """The sibling did not bring this process to serving in time."""
+        if self.stage is not HandoverStage.TAKES:
+            return []
+        return [HandoverStep.CUT, *self._serve_alone()]
 
-    def _alone(self) -> list[HandoverCommand]:
+    def _serve_alone(self) -> list[HandoverCommand]:
         return [HandoverStep.OPEN, TellWorker(Room(self.descriptors)), *self._own()]
 
     # As the one that serves.
@@ -139,26 +143,31 @@
         """Whether a newcomer is served now; else it asks again, or serves alone."""
         return self.stage is HandoverStage.SERVES and not self.ending
 
+    def _welcome(self, hello: Hello) -> list[HandoverCommand]:
+        if hello.version != VERSION:
+            return [HandoverStep.CUT]
+        self.stage = HandoverStage.GIVES
+        left = self.descriptors - self._for_newcomer - 2 * batch_of(self.descriptors)
+        welcome = Welcome(self.descriptors // 2)
+        return [TellWorker(Room(left)), SendToSibling(welcome, listener=True)]
+
     # Either.
 
     def heard(self, message: Message) -> list[HandoverCommand]:
-        """The other says something that is not for the seat."""
+        """Take a message of the sibling that is not for the worker state."""
         match message:
             case Hello() if self.may_come():
-                if message.version != VERSION:
-                    return [HandoverStep.CUT]
-                self.stage = HandoverStage.GIVES
-                left = self.descriptors - self._newcomers - 2 * batch_of(self.descriptors)
-                return [TellWorker(Room(left)), SendToSibling(Welcome(self.descriptors // 2), True)]
+                return self._welcome(message)
             case Ready() if self.stage is HandoverStage.GIVES:
-                return [TellWorker(Give(self.descriptors // 2 - self._newcomers, SIBLING))]
+                lent = self.descriptors // 2 - self._for_newcomer
+                return [TellWorker(Give(lent, SIBLING))]
             case Welcome() if self.stage is HandoverStage.ASKS:
                 self.stage = HandoverStage.PREPARES
                 return [HandoverStep.PREPARE]
         return []
 
     def seat(self, message: Message) -> list[HandoverCommand]:
-        """The own seat says something."""
+        """Take a message that the own worker state has for its supervisor."""
         match message:
             case Prepared() if self.stage is HandoverStage.GIVES:
                 self.stage = HandoverStage.STANDS_BY
@@ -169,16 +178,15 @@
         return []
 
     def cut(self) -> list[HandoverCommand]:
-        """The other can't be heard any more; the own seat knows."""
+        """The sibling cannot be heard any more; the own worker state knows."""
         if self.ending:
-            return []  # whoever ends takes nothing over
+            return []  # a process that ends takes nothing over
         match self.stage:
             case HandoverStage.ASKS:
-                self.stage = (
-                    HandoverStage.LOOKS
-                )  # it is busy with another newcomer, or has just ended
+                # The sibling is busy with another newcomer, or has just ended.
+                self.stage = HandoverStage.LOOKS
             case HandoverStage.TAKES:
-                return self._alone()
+                return self._serve_alone()
             case HandoverStage.STANDS_BY:
                 return [TellWorker(Room(self.descriptors)), *self._own()]
             case HandoverStage.GIVES | HandoverStage.SERVES:
--- a/quillroad/upgrade/sibling_process.py
+++ b/quillroad/upgrade/sibling_process.py
@@ -1,20 +1,19 @@
-"""A process that runs beside the one before it, for as long as that takes to hand over; `pair.py` decides.
+"""A process that runs beside the one before it for as long as it takes to hand over.
 
-The two meet at a socket in a folder that both have (`$TMPDIR`), which only their user can open. Without such
-a folder, or with nobody there that answers, a process serves by a listener of its own, which the kernel lets
-several processes have side by side.
+`sibling_handover` decides. The two meet at a socket in a folder that both have (`rendezvous`). Without
+such a folder, or with nobody there that answers, a process serves by a listener of its own, which the
+kernel lets several processes have side by side.
 """
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import logging
 import os
 import signal
 import socket
 import sys
-from collections.abc import Callable, Iterator, Mapping
+from collections.abc import Callable, Mapping
 from pathlib import Path
 
 import uvloop
@@ -23,7 +22,9 @@
 from quillroad.config import RESERVED, Config, ConfigError
 from quillroad.gateway import start_log
 from quillroad.overload.acceptor import open_listener
+from quillroad.upgrade.channel import close_all
 from quillroad.upgrade.messages import Ended, Hello, Message, Ready, Room, Welcome, batch_of
+from quillroad.upgrade.rendezvous import Rendezvous
 from quillroad.upgrade.selftest import SelfTestError, selftest
 from quillroad.upgrade.sibling_handover import (
     ANSWER_TIMEOUT_S,
@@ -42,81 +43,17 @@
 
 log = logging.getLogger("quillroad.upgrade")
 
-WAITING = 4  # newcomers that the kernel holds
-LOOK_S = 0.05  # between two looks for one that serves
-TELL_S = 0.1  # between two looks at what can be left to the other
-LONGEST_PATH = 100  # bytes of a socket's path; the kernel takes 107
-
-
-class Rendezvous:
-    """The place in a folder where a newcomer finds who serves at an address."""
-
-    def __init__(self, folder: str | None, port: int) -> None:
-        self._name = f"quillroad-{port}.sock"
-        self._folder = Path(folder) if folder else None
-        self._inode = 0  # of the own file there
-
-    @contextlib.contextmanager
-    def _path(self, name: str) -> Iterator[str]:
-        """A path that the kernel takes, however long the folder's is."""
-        assert self._folder is not None
-        path = str(self._folder / name)
-        if len(os.fsencode(path)) <= LONGEST_PATH:
-            yield path
-            return
-        folder = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
-        try:
-            yield f"/proc/self/fd/{folder}/{name}"
-        finally:
-            os.close(folder)
-
-    def reach(self) -> socket.socket | None:
-        """A link to whoever serves; None where nobody does."""
-        if self._folder is None:
-            return None
-        sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        sock.setblocking(False)
-        try:
-            with self._path(self._name) as path:
-                sock.connect(path)
-        except OSError:  # no file, a stale one, or too many newcomers
-            sock.close()
-            return None
-        return sock
-
-    def open(self) -> socket.socket | None:
-        """Be found there, in place of whoever was; None, with a line of the log, where that can't be."""
-        if self._folder is None:
-            return None
-        sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        sock.setblocking(False)
-        own = f"{self._name}.{os.getpid()}"
-        before = os.umask(0o177)
-        try:
-            with self._path(own) as path, self._path(self._name) as final:
-                with contextlib.suppress(FileNotFoundError):
-                    os.unlink(path)
-                sock.bind(path)
-                sock.listen(WAITING)
-                os.replace(path, final)
-                self._inode = os.stat(final).st_ino
-        except OSError as error:
-            log.warning("the next process will not find this one: %s: %s", self._folder, error)
-            sock.close()
-            return None
-        finally:
-            os.umask(before)
-        return sock
-
-    def close(self) -> None:
-        """Be found no more; a file that is another's by now stays."""
-        with contextlib.suppress(OSError), self._path(self._name) as path:
-            if os.stat(path).st_ino == self._inode:
-                os.unlink(path)
+LOOK_INTERVAL_S = 0.05  # between two looks for one that serves
+LEND_INTERVAL_S = 0.1  # between two looks at what can be lent to the sibling
+NO_DESCRIPTOR = -1
 
 
 class SiblingProcess(WorkerProcess):
-    """One process, from its start on."""
+    """One process, from its start on.
+
+    `again` reads the configuration for a reload, `zones` is the file of the budget for other zones,
+    and `folder` the one in which processes meet.
+    """
 
     def __init__(
         self,
@@ -129,10 +66,10 @@
         super().__init__(loop, again, zones)
         self._config = config
         self._rendezvous = Rendezvous(folder, config.listen[1])
-        self._listening: socket.socket | None = None  # where newcomers come
+        self._newcomers: socket.socket | None = None  # where they connect
         build = f"{sys.version_info[0]}.{sys.version_info[1]}"
         self._handover = SiblingHandover(config.sockets - admin.RESERVED, build=build)
-        self._pidfd = -1  # of the other process
+        self._sibling_pidfd = NO_DESCRIPTOR
         self._started_at = loop.time()
 
     def begin(self) -> None:
@@ -154,85 +91,82 @@
             elif self._handover.stage is not HandoverStage.ASKS:
                 return
             # One that is busy with another newcomer ends the link, and may have time later.
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(LOOK_INTERVAL_S)
 
     def _sibling_is_silent(self) -> None:
         if self._handover.stage is HandoverStage.ASKS:
             log.warning("the process that serves does not answer")
             self._perform_handover(self._handover.nobody())
 
-    # The other process.
+    # The sibling.
 
     def _open_link(self, sock: socket.socket) -> None:
         super()._open_link(sock)
         if self._sibling is not None:
             self._watch_process(self._sibling.peer)
 
-    def _watch_process(self, pid: int) -> None:
-        """See the end of the other process: what it had offered and not released is nobody else's then."""
+    def _watch_process(self, process: int) -> None:
+        """See the end of the sibling: what it offered and did not release is nobody else's then."""
         self._unwatch_process()
         try:
-            self._pidfd = os.pidfd_open(pid)
+            self._sibling_pidfd = os.pidfd_open(process)
         except (OSError, AttributeError):
-            return  # the batch at hand is closed where its giver dies in the middle of it
-        self._loop.add_reader(self._pidfd, self._sibling_ended)
+            return  # a batch whose giver dies in the middle of it is closed then
+        self._loop.add_reader(self._sibling_pidfd, self._sibling_ended)
 
     def _unwatch_process(self) -> None:
-        if self._pidfd >= 0:
-            self._loop.remove_reader(self._pidfd)
-            os.close(self._pidfd)
-            self._pidfd = -1
+        if self._sibling_pidfd != NO_DESCRIPTOR:
+            self._loop.remove_reader(self._sibling_pidfd)
+            os.close(self._sibling_pidfd)
+            self._sibling_pidfd = NO_DESCRIPTOR
 
     def _sibling_ended(self) -> None:
         self._unwatch_process()
         self._perform_all(self._state.told(Ended(SIBLING)))
 
-    def _on_sibling_message(self, message: Message, fds: list[int]) -> None:
-        if isinstance(message, Hello | Ready | Welcome):
-            if isinstance(message, Welcome) and len(fds) == 1 and self._listener is None:
-                self._listener = socket.socket(fileno=fds.pop())
-                self._listener.setblocking(False)
-            for fd in fds:
-                os.close(fd)
-            self._perform_handover(self._handover.heard(message))
-        else:
-            super()._on_sibling_message(message, fds)
+    def _on_sibling_message(self, message: Message, descriptors: list[int]) -> None:
+        if not isinstance(message, Hello | Ready | Welcome):
+            super()._on_sibling_message(message, descriptors)
+            return
+        brings_listener = isinstance(message, Welcome) and len(descriptors) == 1
+        if brings_listener and self._listener is None:
+            self._listener = socket.socket(fileno=descriptors.pop())
+            self._listener.setblocking(False)
+        close_all(descriptors)
+        self._perform_handover(self._handover.heard(message))
 
     def _serve_operators(self, on: bool) -> None:
-        """Each process has an address of its own for them, from its start to its end."""
+        """Each process has an address of its own for operators, from its start to its end."""
 
     def _close_link(self) -> None:
-        linked = self._sibling is not None
+        was_linked = self._sibling is not None
         super()._close_link()
-        if linked:
+        if was_linked:
             self._perform_handover(self._handover.cut())
 
     def _to_supervisor(self, message: Message) -> None:
         self._perform_handover(self._handover.seat(message))
 
-    def _perform_handover(self, acts: list[HandoverCommand]) -> None:
-        for act in acts:
+    # Commands of the hand-over.
+
+    def _perform_handover(self, commands: list[HandoverCommand]) -> None:
+        for command in commands:
             try:
-                self._perform_handover_command(act)
+                self._perform_handover_command(command)
             except Exception:
-                log.exception("could not carry out %s", act)
+                log.exception("could not carry out %s", command)
                 self._fail(1)
                 return
 
-    def _perform_handover_command(self, act: HandoverCommand) -> None:
-        match act:
+    def _perform_handover_command(self, command: HandoverCommand) -> None:
+        match command:
             case SendToSibling():
-                if self._sibling is not None:
-                    fds = (
-                        [self._listener.fileno()]
-                        if act.listener and self._listener is not None
-                        else []
-                    )
-                    self._sibling.send(act.message, fds)
+                has_listener = command.listener and self._listener is not None
+                descriptors = [self._listener.fileno()] if has_listener and self._listener else []
+                self._send_to_sibling(command.message, descriptors)
             case TellWorker():
-                if isinstance(act.message, Room) and self._gateway is None:
-                    return
-                self._perform_all(self._state.told(act.message))
+                if not (isinstance(command.message, Room) and self._gateway is None):
+                    self._perform_all(self._state.told(command.message))
             case HandoverStep.PREPARE:
                 self._own_task(self._prepare())
             case HandoverStep.OPEN:
@@ -246,30 +180,33 @@
     # Serving.
 
     async def _prepare(self) -> None:
-        linked = self._sibling is not None
+        """Test the path of a request, build the gateway, and go on with the hand-over."""
+        is_linked = self._sibling is not None
         try:
-            if linked:
+            if is_linked:
                 await selftest(self._config)
-            share = self._handover.descriptors // 2 if linked else self._handover.descriptors
-            self._build(self._config, share - RESERVED)
-            self._state.batch = batch_of(
-                self._handover.descriptors
-            )  # as many as `Pair` sets apart for
-            assert self._gateway is not None
-            assert self._gateway.admin is not None
-            self._gateway.admin.start()
-            self._gateway.admin.serves = lambda: (
-                self._state.accepts or self._handover.stage is HandoverStage.STANDS_BY
-            )
+            self._build_gateway(is_linked)
         except (ConfigError, SelfTestError, OSError) as error:
             print(f"quillroad: {error}", file=sys.stderr)
             self._fail(2 if isinstance(error, ConfigError) else 1)
             return
         self._own_task(self._lend_forever())
-        linked = self._sibling is not None  # it may have gone meanwhile
-        if linked:
+        is_linked = self._sibling is not None  # it may have gone meanwhile
+        if is_linked:
             self._loop.call_at(self._started_at + HANDOVER_TIMEOUT_S, self._handover_is_late)
-        self._perform_handover(self._handover.prepared(linked))
+        self._perform_handover(self._handover.prepared(is_linked))
+
+    def _build_gateway(self, is_linked: bool) -> None:
+        descriptors = self._handover.descriptors
+        self._build(self._config, (descriptors // 2 if is_linked else descriptors) - RESERVED)
+        self._state.batch = batch_of(descriptors)  # as many as the hand-over sets apart for
+        operators = self.gateway.admin
+        assert operators is not None
+        operators.start()
+        operators.serves = self._answers_operators
+
+    def _answers_operators(self) -> bool:
+        return self._state.accepts or self._handover.stage is HandoverStage.STANDS_BY
 
     def _handover_is_late(self) -> None:
         if self._handover.stage is HandoverStage.TAKES:
@@ -278,32 +215,35 @@
 
     async def _lend_forever(self) -> None:
         while True:
-            await asyncio.sleep(TELL_S)
+            await asyncio.sleep(LEND_INTERVAL_S)
             if self._state.yielded:
                 self._share_attempts()
 
-    def _publish(self) -> None:
-        self._stop_listening_for_newcomers()
-        self._listening = self._rendezvous.open()
-        if self._listening is not None:
-            self._loop.add_reader(self._listening.fileno(), self._newcomer)
+    # Newcomers.
 
-    def _newcomer(self) -> None:
-        assert self._listening is not None
+    def _publish(self) -> None:
+        """Be found by newcomers."""
+        self._unpublish()
+        self._newcomers = self._rendezvous.open()
+        if self._newcomers is not None:
+            self._loop.add_reader(self._newcomers.fileno(), self._accept_newcomer)
+
+    def _accept_newcomer(self) -> None:
+        assert self._newcomers is not None
         try:
-            sock, _ = self._listening.accept()
-        except OSError:
+            sock, _ = self._newcomers.accept()
+        except OSError:  # it has gone again
             return
         if self._sibling is None and self._handover.may_come():
             self._open_link(sock)
         else:
             sock.close()
 
-    def _stop_listening_for_newcomers(self) -> None:
-        if self._listening is not None:
-            self._loop.remove_reader(self._listening.fileno())
-            self._listening.close()
-            self._listening = None
+    def _unpublish(self) -> None:
+        if self._newcomers is not None:
+            self._loop.remove_reader(self._newcomers.fileno())
+            self._newcomers.close()
+            self._newcomers = None
             self._rendezvous.close()
 
     # The end.
@@ -313,23 +253,25 @@
         self.end.set()
 
     def drain(self) -> None:
+        """Answer what is open and end; newcomers find this process no more."""
         self._handover.ending = True
         if self._gateway is not None:
             self._gateway.serving_state.end()
-        self._stop_listening_for_newcomers()
+        self._unpublish()
         super().drain()
 
     def _end(self) -> None:
-        if self._gateway is not None and not self._state.accepts and self._sibling is not None:
-            self._perform_all(
-                [WorkerStep.FINISH]
-            )  # the link stays: connections move for as long as there are some
+        stands_by = self._gateway is not None and not self._state.accepts
+        if stands_by and self._sibling is not None:
+            # The link stays: connections migrate for as long as there are some.
+            self._perform_all([WorkerStep.FINISH])
         else:
             super()._end()
 
     async def close(self) -> None:
+        """Leave the rendezvous and the sibling, and wait for what still runs."""
         self._ending = self._handover.ending = True
-        self._stop_listening_for_newcomers()
+        self._unpublish()
         self._close_link()
         self._unwatch_process()
         await super().close()
@@ -350,6 +292,6 @@
 
 
 def run(config: Config, again: Callable[[], Config], zones: Path | None = None) -> int:
-    """One process from its start to its end; returns the status to exit with."""
+    """Run one process from its start to its end; returns the status to exit with."""
     start_log()
     return uvloop.run(serve(config, again, zones, os.environ))
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -1,4 +1,4 @@
-"""A worker: one gateway process under a keeper."""
+"""A worker: one gateway process under a supervisor."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from quillroad.config import RESERVED, Config, ConfigError
 from quillroad.gateway import start_log
-from quillroad.upgrade.channel import Channel
+from quillroad.upgrade.channel import Channel, close_all
 from quillroad.upgrade.messages import (
     VERSION,
     Give,
@@ -32,18 +32,22 @@
 
 log = logging.getLogger("quillroad.upgrade")
 
-SEAT = "QUILLROAD_SEAT"  # the descriptor of the socket to the keeper
-REPORT_S = 0.1
+SEAT = "QUILLROAD_SEAT"  # environment: the descriptor of the socket to the supervisor
+REPORT_INTERVAL_S = 0.1
 
 
 def memory_mb() -> float:
     """Resident memory of this process (proc_pid_statm(5))."""
-    with open("/proc/self/statm", encoding="ascii") as file:
-        return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 2**20
+    resident_pages = int(Path("/proc/self/statm").read_text(encoding="ascii").split()[1])
+    return resident_pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
 class SupervisedWorker(WorkerProcess):
-    """One process. `first` reads the configuration, `again` reads it for a reload."""
+    """One process.
+
+    `first` reads the configuration, `again` reads it for a reload; `zones` is the file of the budget
+    for other zones.
+    """
 
     def __init__(
         self,
@@ -55,33 +59,37 @@
     ) -> None:
         super().__init__(loop, again, zones)
         self._read_first = first
-        self._supervisor = Channel(loop, sock, self._on_supervisor_message, self._supervisor_lost)
-        self._reported_migrations = self._reported_rejections = 0  # of what the reports told
-        self._supervisor.send(Hello(VERSION, f"{sys.version_info[0]}.{sys.version_info[1]}"))
+        self._supervisor = Channel(
+            loop, sock, self._on_supervisor_message, self._on_supervisor_lost
+        )
+        self._reported_migrations = 0
+        self._reported_rejections = 0
+        python = f"{sys.version_info[0]}.{sys.version_info[1]}"
+        self._supervisor.send(Hello(VERSION, python))
 
     def _to_supervisor(self, message: Message) -> None:
         self._supervisor.send(message)
 
-    def _on_supervisor_message(self, message: Message, fds: list[int]) -> None:
-        """The keeper says something."""
-        if isinstance(message, Welcome) and len(fds) == 1:
-            self._listener = socket.socket(fileno=fds[0])
+    def _on_supervisor_message(self, message: Message, descriptors: list[int]) -> None:
+        if isinstance(message, Welcome) and len(descriptors) == 1:
+            self._listener = socket.socket(fileno=descriptors[0])
             self._listener.setblocking(False)
             self._own_task(self._prepare(message))
             return
-        if isinstance(message, Give | Take) and len(fds) == 1 and self._gateway is not None:
-            self._open_link(socket.socket(fileno=fds.pop()))
-        for fd in fds:
-            os.close(fd)
+        is_link = isinstance(message, Give | Take) and len(descriptors) == 1
+        if is_link and self._gateway is not None:
+            self._open_link(socket.socket(fileno=descriptors.pop()))
+        close_all(descriptors)
         if self._gateway is not None:
             self._perform_all(self._state.told(message))
 
-    def _supervisor_lost(self, why: str) -> None:
-        """The keeper is gone: nobody would start another. What was taken is answered, then this ends."""
-        log.error("the keeper is gone: %s", why)
+    def _on_supervisor_lost(self, why: str) -> None:
+        """Nobody would start another worker: what was taken is answered, then this process ends."""
+        log.error("the supervisor is gone: %s", why)
         self.drain()
 
     async def _prepare(self, welcome: Welcome) -> None:
+        """Read the configuration, test the path of a request, build the gateway and say `Ready`."""
         try:
             config = (self._read_again if welcome.reloaded else self._read_first)()
             await selftest(config)
@@ -103,36 +111,38 @@
 
     async def _report_forever(self) -> None:
         while True:
-            await asyncio.sleep(REPORT_S)
-            engine, server = self.engine, self.gateway.server
-            counts, engine.counts = engine.counts, type(engine.counts)()
-            refused, self._reported_rejections = (
-                server.admission.refused - self._reported_rejections,
-                server.admission.refused,
-            )
-            moved, self._reported_migrations = (
-                self.migrations.moved - self._reported_migrations,
-                self.migrations.moved,
-            )
-            self._supervisor.send(
-                Report(
-                    counts.served,
-                    counts.refused + refused,
-                    counts.failed,
-                    engine.open,
-                    len(server.connection_limit),
-                    moved,
-                    memory_mb(),
-                )
-            )
+            await asyncio.sleep(REPORT_INTERVAL_S)
+            self._supervisor.send(self._report())
             if self._state.yielded:
                 self._share_attempts()
 
+    def _report(self) -> Report:
+        """What this process did since the last report."""
+        engine, server = self.engine, self.gateway.server
+        counts, engine.counts = engine.counts, type(engine.counts)()
+        rejections = server.admission.refused
+        migrations = self.migrations.moved
+        report = Report(
+            counts.served,
+            counts.refused + rejections - self._reported_rejections,
+            counts.failed,
+            engine.open,
+            len(server.connection_limit),
+            migrations - self._reported_migrations,
+            memory_mb(),
+        )
+        self._reported_rejections = rejections
+        self._reported_migrations = migrations
+        return report
+
 
 async def serve(
     seat: int, first: Callable[[], Config], again: Callable[[], Config], zones: Path | None
 ) -> int:
-    """Run one worker to its end; returns the status to exit with."""
+    """Run one worker to its end; returns the status to exit with.
+
+    `seat` is the descriptor of the socket to the supervisor.
+    """
     loop = asyncio.get_running_loop()
     worker = SupervisedWorker(loop, socket.socket(fileno=seat), first, again, zones)
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -143,7 +153,7 @@
 
 
 def run(first: Callable[[], Config], again: Callable[[], Config], zones: Path | None = None) -> int:
-    """One worker from its start to its end; returns the status to exit with."""
+    """Run one worker from its start to its end; returns the status to exit with."""
     start_log()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     return uvloop.run(serve(int(os.environ.pop(SEAT)), first, again, zones))
--- a/quillroad/upgrade/worker_process.py
+++ b/quillroad/upgrade/worker_process.py
@@ -1,5 +1,8 @@
-"""One process of a gateway that has a seat: what it does with sockets; `seat.py` decides when. Who plays the
-keeper's part is its subclasses' matter."""
+"""One worker process of a gateway: what it does with sockets; `worker_state` decides when.
+
+Who plays the supervisor's part is up to subclasses: `worker` has a supervisor process, `sibling_process`
+none.
+"""
 
 from __future__ import annotations
 
@@ -7,16 +10,15 @@
 import contextlib
 import gc
 import logging
-import os
 import signal
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine, Sequence
 from pathlib import Path
 from typing import assert_never
 
 from quillroad.config import RESERVED, Config
 from quillroad.gateway import FLUSH_S, Gateway
-from quillroad.upgrade.channel import Channel
+from quillroad.upgrade.channel import Channel, close_all
 from quillroad.upgrade.messages import ByHand, Connections, Message, State, batch_of
 from quillroad.upgrade.sections import by_hand, read, write
 from quillroad.upgrade.shared import Moves, MovingServer, SharedEngine, settled
@@ -41,9 +43,10 @@
 
 log = logging.getLogger("quillroad.upgrade")
 
-END_SEEN_S = 1.0  # for the end of a process to be seen
-LAST_GRANT_S = 0.05  # for the keeper's last word to come
-SHARE_S = 0.005  # between two words to the other process: its picture of a host is that old at most
+END_SEEN_S = 1.0  # for the end of the sibling to be seen, before its batches count as its own
+LAST_GRANT_S = 0.05  # for the supervisor's last grant to come, which may be on its way
+SHARE_INTERVAL_S = 0.005  # the sibling's picture of a host is that old at most
+SHOWN_LINES = 20  # of what could not be used, in the answer
 
 
 class WorkerProcess:
@@ -55,7 +58,9 @@
         again: Callable[[], Config],
         zones: Path | None = None,
     ) -> None:
-        self._loop, self._read_again, self._zones = loop, again, zones
+        self._loop = loop
+        self._read_again = again
+        self._zones = zones
         self._sibling: Channel | None = None
         self._state = WorkerState()
         self._gateway: Gateway | None = None
@@ -71,26 +76,29 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     def _to_supervisor(self, message: Message) -> None:
-        """The seat says something to the keeper."""
+        """Say something to whoever decides which process serves."""
         raise NotImplementedError
 
     @property
     def gateway(self) -> Gateway:
+        """The gateway, once it is built."""
         assert self._gateway is not None
         return self._gateway
 
     @property
     def engine(self) -> SharedEngine:
+        """Its engine."""
         engine = self.gateway.engine
         assert isinstance(engine, SharedEngine)
         return engine
 
     @property
     def migrations(self) -> Moves:
+        """Connections on their way to the sibling or from it."""
         assert self._migrations is not None
         return self._migrations
 
-    # What comes in.
+    # The link to the sibling.
 
     def _open_link(self, sock: socket.socket) -> None:
         self._close_link()
@@ -99,21 +107,18 @@
         except PermissionError as error:
             log.error("no link: %s", error)
 
-    def _on_sibling_message(self, message: Message, fds: list[int]) -> None:
-        """The other process says something."""
+    def _on_sibling_message(self, message: Message, descriptors: list[int]) -> None:
         if isinstance(message, ByHand):
             if self._gateway is not None and self._gateway.admin is not None:
                 self._gateway.admin.learn(message.out, message.back, message.drained)
             return
-        if isinstance(message, Connections) and len(message.brought) != len(fds):
-            for fd in fds:
-                os.close(fd)
+        if isinstance(message, Connections) and len(message.brought) != len(descriptors):
+            close_all(descriptors)
             self._on_link_lost("descriptors are missing")
             return
-        self._descriptors = fds
+        self._descriptors = descriptors
         self._perform_all(self._state.heard(message))
-        for fd in self._descriptors:
-            os.close(fd)
+        close_all(self._descriptors)
         self._descriptors = []
 
     def _on_link_lost(self, why: str) -> None:
@@ -132,23 +137,28 @@
             self.engine.on_change = None
             self._perform_all(self._state.cut())
 
-    # What is done.
+    def _send_to_sibling(self, message: Message, descriptors: Sequence[int] = ()) -> None:
+        if self._sibling is not None:
+            self._sibling.send(message, descriptors)
+
+    # The gateway.
 
     def _build(self, config: Config, descriptors: int) -> None:
-        """Make the gateway and let it hear of hosts; it accepts nothing yet. Raises ConfigError, OSError."""
+        """Build the gateway and let it hear of hosts; it accepts nothing yet.
+
+        Raises `ConfigError` and `OSError`.
+        """
         self._state.batch = batch_of(config.sockets)
         gateway = Gateway(config, self._loop, SharedEngine, MovingServer, self._zones)
         self._gateway = gateway
-        self._limit(descriptors)
+        self._limit_descriptors(descriptors)
         server = gateway.server
         assert isinstance(server, MovingServer)
         self._migrations = Moves(server)
-        if gateway.zones is not None:
-            gateway.zones.serves = self._serves
-        if gateway.registrar is not None:
-            gateway.registrar.serves = self._serves
-        if gateway.fleet is not None:
-            gateway.fleet.serves = self._serves
+        # These speak for the gateway as a whole: only the process that accepts does so.
+        for part in (gateway.zones, gateway.registrar, gateway.fleet):
+            if part is not None:
+                part.serves = self._accepts
         gateway.source.begin(config)
         if gateway.admin is not None:
             gateway.admin.on_change = self._operator_acted
@@ -159,12 +169,12 @@
         gc.freeze()  # what is here at the start stays; collections need not walk it each time
 
     def _operator_acted(self) -> None:
-        """An operator has changed something: the other process goes by it, too."""
+        """An operator has changed something: the sibling goes by it, too."""
         if (done := by_hand(self.gateway)) is not None:
             self._send_to_sibling(done)
 
     def _serve_operators(self, on: bool) -> None:
-        """Answer operators, or leave that to the other process, which has the same address for them."""
+        """Answer operators, or leave that to the sibling, which has the same address for them."""
         admin = self.gateway.admin
         if admin is None:
             return
@@ -177,134 +187,141 @@
             log.error("operators are not answered: %s", error)
 
     def _reload(self) -> None:
-        """SIGHUP. One that comes while this process starts counts too: it may have read the file before."""
+        """SIGHUP. While this process starts it counts too: the file may have been read before."""
         if self._gateway is None:
             self._reload_due = True
         else:
             self._gateway.reload(self._read_again)
 
-    def _perform_all(self, acts: list[WorkerCommand]) -> None:
-        for act in acts:
+    def _limit_descriptors(self, limit: int) -> None:
+        """Hold so many descriptors.
+
+        Idle connections to hosts close where it is fewer than are open, busy ones once their answer
+        is complete. Clients' connections are not closed for it.
+        """
+        gateway = self.gateway
+        gateway.descriptors.limit = max(1, limit)
+        gateway.server.resize()
+        while gateway.upstream.coming() < 0 and gateway.upstream.drop_oldest_idle():
+            pass
+
+    def _accepts(self) -> bool:
+        return self._state.accepts
+
+    def _owns_slow_start(self) -> bool:
+        """Whether the slow-start slots are this process's: they belong to the one that accepts."""
+        return self._state.accepts or self._state.part is LinkRole.NONE
+
+    # Commands of the worker state.
+
+    def _perform_all(self, commands: list[WorkerCommand]) -> None:
+        for command in commands:
             try:
-                self._perform(act)
+                self._perform(command)
             except Exception:
-                log.exception("could not carry out %s", act)
-                if (
-                    act is Step.ACCEPT
-                ):  # nobody would accept, and the keeper would take this for the owner
+                log.exception("could not carry out %s", command)
+                if command is Step.ACCEPT:
+                    # Nobody would accept, and the supervisor would take this process for the owner.
                     self.status = 1
                     self.end.set()
                     return
                 if self._sibling is not None:
                     self._on_link_lost("a fault of ours")
 
-    def _perform(self, act: WorkerCommand) -> None:
-        match act:
+    def _perform(self, command: WorkerCommand) -> None:
+        match command:
             case Step():
-                self._take_step(act)
+                self._take_step(command)
             case ToSupervisor():
-                self._to_supervisor(act.message)
+                self._to_supervisor(command.message)
             case ToSibling():
-                self._send_to_sibling(act.message)
+                self._send_to_sibling(command.message)
             case ExportState():
-                if act.final:
-                    share_budgets(self.engine.balancer)
-                self._send_to_sibling(State(write(self.gateway), act.final))
+                self._export_state(command.final)
             case AdoptState():
-                left = read(self.gateway, act.state.sections, not act.state.final)
-                for line in left if act.state.final else ():
-                    log.warning("left behind: %s", line)
-                self._perform_all(self._state.adopted(act.state.final, left[:20]))
+                self._adopt_state(command.state)
             case LearnAttempts():
-                self.engine.learn(act.out, self._owns_slow_start())
+                self.engine.learn(command.out, self._owns_slow_start())
             case LimitDescriptors():
-                self._limit(
-                    act.descriptors + (self.gateway.descriptors.limit if act.more else -RESERVED)
-                )
+                more = self.gateway.descriptors.limit if command.more else -RESERVED
+                self._limit_descriptors(command.descriptors + more)
             case KeepBatch():
-                self.migrations.keep(act.batch, act.brought, self._descriptors)
+                self.migrations.keep(command.batch, command.brought, self._descriptors)
                 self._descriptors = []
             case OwnBatch():
-                self.migrations.own(act.batch)
+                self.migrations.own(command.batch)
             case DropBatches():
                 self.migrations.drop()
             case ReleaseBatch():
-                self._state.gone(
-                    act.batch
-                )  # first: it was released, and never comes back whatever fails
-                self.migrations.gone(act.batch)
-                self._offer()
+                # First: it was released, and never comes back whatever fails.
+                self._state.gone(command.batch)
+                self.migrations.gone(command.batch)
+                self._offer_connections()
             case TakeBackBatch():
-                self.migrations.back(act.batch)
+                self.migrations.back(command.batch)
             case _:
-                assert_never(act)
-
-    def _take_step(self, word: Step) -> None:
-        if word is Step.ACCEPT:
-            assert self._listener is not None
-            self.migrations.leaving(False)
-            self.gateway.listen(self._listener)
-            self._serve_operators(True)
-        elif word is Step.PAUSE:
-            self.migrations.leaving(True)
-            self.gateway.server.pause()
-            self._serve_operators(False)
-        elif word is Step.SHARE:
-            self.engine.on_change = self._changed
-            # At once: who is about to serve needs the descriptors that are left here.
-            self._share_attempts()
-        elif word is Step.MOVE:
-            self.migrations.begin(self._offer)
-        elif word is Step.STAY:
-            self.migrations.stop()
-        elif word is Step.WAIT:
-            self._loop.call_later(END_SEEN_S, lambda: self._perform_all(self._state.waited()))
-        elif word is Step.ALONE:
-            self.engine.alone()
-        elif word is Step.FINISH:
-            self._own_task(self._finish())
-
-    def _serves(self) -> bool:
-        return self._state.accepts
-
-    def _owns_slow_start(self) -> bool:
-        """Whether the turns at cold hosts are this process's: theirs who accepts."""
-        return self._state.accepts or self._state.part is LinkRole.NONE
-
-    def _send_to_sibling(self, message: Message) -> None:
-        if self._sibling is not None:
-            self._sibling.send(message)
-
-    def _limit(self, limit: int) -> None:
-        """Hold so many descriptors. Connections kept to hosts go where it is fewer than are open, those that
-        bring an answer once that is whole; clients' are not ended for it."""
-        gateway = self.gateway
-        gateway.descriptors.limit = max(1, limit)
-        gateway.server.resize()
-        while gateway.upstream.coming() < 0 and gateway.upstream.drop_oldest_idle():
-            pass
-
-    def _offer(self) -> None:
+                assert_never(command)
+
+    def _take_step(self, step: Step) -> None:
+        match step:
+            case Step.ACCEPT:
+                self._accept()
+            case Step.PAUSE:
+                self.migrations.leaving(True)
+                self.gateway.server.pause()
+                self._serve_operators(False)
+            case Step.SHARE:
+                self.engine.on_change = self._share_soon
+                # At once: who is about to serve needs the descriptors that are left here.
+                self._share_attempts()
+            case Step.MOVE:
+                self.migrations.begin(self._offer_connections)
+            case Step.STAY:
+                self.migrations.stop()
+            case Step.WAIT:
+                waited = self._state.waited
+                self._loop.call_later(END_SEEN_S, lambda: self._perform_all(waited()))
+            case Step.ALONE:
+                self.engine.alone()
+            case Step.FINISH:
+                self._own_task(self._finish())
+            case _:
+                assert_never(step)
+
+    def _accept(self) -> None:
+        assert self._listener is not None
+        self.migrations.leaving(False)
+        self.gateway.listen(self._listener)
+        self._serve_operators(True)
+
+    def _export_state(self, is_final: bool) -> None:
+        if is_final:
+            share_budgets(self.engine.balancer)
+        self._send_to_sibling(State(write(self.gateway), is_final))
+
+    def _adopt_state(self, state: State) -> None:
+        left = read(self.gateway, state.sections, not state.final)
+        for line in left if state.final else ():
+            log.warning("left behind: %s", line)
+        self._perform_all(self._state.adopted(state.final, left[:SHOWN_LINES]))
+
+    def _offer_connections(self) -> None:
         """Offer the next batch of connections, if it is time for one."""
         while (offer := self._state.offer(self.migrations.waiting)) is not None:
             batch, size = offer
-            brought, fds = self.migrations.offer(batch, size)
-            self._state.offered[batch] = len(fds)
-            if not fds:  # all of them have asked again
+            brought, descriptors = self.migrations.offer(batch, size)
+            if not descriptors:  # all of them have brought another request
                 del self._state.offered[batch]
                 continue
-            self._send_connections(batch, brought, fds)
-
-    def _send_connections(self, batch: int, brought: list[int], fds: list[int]) -> None:
-        if self._sibling is not None:
-            self._sibling.send(Connections(batch, brought), fds)
+            self._state.offered[batch] = len(descriptors)
+            self._send_to_sibling(Connections(batch, brought), descriptors)
 
-    def _changed(self) -> None:
+    def _share_soon(self) -> None:
         if self._share_timer is None:
-            self._share_timer = self._loop.call_later(SHARE_S, self._share_attempts)
+            self._share_timer = self._loop.call_later(SHARE_INTERVAL_S, self._share_attempts)
 
     def _share_attempts(self) -> None:
-        """Tell the other what is out here, and leave it what this process needs no more."""
+        """Tell the sibling what is in flight here, and lend it what this process needs no more."""
         self._share_timer = None
         if self._sibling is None:
             return
@@ -313,14 +330,14 @@
             self._send_to_sibling(out)
         if self._state.yielded:
             while self.gateway.upstream.drop_oldest_idle():
-                self._changed()  # its hosts' connections serve nobody any more; closed, they are lent
+                self._share_soon()  # a connection that serves nobody; once closed it is lent
             spare = self.gateway.descriptors.spare() - 2 * self.engine.open
             self._perform_all(self._state.lend(spare))
 
     # The end.
 
     async def _finish(self) -> None:
-        """Answer what is open, move or end what is between two requests, then end."""
+        """Answer what is open, migrate or close idle connections, then end."""
         self._close_listener()
         until = self._loop.time() + self._longest_s()
         server = self.gateway.server
@@ -331,28 +348,27 @@
         self.end.set()
 
     def _must_close(self) -> bool:
-        """Nobody takes connections over."""
+        """Whether nobody takes connections over."""
         if self._sibling is None or self._sibling.closed:
             self.gateway.server.draining = True
             return True
         return False
 
     def _longest_s(self) -> float:
-        longest = max(
-            (route.deadline_us for route in self.gateway.config.settings.routes), default=0
-        )
-        return longest / 1e6 + FLUSH_S
+        deadlines_us = (route.deadline_us for route in self.gateway.config.settings.routes)
+        return max(deadlines_us, default=0) / 1e6 + FLUSH_S
 
     def _close_listener(self) -> None:
         if self._listener is not None and not self._state.accepts:
             self._listener.close()
 
     def drain(self) -> None:
-        """SIGTERM, or the keeper has gone."""
+        """Answer what is open and end: SIGTERM, or the supervisor has gone."""
         if self._ending:
             return
         self._ending = True
-        # A keeper that ends in the middle of a switch grants one of them first, and that may be on its way.
+        # A supervisor that ends in the middle of a switch grants one worker the listener first, and
+        # that may be on its way.
         self._loop.call_later(LAST_GRANT_S if self._state.yielded else 0.0, self._end)
 
     def _end(self) -> None:
@@ -371,9 +387,9 @@
         log.info("drained")
         self.end.set()
 
-    def _own_task(self, coroutine: object) -> None:
-        assert asyncio.iscoroutine(coroutine)
-        task: asyncio.Task[None] = self._loop.create_task(coroutine)
+    def _own_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        """Run it; a fault in it ends the process, and `close` awaits it."""
+        task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._task_done)
 
@@ -385,6 +401,7 @@
             self.end.set()
 
     async def close(self) -> None:
+        """Cancel what still runs, and wait for it."""
         for task in list(self._tasks):
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
