--- a/quillroad/upgrade/canary.py
+++ b/quillroad/upgrade/canary.py
@@ -1,9 +1,10 @@
 """Whether a new process does worse than the one before it. No I/O; times are seconds of one clock.
 
-Two shares are compared: of requests that failed, and of those that were not served at all. A share is only
-believed as far as its count goes (Wilson's score interval, J. Am. Stat. Assoc. 1927): the new process is
-worse when the least that its share can be lies above the most that the old one's can have been, by more than
-a margin. That is the same verdict for the same counts, and few requests say nothing.
+Two shares are compared: of requests that failed, and of those that were not served at all. A share
+is only believed as far as its count goes (Wilson's score interval, J. Am. Stat. Assoc. 1927): the
+new process is worse when the least that its share can be lies above the most that the old one's can
+have been, by more than a margin. That is the same verdict for the same counts, and few requests say
+nothing.
 """
 
 from __future__ import annotations
@@ -14,21 +15,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tuning:
+class CanaryTuning:
     """Chosen, not tuned: false and missed alarms at these figures were not counted."""
 
     sure: float = 3.0  # standard deviations
     failed: float = 0.02  # part of requests by which failures may be more
-    unserved: float = (
-        0.25  # by which refusals and failures may: load differs from one second to the next
-    )
+    # Part by which rejections and failures may be more: load differs from one second to the next.
+    unserved: float = 0.25
     least: int = 40  # requests of the new process before it is judged
-    memory_s: float = 10.0  # of the old process's service that it is held against
+    memory_s: float = 10.0  # of the old process's service that it is compared with
     silent: float = 40.0  # requests that the old one would have had, without one at the new
 
 
 @dataclass(slots=True)
-class Counts:
+class RequestCounts:
     """What became of requests."""
 
     served: int = 0
@@ -37,16 +37,21 @@
 
     @property
     def whole(self) -> int:
+        """All of them."""
         return self.served + self.refused + self.failed
 
-    def add(self, other: Counts) -> None:
+    def add(self, other: RequestCounts) -> None:
+        """Count those of another span of time, too."""
         self.served += other.served
         self.refused += other.refused
         self.failed += other.failed
 
 
-def bounds(part: int, whole: int, sure: float) -> tuple[float, float]:
-    """The least and the most that a share can be of which `part` of `whole` were seen; 0 and 1 with none."""
+def wilson_interval(part: int, whole: int, sure: float) -> tuple[float, float]:
+    """The least and the most that a share can be of which `part` of `whole` were seen.
+
+    0 and 1 with none.
+    """
     if not whole:
         return 0.0, 1.0
     share, square = part / whole, sure * sure / whole
@@ -59,14 +64,14 @@
 class Canary:
     """The last service of the old process, and all of the new one's so far."""
 
-    tuning: Tuning = field(default_factory=Tuning)
-    _before: deque[tuple[float, Counts]] = field(default_factory=deque)
+    tuning: CanaryTuning = field(default_factory=CanaryTuning)
+    _before: deque[tuple[float, RequestCounts]] = field(default_factory=deque)
     _began: float = 0.0
     _rate: float = 0.0  # of the old process, requests a second
-    _old: Counts = field(default_factory=Counts)
-    _new: Counts = field(default_factory=Counts)
+    _old: RequestCounts = field(default_factory=RequestCounts)
+    _new: RequestCounts = field(default_factory=RequestCounts)
 
-    def serves(self, now: float, counts: Counts) -> None:
+    def serves(self, now: float, counts: RequestCounts) -> None:
         """The process that serves tells what it did since it told last."""
         self._before.append((now, counts))
         while self._before and self._before[0][0] < now - self.tuning.memory_s:
@@ -74,30 +79,37 @@
 
     def begin(self, now: float) -> None:
         """Another process serves from now on."""
-        self._began, self._old, self._new = now, Counts(), Counts()
+        self._began, self._old, self._new = now, RequestCounts(), RequestCounts()
         for _, counts in self._before:
             self._old.add(counts)
         spent_s = now - self._before[0][0] if len(self._before) > 1 else 0.0
         self._rate = self._old.whole / spent_s if spent_s > 0 else 0.0
         self._before.clear()
 
-    def told(self, counts: Counts) -> None:
+    def told(self, counts: RequestCounts) -> None:
         """The new process tells what it did since it told last."""
         self._new.add(counts)
 
     def worse(self, now: float) -> str:
         """Why the new process has to go, or nothing."""
-        told, old, new = self.tuning, self._old, self._new
-        if not new.whole and self._rate * (now - self._began) >= told.silent:
-            return f"no request in {now - self._began:.1f} s, {self._rate:.0f} a second before"
-        if new.whole < told.least:
+        tuning, old, new = self.tuning, self._old, self._new
+        served_s = now - self._began
+        if not new.whole and self._rate * served_s >= tuning.silent:
+            return f"no request in {served_s:.1f} s, {self._rate:.0f} a second before"
+        if new.whole < tuning.least:
             return ""
-        for name, margin, was, now_is in (
-            ("failed", told.failed, old.failed, new.failed),
-            ("not served", told.unserved, old.refused + old.failed, new.refused + new.failed),
-        ):
-            least = bounds(now_is, new.whole, told.sure)[0]
-            most = bounds(was, old.whole, told.sure)[1] if old.whole else 0.0
-            if least > most + margin:
-                return f"{name}: {now_is} of {new.whole}, {was} of {old.whole} before"
+        if _is_worse(new.failed, new.whole, old.failed, old.whole, tuning.sure, tuning.failed):
+            return f"failed: {new.failed} of {new.whole}, {old.failed} of {old.whole} before"
+        now_is, was = new.refused + new.failed, old.refused + old.failed
+        if _is_worse(now_is, new.whole, was, old.whole, tuning.sure, tuning.unserved):
+            return f"not served: {now_is} of {new.whole}, {was} of {old.whole} before"
         return ""
+
+
+def _is_worse(
+    new: int, new_whole: int, old: int, old_whole: int, sure: float, margin: float
+) -> bool:
+    """Whether the new share certainly lies above the old one by more than the margin."""
+    least = wilson_interval(new, new_whole, sure)[0]
+    most = wilson_interval(old, old_whole, sure)[1] if old_whole else 0.0
+    return least > most + margin
--- a/quillroad/upgrade/channel.py
+++ b/quillroad/upgrade/channel.py
@@ -1,4 +1,4 @@
-"""One end of a local socket between processes of a gateway: messages and descriptors, with bounds."""
+"""One end of a local socket between processes of a gateway: messages and descriptors."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import NamedTuple
 
-from quillroad.upgrade.messages import BATCH, CHUNK, BadPacket, Message, Reader, packets
+from quillroad.upgrade.messages import BATCH, CHUNK, BadPacketError, Message, Reader, packets
 
 # Packets at most that wait for the other side to read: 128 MiB, four of the longest messages.
 MOST_WAITING_PACKETS = 4096
@@ -52,8 +52,8 @@
     """One end of the socket.
 
     `on_message` gets each message with the descriptors that came along, which it owns from then on;
-    `on_end` is called once, with the reason, when nothing more can come: the other side has ended, or
-    makes no sense. Raises `PermissionError` for an end that another user holds.
+    `on_end` is called once, with the reason, when nothing more can come: the other side has ended,
+    or makes no sense. Raises `PermissionError` for an end that another user holds.
     """
 
     def __init__(
@@ -90,8 +90,8 @@
     def send(self, message: Message, descriptors: Sequence[int] = ()) -> None:
         """Send a message, or forget it where the other side is gone.
 
-        The kernel copies `descriptors` when the packet leaves: they have to stay open until an answer
-        has come.
+        The kernel copies `descriptors` when the packet leaves: they have to stay open until an
+        answer has come.
         """
         if self._closed or not self._peer_reads:
             return
@@ -155,7 +155,7 @@
             return False
         try:
             message = self._reader.read(packet)
-        except BadPacket as error:
+        except BadPacketError as error:
             self._end(str(error))
             return False
         if message is not None:
--- a/quillroad/upgrade/control_socket.py
+++ b/quillroad/upgrade/control_socket.py
@@ -116,7 +116,7 @@
         return await waiting
 
     def close(self) -> None:
-        """End listening, and remove the socket unless it is that of a supervisor that came after."""
+        """End listening, and remove the socket unless it is a later supervisor's."""
         if self._server is None:
             return
         self._server.close()
--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -254,7 +254,8 @@
     try:
         config = first()
         upgrades = load_upgrades(file, config.sockets, config.name)
-        # Workers are found where this process was: without -P the folder it runs in would come first.
+        # Workers are found where this process was: without -P the folder it runs in would come
+        # first.
         path = ("-P",) if sys.flags.safe_path else ()
         command = [sys.executable, *path, "-m", "quillroad", *arguments]
         return asyncio.run(supervise(config, upgrades, command))
--- a/quillroad/upgrade/rendezvous.py
+++ b/quillroad/upgrade/rendezvous.py
@@ -55,7 +55,7 @@
         return sock
 
     def open(self) -> socket.socket | None:
-        """Be found there, in place of whoever was; None, with a line of the log, where that fails."""
+        """Be found there, in place of whoever was; None, and a log line, where that fails."""
         if self._folder is None:
             return None
         sock = _local_socket()
@@ -71,7 +71,7 @@
         return sock
 
     def _bind(self, sock: socket.socket) -> None:
-        """Listen under a name of its own first: the common one is replaced at once or not at all."""
+        """Listen under a name of its own, then replace the common one in one step."""
         own = f"{self._name}.{os.getpid()}"
         with self._path(own) as path, self._path(self._name) as final:
             path.unlink(missing_ok=True)
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -1,7 +1,7 @@
 """The parts of a `State`: what one process knows, for another that may be a version older or newer.
 
-Each section is a document of its own under its name. A reader takes those that it knows, and names the
-others; fields that it does not know are passed over, those it misses take their defaults.
+Each section is a document of its own under its name. A reader takes those that it knows, and names
+the others; fields that it does not know are passed over, those it misses take their defaults.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from quillroad.balancing.events import EndpointUpdate, UpdateKind
 from quillroad.config import Config
 from quillroad.gateway import Gateway
-from quillroad.upgrade.messages import ByHand
+from quillroad.upgrade.messages import OperatorActions
 from quillroad.upgrade.shared import SharedEngine
 from quillroad.upgrade.state_snapshot import Knowledge, Names, adopt, export
 
 KNOWN = ("clock", "hosts", "module", "admission")
 OPTIONAL = ("by-hand", "zones")  # of features that may be off on either side
-# What is out by hand comes before the list, so that no host of it is shown ready, and before what was
-# learned, which holds only where both see the same start of a host.
+# What operators have done comes before the list, so that no host that they took out is shown ready,
+# and before what was learned, which holds only where both processes see the same start of a host.
 ORDER = ("by-hand", *KNOWN, "zones")
 
 
@@ -48,8 +48,11 @@
 
 
 class Hosts(Struct):
-    """The list that is served by. `source` and `position` say whose it is and how far it has come, where its
-    source counts; `starts` are starts that were guessed from comings and goings, by name."""
+    """The list that is served by.
+
+    `source` and `position` say whose it is and how far it has come, where its source counts;
+    `starts` are starts that were guessed from comings and goings, by name.
+    """
 
     lines: list[HostLine]
     source: str = ""
@@ -57,7 +60,7 @@
     starts: dict[str, tuple[int, bool]] = {}
 
 
-class Lanes(Struct):
+class AdmissionEstimates(Struct):
     """What admission has learned: the time of a request, and by class what hosts take."""
 
     cost_s: float
@@ -68,9 +71,11 @@
     ] = {}  # a tenant's tokens, and when they were counted (monotonic)
 
 
-class Crossed(Struct):
-    """The window of the budget for other zones: first sends, crossings and bytes, at `now_us` of the module's
-    clock."""
+class ZoneWindow(Struct):
+    """The window of the budget for other zones.
+
+    First sends, crossings and bytes, at `now_us` of the module's clock.
+    """
 
     firsts: float
     crossed: float
@@ -78,71 +83,74 @@
     now_us: int
 
 
-def by_hand(gateway: Gateway) -> ByHand | None:
+def by_hand(gateway: Gateway) -> OperatorActions | None:
     """What operators have done; None where they have no address."""
     if gateway.admin is None:
         return None
     back = {name: (one.went_us, one.came_us) for name, one in gateway.admin.hands.back.items()}
-    return ByHand(gateway.admin.hands.out, back, gateway.serving_state.by_hand)
+    return OperatorActions(gateway.admin.hands.out, back, gateway.serving_state.by_hand)
 
 
 def write(gateway: Gateway) -> dict[str, bytes]:
-    """All sections of a gateway's state. Changes nothing."""
-    engine = _engine(gateway)
-    config = gateway.config
-    source, position = gateway.source.position
-    told: dict[str, Struct] = {
+    """All sections of a gateway's state, by name. Changes nothing."""
+    engine, config = _engine(gateway), gateway.config
+    routes = [route.name for route in config.settings.routes]
+    estimates = gateway.server.admission.learned(routes, config.tenants)
+    sections: dict[str, Struct] = {
         "clock": Clock(engine.epoch_us),
-        "hosts": Hosts(
-            [
-                HostLine(host.name, host.address, *_line(_listed(gateway, number)))
-                for number, host in engine.hosts.items()
-                if engine.balancer.endpoint(number) is not None
-            ],
-            source,
-            position,
-            gateway.feed.starts() if gateway.feed is not None else {},
-        ),
+        "hosts": _host_list(gateway),
         "module": export(engine.balancer, _names(config)),
-        "admission": Lanes(
-            *gateway.server.admission.learned(
-                [route.name for route in config.settings.routes], config.tenants
-            )
-        ),
+        "admission": AdmissionEstimates(*estimates),
     }
     if (done := by_hand(gateway)) is not None:
-        told["by-hand"] = done
+        sections["by-hand"] = done
     if (zones := gateway.zones) is not None:
-        told["zones"] = Crossed(*zones.crossing.state())
-    return {name: msgspec.msgpack.encode(document) for name, document in told.items()}
+        sections["zones"] = ZoneWindow(*zones.crossing.state())
+    return {name: msgspec.msgpack.encode(section) for name, section in sections.items()}
+
+
+def _host_list(gateway: Gateway) -> Hosts:
+    engine = _engine(gateway)
+    source, position = gateway.source.position
+    lines = [
+        HostLine(host.name, host.address, *_line(_listed(gateway, number)))
+        for number, host in engine.hosts.items()
+        if engine.balancer.endpoint(number) is not None
+    ]
+    starts = gateway.feed.starts() if gateway.feed is not None else {}
+    return Hosts(lines, source, position, starts)
 
 
 def read(gateway: Gateway, sections: dict[str, bytes], trial: bool) -> list[str]:
-    """Take the sections over; with `trial` on a copy, which shows what would be left behind. Returns plain
-    lines of what can't be used. A section that can't be read is left out whole: no part of it is
-    believed."""
+    """Take the sections over; with `trial` on a copy, which shows what would be left behind.
+
+    Returns plain lines of what cannot be used. A section that cannot be read is left out whole: no
+    part of it is believed.
+    """
     left = [f"section {name!r}: not known" for name in sections if name not in KNOWN + OPTIONAL]
-    readers = {
-        "by-hand": _by_hand,
-        "clock": _clock,
-        "hosts": _hosts,
-        "module": _module,
-        "admission": _admission,
-        "zones": _zones,
-    }
     for name in ORDER:
-        if name not in sections and name in OPTIONAL:
-            continue
-        if name not in sections:
+        if name in sections:
+            left += _read_section(gateway, name, sections[name], trial)
+        elif name not in OPTIONAL:
             left.append(f"section {name!r}: missing")
-            continue
-        try:
-            left += readers[name](gateway, sections[name], trial)
-        except msgspec.MsgspecError as error:
-            left.append(f"section {name!r}: cannot be read: {error}")
     return left
 
 
+def _read_section(gateway: Gateway, name: str, body: bytes, trial: bool) -> Iterable[str]:
+    readers = {
+        "by-hand": _read_operator_actions,
+        "clock": _read_clock,
+        "hosts": _read_hosts,
+        "module": _read_module,
+        "admission": _read_admission,
+        "zones": _read_zones,
+    }
+    try:
+        return readers[name](gateway, body, trial)
+    except msgspec.MsgspecError as error:
+        return [f"section {name!r}: cannot be read: {error}"]
+
+
 def _engine(gateway: Gateway) -> SharedEngine:
     assert isinstance(gateway.engine, SharedEngine)
     return gateway.engine
@@ -172,16 +180,18 @@
     )
 
 
-def _clock(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
+def _read_clock(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
     told = msgspec.msgpack.decode(body, type=Clock)
     if not trial:
         _engine(gateway).epoch_us = told.epoch_us
     return ()
 
 
-def _hosts(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
-    """The own list stands, unless there is none yet, or the other's is a later one of the same source: a
-    drain that reached only the other process must not be undone."""
+def _read_hosts(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
+    """Keep the own list, unless there is none yet or the other's is later and of the same source.
+
+    A drain that reached only the other process must not be undone.
+    """
     told = msgspec.msgpack.decode(body, type=Hosts)
     if gateway.feed is not None and not trial:
         gateway.feed.learn(told.starts)
@@ -203,7 +213,7 @@
     return ()
 
 
-def _module(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
+def _read_module(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
     told = msgspec.msgpack.decode(body, type=Knowledge)
     balancer = _engine(gateway).balancer
     if trial:
@@ -211,8 +221,8 @@
     return adopt(balancer, told, _names(gateway.config))
 
 
-def _admission(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
-    told = msgspec.msgpack.decode(body, type=Lanes)
+def _read_admission(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
+    told = msgspec.msgpack.decode(body, type=AdmissionEstimates)
     if not trial:
         routes = [route.name for route in gateway.config.settings.routes]
         gateway.server.admission.learn(
@@ -224,8 +234,8 @@
     return ()
 
 
-def _by_hand(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
-    told = msgspec.msgpack.decode(body, type=ByHand)
+def _read_operator_actions(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
+    told = msgspec.msgpack.decode(body, type=OperatorActions)
     if gateway.admin is None:
         return ["by-hand: operators have no address here"]
     if not trial:
@@ -233,8 +243,8 @@
     return ()
 
 
-def _zones(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
-    told = msgspec.msgpack.decode(body, type=Crossed)
+def _read_zones(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
+    told = msgspec.msgpack.decode(body, type=ZoneWindow)
     if gateway.zones is None:
         return ["zones: the budget for other zones is off here"]
     if not trial:
--- a/quillroad/upgrade/settings.py
+++ b/quillroad/upgrade/settings.py
@@ -12,7 +12,7 @@
 
 from quillroad.config import RESERVED, ConfigError
 from quillroad.config.file import Duration, read_toml, within
-from quillroad.upgrade.canary import Tuning
+from quillroad.upgrade.canary import CanaryTuning
 from quillroad.upgrade.supervisor import Limits
 
 NAME = re.compile(r"[A-Za-z0-9_-][A-Za-z0-9_.-]{0,62}")  # as part of a path
@@ -55,16 +55,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Upgrades:
-    """How this gateway upgrades; `control` is the path of the socket that operators' commands go to."""
+    """How this gateway upgrades.
+
+    `control` is the path of the socket that operators' commands go to.
+    """
 
     control: Path
     limits: Limits
-    tuning: Tuning
+    tuning: CanaryTuning
 
 
 def load_upgrades(path: Path, sockets: int = 1024, name: str = "") -> Upgrades:
-    """The file's meaning, for a gateway of this name that may hold so many descriptors; raises
-    `ConfigError`. `{name}` in `control` stands for the name, so that gateways can share a file."""
+    """The file's meaning, for a gateway of this name that may hold so many descriptors.
+
+    Raises `ConfigError`. `{name}` in `control` stands for the name, so that gateways can share a
+    file.
+    """
     told = read_toml(path, _File)
     if sockets < 2 * told.limits.first_descriptors:
         raise ConfigError(
@@ -92,5 +98,5 @@
             again_most_s=within(crashes.again_most, "crashes.again_most", 0.01, 600.0),
             calm_s=within(crashes.calm, "crashes.calm", 0.1, 3600.0),
         ),
-        Tuning(failed=canary.failed, unserved=canary.unserved, least=canary.least),
+        CanaryTuning(failed=canary.failed, unserved=canary.unserved, least=canary.least),
     )
--- a/quillroad/upgrade/shared.py
+++ b/quillroad/upgrade/shared.py
@@ -1,5 +1,6 @@
-"""Engine and client side of a process that another one takes over from, or that takes over: what is counted,
-told and moved. Only imported where upgrades are on."""
+"""Engine and client side of a process that another one takes over from, or that takes over: what is
+counted, told and moved. Only imported where upgrades are on.
+"""
 
 from __future__ import annotations
 
@@ -26,8 +27,8 @@
     Requester,
 )
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
-from quillroad.upgrade.canary import Counts
-from quillroad.upgrade.messages import Out
+from quillroad.upgrade.canary import RequestCounts
+from quillroad.upgrade.messages import AttemptsInFlight
 from quillroad.upgrade.state_snapshot import out_at
 from quillroad.upstream.pool import Upstream
 
@@ -41,7 +42,7 @@
         self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream
     ) -> None:
         super().__init__(loop, balancer, upstream)
-        self.counts = Counts()
+        self.counts = RequestCounts()
         self.elsewhere: set[str] = set()  # ids of requests that the other has open
         self.on_change: Callable[[], None] | None = (
             None  # called when what `out` tells may have changed
@@ -70,7 +71,7 @@
     def is_open(self, request_id: str) -> bool:
         return super().is_open(request_id) or request_id in self.elsewhere
 
-    def learn(self, out: Out, warms: bool) -> None:
+    def learn(self, out: AttemptsInFlight, warms: bool) -> None:
         """What the other process has out. `warms`: the turns at cold hosts are ours."""
         self.elsewhere.update(out.opened)
         self.elsewhere.difference_update(out.ended)
@@ -88,14 +89,16 @@
         self._told, self._known, self._beside = {}, set(), {}
         self.feed(SiblingAttempts())
 
-    def out(self) -> Out | None:
+    def out(self) -> AttemptsInFlight | None:
         """What has changed since this was asked last; None for nothing."""
         at = out_at(self._balancer)
         opened, ended = self._ids - self._known, self._known - self._ids
         if at == self._told and not opened and not ended:
             return None
         self._told, self._known = at, set(self._ids)
-        return Out([(number, *counts) for number, counts in at.items()], list(opened), list(ended))
+        return AttemptsInFlight(
+            [(number, *counts) for number, counts in at.items()], list(opened), list(ended)
+        )
 
     def _answer(self, opened: OpenRequest, reply: Reply) -> None:
         if opened.reply is not None:
@@ -144,15 +147,17 @@
         if not self.leaving:
             super().rests(connection)
         elif self.connection_limit.stage(connection) is not None:
-            # None ends for resting long: all of them are about to move, and the places here only get fewer.
+            # None ends for resting long: all of them are about to move, and the places here only
+            # get fewer.
             self.connection_limit.moves(connection, ConnectionState.RESTING, monotonic())
             if self.on_rest is not None:
                 self.on_rest(connection)
 
 
 class Moves:
-    """Connections on their way to another process: those that wait for a batch, and the batches that are
-    out."""
+    """Connections on their way to another process: those that wait for a batch, and the batches
+    that are out.
+    """
 
     def __init__(self, server: MovingServer) -> None:
         self._server = server
@@ -170,8 +175,9 @@
         self._server.leaving = on
 
     def begin(self, wanted: Callable[[], None]) -> None:
-        """Offer what is between two requests, now and as it gets there; `wanted` is called when there is
-        some."""
+        """Offer what is between two requests, now and as it gets there; `wanted` is called when
+        there is some.
+        """
 
         def rests(connection: ClientConnection) -> None:
             self._waiting[connection] = None
@@ -189,8 +195,9 @@
         self._waiting.clear()
 
     def offer(self, batch: int, size: int) -> tuple[list[int], list[int]]:
-        """Hold connections for a batch: how many requests each has brought, and the descriptors. Those that
-        have asked again meanwhile are left for when they rest."""
+        """Hold connections for a batch: how many requests each has brought, and the descriptors.
+        Those that have asked again meanwhile are left for when they rest.
+        """
         held: list[tuple[ClientConnection, int]] = []
         while self._waiting and len(held) < size:
             connection = next(iter(self._waiting))
@@ -242,8 +249,9 @@
 
 
 async def settled(server: Server, until: float, end: Callable[[], bool]) -> None:
-    """Wait until no client connection is left or the loop's time is `until`; while `end` says so, those
-    between two requests are ended."""
+    """Wait until no client connection is left or the loop's time is `until`; while `end` says so,
+    those between two requests are ended.
+    """
     loop = asyncio.get_running_loop()
     while len(server.connection_limit) and loop.time() < until:
         if end():
--- a/quillroad/upgrade/sibling_handover.py
+++ b/quillroad/upgrade/sibling_handover.py
@@ -1,7 +1,7 @@
 """Two processes of one gateway without a supervisor: who asks, who gives, who serves. No I/O.
 
-Each process plays the supervisor for its own worker state (`worker_state`), by what it hears from the
-other:
+Each process plays the supervisor for its own worker state (`worker_state`), by what it hears from
+the other:
 
     newcomer                                   the one that serves
     Hello  ->                                  one newcomer at a time
@@ -91,7 +91,8 @@
 class SiblingHandover:
     """One process's view.
 
-    `descriptors` are what both processes may hold together, without what the operators' address keeps.
+    `descriptors` are what both processes may hold together, without what the operators' address
+    keeps.
     """
 
     descriptors: int
--- a/quillroad/upgrade/sibling_process.py
+++ b/quillroad/upgrade/sibling_process.py
@@ -1,8 +1,8 @@
 """A process that runs beside the one before it for as long as it takes to hand over.
 
-`sibling_handover` decides. The two meet at a socket in a folder that both have (`rendezvous`). Without
-such a folder, or with nobody there that answers, a process serves by a listener of its own, which the
-kernel lets several processes have side by side.
+`sibling_handover` decides. The two meet at a socket in a folder that both have (`rendezvous`).
+Without such a folder, or with nobody there that answers, a process serves by a listener of its own,
+which the kernel lets several processes have side by side.
 """
 
 from __future__ import annotations
--- a/quillroad/upgrade/state_snapshot.py
+++ b/quillroad/upgrade/state_snapshot.py
@@ -1,15 +1,17 @@
 """What the module knows, as a document: out of one `Balancer`, into another. No I/O.
 
-Servers are told by their numbers, classes, tenants and machine types by their names, so that a new process
-with another configuration takes what it can use and says what it can't. Times are microseconds of the
-module's clock, which both processes share (`Engine.epoch_us` goes along), so nothing gets younger by moving.
-
-With `work` the document holds the open requests, the queue and the alarms too, and a balancer made from it
-decides every event that follows as the first one would have. In service open requests stay with the process
-that has their clients: the document goes without `work`, and what is out there is told by `Beside` instead.
-
-Adding a field: give it a default that means "not told", and count `VERSION` up only when the meaning of a
-field that was there changes. `docs/design/upgrades.md` has the table of versions.
+Servers are told by their numbers, classes, tenants and machine types by their names, so that a new
+process with another configuration takes what it can use and says what it can't. Times are
+microseconds of the module's clock, which both processes share (`Engine.epoch_us` goes along), so
+nothing gets younger by moving.
+
+With `work` the document holds the open requests, the queue and the alarms too, and a balancer made
+from it decides every event that follows as the first one would have. In service open requests stay
+with the process that has their clients: the document goes without `work`, and what is out there is
+told by `Beside` instead.
+
+Adding a field: give it a default that means "not told", and count `VERSION` up only when the
+meaning of a field that was there changes. `docs/design/upgrades.md` has the table of versions.
 """
 
 from __future__ import annotations
@@ -166,10 +168,11 @@
 
 
 def adopt(balancer: Balancer, told: Knowledge, names: Names) -> list[str]:
-    """Give what is told to a balancer that has done no work yet; returns plain lines of what it could not
-    use. The list of servers that it has stands where it is no older: it may not serve by one that another
-    source has withdrawn meanwhile, so only those in both lists are learned of. Without a list it takes the
-    told one."""
+    """Give what is told to a balancer that has done no work yet; returns plain lines of what it
+    could not use. The list of servers that it has stands where it is no older: it may not serve by
+    one that another source has withdrawn meanwhile, so only those in both lists are learned of.
+    Without a list it takes the told one.
+    """
     left = []
     if told.version > VERSION:
         left.append(f"knowledge of version {told.version}: read as version {VERSION}")
@@ -210,14 +213,17 @@
 
 
 def share_budgets(balancer: Balancer) -> None:
-    """Halve the retry budgets before they are told: two processes that hold one would spend it twice."""
+    """Halve the retry budgets before they are told: two processes that hold one would spend it
+    twice.
+    """
     for route in balancer.routes:
         route.budget.tokens /= 2
 
 
 def out_at(balancer: Balancer) -> dict[int, tuple[int, int]]:
-    """A balancer's own attempts that are out, and the overdue ones of them, by server: what `Beside` tells
-    another process."""
+    """A balancer's own attempts that are out, and the overdue ones of them, by server: what
+    `Beside` tells another process.
+    """
     told = {}
     for number, s in balancer.servers.items():
         own = (s.in_flight - s.beside[0], s.overdue - s.beside[1])
@@ -236,7 +242,8 @@
         balancer.mean_payoff = told.mean_payoff
     if told.mean_cost_us is not None:
         balancer.mean_cost_us = max(1.0, told.mean_cost_us)
-    # In a window nothing is learned of it: it follows from how many share, and one of 1 would end the window.
+    # In a window nothing is learned of it: it follows from how many share, and one of 1 would end
+    # the window.
     if told.limit is not None and balancer.limit >= 1.0:
         balancer.limit = max(1.0, told.limit * told.balancers / balancer.settings.gateway_count)
     if told.chance is not None:
--- a/quillroad/upgrade/supervisor.py
+++ b/quillroad/upgrade/supervisor.py
@@ -23,7 +23,7 @@
 
 from __future__ import annotations
 
-from quillroad.upgrade.canary import Counts
+from quillroad.upgrade.canary import RequestCounts
 from quillroad.upgrade.messages import (
     VERSION,
     Ended,
@@ -70,7 +70,9 @@
         self._enter(Phase.STARTING, now + self.limits.start_s)
         return self._take_commands()
 
-    def heard(self, now: float, number: int, message: Message) -> list[Command]:
+    def heard(  # noqa: C901, PLR0912 - a case a message
+        self, now: float, number: int, message: Message
+    ) -> list[Command]:
         """Take a worker's message.
 
         What does not fit into the phase is passed over: it crossed a decision on its way.
@@ -327,7 +329,7 @@
         worker.moved += report.moved
         if worker.number != self.owner:
             return
-        counts = Counts(report.served, report.refused, report.failed)
+        counts = RequestCounts(report.served, report.refused, report.failed)
         if self.phase is Phase.CANARY:
             self.canary.told(counts)
         else:
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -45,8 +45,8 @@
 class SupervisedWorker(WorkerProcess):
     """One process.
 
-    `first` reads the configuration, `again` reads it for a reload; `zones` is the file of the budget
-    for other zones.
+    `first` reads the configuration, `again` reads it for a reload; `zones` is the file of the
+    budget for other zones.
     """
 
     def __init__(
--- a/quillroad/upgrade/worker_process.py
+++ b/quillroad/upgrade/worker_process.py
@@ -1,7 +1,7 @@
 """One worker process of a gateway: what it does with sockets; `worker_state` decides when.
 
-Who plays the supervisor's part is up to subclasses: `worker` has a supervisor process, `sibling_process`
-none.
+Who plays the supervisor's part is up to subclasses: `worker` has a supervisor process,
+`sibling_process` none.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from quillroad.config import RESERVED, Config
 from quillroad.gateway import FLUSH_S, Gateway
 from quillroad.upgrade.channel import Channel, close_all
-from quillroad.upgrade.messages import ByHand, Connections, Message, State, batch_of
+from quillroad.upgrade.messages import Connections, Message, OperatorActions, State, batch_of
 from quillroad.upgrade.sections import by_hand, read, write
 from quillroad.upgrade.shared import Moves, MovingServer, SharedEngine, settled
 from quillroad.upgrade.state_snapshot import share_budgets
@@ -108,7 +108,7 @@
             log.error("no link: %s", error)
 
     def _on_sibling_message(self, message: Message, descriptors: list[int]) -> None:
-        if isinstance(message, ByHand):
+        if isinstance(message, OperatorActions):
             if self._gateway is not None and self._gateway.admin is not None:
                 self._gateway.admin.learn(message.out, message.back, message.drained)
             return
@@ -228,7 +228,9 @@
                 if self._sibling is not None:
                     self._on_link_lost("a fault of ours")
 
-    def _perform(self, command: WorkerCommand) -> None:
+    def _perform(  # noqa: C901, PLR0912 - a case a command
+        self, command: WorkerCommand
+    ) -> None:
         match command:
             case Step():
                 self._take_step(command)
@@ -338,7 +340,8 @@
 
     async def _finish(self) -> None:
         """Answer what is open, migrate or close idle connections, then end."""
-        self._close_listener()
+        if self._listener is not None and not self._state.accepts:
+            self._listener.close()
         until = self._loop.time() + self._longest_s()
         server = self.gateway.server
         await settled(server, until, self._must_close)
@@ -358,10 +361,6 @@
         deadlines_us = (route.deadline_us for route in self.gateway.config.settings.routes)
         return max(deadlines_us, default=0) / 1e6 + FLUSH_S
 
-    def _close_listener(self) -> None:
-        if self._listener is not None and not self._state.accepts:
-            self._listener.close()
-
     def drain(self) -> None:
         """Answer what is open and end: SIGTERM, or the supervisor has gone."""
         if self._ending:
--- a/quillroad/upgrade/worker_state.py
+++ b/quillroad/upgrade/worker_state.py
@@ -19,10 +19,10 @@
     Release(batch)  ->                      they are its own
 
 A connection between two requests has one reader at every moment: the giver reads nothing from
-`Connections` on, and the taker nothing before `Release`. Where the link breaks in between, the giver
-goes on with what it has not released, and the taker waits for word of the giver's end: only then is
-it the taker's. Going back is the same from `Out` on with the roles changed, without `State`: the
-process that takes over again never stopped knowing.
+`Connections` on, and the taker nothing before `Release`. Where the link breaks in between, the
+giver goes on with what it has not released, and the taker waits for word of the giver's end: only
+then is it the taker's. Going back is the same from `Out` on with the roles changed, without
+`State`: the process that takes over again never stopped knowing.
 """
 
 from __future__ import annotations
@@ -32,6 +32,7 @@
 
 from quillroad.upgrade.messages import (
     BATCH,
+    AttemptsInFlight,
     Come,
     Connections,
     Ended,
@@ -40,7 +41,6 @@
     Kept,
     Lend,
     Message,
-    Out,
     Own,
     Owning,
     Prepared,
@@ -113,7 +113,7 @@
 class LearnAttempts:
     """What the sibling has in flight, and which request ids it has open."""
 
-    out: Out
+    out: AttemptsInFlight
 
 
 @dataclass(frozen=True, slots=True)
@@ -273,7 +273,7 @@
             case Taken():
                 is_rehearsed = self.part is LinkRole.GIVER and not message.final
                 return [ToSupervisor(Prepared(message.left))] if is_rehearsed else []
-            case Out():
+            case AttemptsInFlight():
                 return [LearnAttempts(message)]
             case Lend():
                 return [LimitDescriptors(message.descriptors, True)]
--- a/tests/recordings/upgrade.py
+++ b/tests/recordings/upgrade.py
@@ -19,7 +19,7 @@
 from quillroad.gateway import Gateway
 from quillroad.upgrade.canary import Canary
 from quillroad.upgrade.messages import (
-    ByHand,
+    AttemptsInFlight,
     Come,
     Connections,
     Ended,
@@ -29,7 +29,7 @@
     Kept,
     Lend,
     Message,
-    Out,
+    OperatorActions,
     Own,
     Owning,
     Prepared,
@@ -53,11 +53,11 @@
     KNOWN,
     OPTIONAL,
     ORDER,
+    AdmissionEstimates,
     Clock,
-    Crossed,
     HostLine,
     Hosts,
-    Lanes,
+    ZoneWindow,
     read,
     write,
 )
@@ -104,11 +104,11 @@
     Connections(17, [18, 19, 0]),
     Kept(20),
     Release(21, 22),
-    Out([(23, 24, 25), (26, 27, 28)], ["r-1", "r-2"], ["r-3"]),
+    AttemptsInFlight([(23, 24, 25), (26, 27, 28)], ["r-1", "r-2"], ["r-3"]),
     Room(29),
     Lend(30),
     Come(),
-    ByHand({"s-1": 31, "s-2": 32}, {"s-3": (33, 34)}, True),
+    OperatorActions({"s-1": 31, "s-2": 32}, {"s-3": (33, 34)}, True),
     Unknown("later"),
 )
 DEFAULT_MESSAGES: tuple[Message, ...] = (
@@ -132,11 +132,11 @@
     Connections(0, []),
     Kept(0),
     Release(0, 0),
-    Out([]),
+    AttemptsInFlight([]),
     Room(0),
     Lend(0),
     Come(),
-    ByHand({}),
+    OperatorActions({}),
     Unknown(),
 )
 LONG_MESSAGE = StateMessage({"hosts": bytes(range(256)) * 300}, False)  # of three packets
@@ -304,7 +304,7 @@
     Work([], [], [], [], 1, 2),
     Knowledge(0, [], []),
     Hosts([]),
-    Lanes(1.5, 2.5),
+    AdmissionEstimates(1.5, 2.5),
 )
 
 
@@ -387,11 +387,11 @@
         {"s-1": (63, True), "s-2": (64, False)},
     ),
     "module": KNOWLEDGE,
-    "admission": Lanes(
+    "admission": AdmissionEstimates(
         0.065, 6.6, {"status-check": 0.67, "seat-checkout": 0.68}, {"acme": (69.5, 70.5)}
     ),
     "by-hand": FULL_MESSAGES[-2],
-    "zones": Crossed(71.5, 72.5, 73.5, 74),
+    "zones": ZoneWindow(71.5, 72.5, 73.5, 74),
 }
 
 
@@ -401,7 +401,7 @@
         name: msgspec.msgpack.encode(section) for name, section in SECTIONS.items()
     }
     told["hosts, defaults"] = msgspec.msgpack.encode(Hosts([]))
-    told["admission, defaults"] = msgspec.msgpack.encode(Lanes(0.0, 0.0))
+    told["admission, defaults"] = msgspec.msgpack.encode(AdmissionEstimates(0.0, 0.0))
     told["names in order"] = ", ".join(ORDER)
     told["names that have to be there"] = ", ".join(KNOWN)
     told["names that may be there"] = ", ".join(OPTIONAL)
--- a/tests/upgrade/test_channel.py
+++ b/tests/upgrade/test_channel.py
@@ -14,11 +14,11 @@
 from quillroad.upgrade.messages import (
     BATCH,
     CHUNK,
-    BadPacket,
+    AttemptsInFlight,
+    BadPacketError,
     Connections,
     Hello,
     Message,
-    Out,
     Reader,
     Release,
     Report,
@@ -38,7 +38,7 @@
         st.booleans(),
     ),
     st.builds(
-        Out,
+        AttemptsInFlight,
         st.lists(st.tuples(*[st.integers(0, 2**48)] * 3), max_size=5),
         st.lists(st.text(), max_size=3),
     ),
@@ -81,7 +81,7 @@
     else:
         sent[at] = sent[at][: data.draw(st.integers(0, len(sent[at]) - 1))]
     reader = Reader()
-    with pytest.raises(BadPacket):
+    with pytest.raises(BadPacketError):
         for packet in sent:
             reader.read(packet)
 
@@ -91,7 +91,7 @@
     for read in (Reader().read, decode):
         try:
             read(junk)
-        except BadPacket as error:
+        except BadPacketError as error:
             assert "\n" not in str(error)
 
 
@@ -99,7 +99,7 @@
     assert decode(b"\x92\xa5hello\x02") == Hello(2)  # without the field that came later
     assert decode(b"\x94\xa5hello\x02\xa1x\x09") == Hello(2, "x")  # with one that is not known yet
     assert decode(b"\x92\xaainvented-x\x01") == Unknown("invented-x")
-    with pytest.raises(BadPacket, match=r"^hello: "):
+    with pytest.raises(BadPacketError, match=r"^hello: "):
         decode(b"\x92\xa5hello\xa1x")
 
 
--- a/tests/upgrade/test_machines.py
+++ b/tests/upgrade/test_machines.py
@@ -12,7 +12,7 @@
 
 from quillroad.config import RESERVED
 from quillroad.upgrade import supervisor_commands as commands
-from quillroad.upgrade.canary import Canary, Counts, Tuning, bounds
+from quillroad.upgrade.canary import Canary, CanaryTuning, RequestCounts, wilson_interval
 from quillroad.upgrade.messages import (
     VERSION,
     Connections,
@@ -350,7 +350,7 @@
         assert survivor == 1 and machine.settled[0]
     # Only what was the dead process's own is gone: nothing that the other one held a copy of.
     assert IDLE - machine.lost <= machine.processes[survivor].holds
-    moving = ("Come", "Kept", "Connections", "Release", "Out", "Owning")
+    moving = ("Come", "Kept", "Connections", "Release", "AttemptsInFlight", "Owning")
     assert not machine.lost or victim == 1 or kind in moving
     upgrade(machine)  # and the next one works
     assert machine.settled[-1] == "" and machine.serving() > survivor
@@ -527,39 +527,39 @@
 @given(st.integers(0, 500), st.integers(0, 500), st.floats(0.5, 4.0))
 def test_bounds_hold_the_share_and_narrow(part: int, more: int, sure: float) -> None:
     whole = part + more
-    least, most = bounds(part, whole, sure)
+    least, most = wilson_interval(part, whole, sure)
     assert 0.0 <= least <= most <= 1.0
     if whole:
         assert least <= part / whole + 1e-9 and most >= part / whole - 1e-9
         wide = most - least
-        least, most = bounds(4 * part, 4 * whole, sure)
+        least, most = wilson_interval(4 * part, 4 * whole, sure)
         assert most - least <= wide + 1e-9
 
 
 @pytest.mark.parametrize(
     ("new", "worse"),
     [
-        (Counts(100, 0, 0), False),
-        (Counts(97, 0, 3), False),
-        (Counts(50, 50, 0), True),
-        (Counts(70, 0, 30), True),
-        (Counts(0, 0, 30), False),
-        (Counts(0, 0, 60), True),
+        (RequestCounts(100, 0, 0), False),
+        (RequestCounts(97, 0, 3), False),
+        (RequestCounts(50, 50, 0), True),
+        (RequestCounts(70, 0, 30), True),
+        (RequestCounts(0, 0, 30), False),
+        (RequestCounts(0, 0, 60), True),
     ],
 )
-def test_the_canary_is_sure_before_it_speaks(new: Counts, worse: bool) -> None:
-    canary = Canary(Tuning())
+def test_the_canary_is_sure_before_it_speaks(new: RequestCounts, worse: bool) -> None:
+    canary = Canary(CanaryTuning())
     for i in range(20):
-        canary.serves(i / 10, Counts(10, 0, 0))
+        canary.serves(i / 10, RequestCounts(10, 0, 0))
     canary.begin(2.0)
     canary.told(new)
     assert bool(canary.worse(3.0)) is worse
 
 
 def test_a_new_process_to_which_nobody_comes() -> None:
-    canary = Canary(Tuning())
+    canary = Canary(CanaryTuning())
     for i in range(20):
-        canary.serves(i / 10, Counts(10, 0, 0))
+        canary.serves(i / 10, RequestCounts(10, 0, 0))
     canary.begin(2.0)
     assert not canary.worse(2.1)
     assert canary.worse(3.0).startswith("no request in 1.0 s")
--- a/tests/upgrade/test_sections.py
+++ b/tests/upgrade/test_sections.py
@@ -15,7 +15,7 @@
 from quillroad.config import ConsulHosts
 from quillroad.discovery.instance import Instance, InstanceStatus, Snapshot
 from quillroad.gateway import Gateway
-from quillroad.upgrade.messages import Out
+from quillroad.upgrade.messages import AttemptsInFlight
 from quillroad.upgrade.sections import KNOWN, read, write
 from quillroad.upgrade.shared import MovingServer, SharedEngine
 from tests.net import FakeDiscovery, FakeHost, make_config, on_loop, serve_ok, until
@@ -137,7 +137,7 @@
         engine = gateway.engine
         assert isinstance(engine, SharedEngine)
         number = next(iter(engine.hosts))
-        engine.learn(Out([(number, 2, 1)], ["r-1"]), warms=False)
+        engine.learn(AttemptsInFlight([(number, 2, 1)], ["r-1"]), warms=False)
         server = engine.balancer.servers[number]
         assert not engine.balancer.owns_slow_start and (server.in_flight, server.overdue) == (2, 1)
         assert engine.is_open("r-1") and engine.out() is None
--- a/tests/upgrade/test_sibling_handover.py
+++ b/tests/upgrade/test_sibling_handover.py
@@ -16,7 +16,7 @@
 import pytest
 
 from quillroad.config import RESERVED
-from quillroad.upgrade.messages import Hello, Message, Out, State, batch_of
+from quillroad.upgrade.messages import AttemptsInFlight, Hello, Message, State, batch_of
 from quillroad.upgrade.sibling_handover import (
     NEWCOMER_DESCRIPTORS,
     HandoverCommand,
@@ -96,7 +96,7 @@
                 case AdoptState():
                     self.do(self.seat.adopted(act.state.final, []))
                 case WorkerStep.SHARE:
-                    self.wire.append(Out([]))
+                    self.wire.append(AttemptsInFlight([]))
                 case WorkerStep.ACCEPT:
                     assert self.listens
                 case LimitDescriptors():
@@ -314,8 +314,8 @@
         assert list(here.gateway.folder.iterdir()) == []
 
 
-KINDS = ["Hello", "Ready", "Taken", "Come", "Kept", "Out"]
-GIVERS = ["Welcome", "State", "Out", "Connections", "Release"]
+KINDS = ["Hello", "Ready", "Taken", "Come", "Kept", "AttemptsInFlight"]
+GIVERS = ["Welcome", "State", "AttemptsInFlight", "Connections", "Release"]
 
 
 async def end_of(process: asyncio.subprocess.Process) -> float:
