--- a/quillroad/config/__init__.py
+++ b/quillroad/config/__init__.py
@@ -1,5 +1,8 @@
-"""What a gateway is told. `model` has the typed values, `platform` the platform's form, `file` the form that
-people write, which needs more libraries and is imported only where a file is read."""
+"""What a gateway is told, as typed values.
+
+`model` has the values, `platform` the platform's form, `file` the form that people write, which
+needs more libraries and is imported only where a file is read.
+"""
 
 from quillroad.config.model import (
     LONG_BODY,
--- a/quillroad/config/model.py
+++ b/quillroad/config/model.py
@@ -11,14 +11,13 @@
 
 Address = tuple[str, int]
 
-SHORT_BODY = (
-    64 * 1024
-)  # bytes of a body that is kept whole; where longer ones are allowed they are streamed
-LONG_BODY = 32 * 1024 * 1024  # bytes that operators' days allow
+SHORT_BODY = 64 * 1024  # bytes of a body that is kept whole; longer ones are streamed if allowed
+LONG_BODY = 32 * 1024 * 1024  # bytes that the operators allow where they have an address
 BUFFERS = 24 * 1024 * 1024  # of long bodies, where nothing tells of memory
-# Descriptors for what is no connection. Counted: 15 of one process (standard streams, event loop and its
-# signals, listener, watch), besides those it was started with (`inherited.py`); `server.EXCESS` and an accept
-# at hand fit in the rest. Beside another process two batches are set apart, too.
+# Descriptors for what is no connection. Counted: 15 of one process (standard streams, event loop
+# and its signals, listener, watch), besides those it was started with (`inherited_descriptors`);
+# the server's few beyond its places and an accept at hand fit in the rest. In an upgrade two
+# batches of connections are set apart, too.
 RESERVED = 24
 
 
@@ -27,15 +26,19 @@
 
 
 class Descriptors:
-    """Counts the open sockets of both sides. Guards against running into the process's limit, where an
-    accept or a connect fails at a place that can no longer answer anyone. One that is being closed counts
-    until that is done: the loop comes round to a close a turn later."""
+    """Counts the open sockets of both sides, of `limit` descriptors that the process may hold.
+
+    Without this the process runs into its limit, and an accept or a connect fails at a place that
+    can no longer answer anyone. A socket that is being closed counts until that is done, an
+    iteration of the event loop later.
+    """
 
     def __init__(self, limit: int) -> None:
         self.limit = max(1, limit - RESERVED)
         self.used = 0
 
     def spare(self) -> int:
+        """How many more may be opened; below 0 after the limit was lowered."""
         return self.limit - self.used
 
 
@@ -61,8 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsulHosts:
-    """Hosts that Consul knows; empty texts leave a parameter out. `meta` are the keys of Service.Meta for
-    zone, machine type, cell and start."""
+    """Hosts that Consul knows; empty texts leave a parameter out.
+
+    `meta` are the keys of Service.Meta for zone, machine type, cell and start.
+    """
 
     agents: tuple[Address, ...]
     service: str
@@ -80,8 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Register:
-    """How the gateway registers itself with Consul, at the agent that it runs beside. An empty `id` follows
-    from the service's name and the gateway's."""
+    """How the gateway registers itself with Consul, at the agent that it runs beside.
+
+    An empty `id` follows from the service's name and the gateway's.
+    """
 
     agent: Address
     service: str
@@ -92,8 +99,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Peers:
-    """Where this gateway hears others, the address of each by its number, its own among them, and the one at
-    which a datagram reaches all, if there is one."""
+    """Where this gateway hears others, and the address of each by its number, its own among them.
+
+    `everyone` is the one at which a datagram reaches all, if there is one.
+    """
 
     listen: Address
     addresses: tuple[Address, ...]
@@ -102,7 +111,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One gateway's configuration. The names that the sockets use stand in their order in the settings."""
+    """One gateway's configuration.
+
+    `tenants`, `kinds` (machine types) and `zones` are the names that the wire uses, in the order of
+    the settings.
+    """
 
     name: str
     listen: Address
@@ -126,6 +139,7 @@
 
 
 def read_address(text: Any, field: str) -> Address:
+    """An address such as `10.0.0.4:8000`. Raises `ConfigError` that names the field."""
     host, colon, port = str(text).rpartition(":")
     if not (colon and host and port.isascii() and port.isdigit() and 0 <= int(port) < 65536):
         raise ConfigError(f"{field}: needs address:port, not {text!r}")
