--- a/bench/fleet_view.py
+++ b/bench/fleet_view.py
@@ -137,7 +137,7 @@
         (m.number, c.number)
         for m in fleet.members
         for c in m.history
-        if c.what == "gone"
+        if c.kind == "gone"
         and c.incarnation
         and c.at > began
         and c.number in sound
--- a/quillroad/gateway.py
+++ b/quillroad/gateway.py
@@ -32,7 +32,7 @@
     from quillroad.admin import Admin
     from quillroad.counts import Counts
     from quillroad.discovery.consul.registrar import Registrar
-    from quillroad.membership.socket import Fleet
+    from quillroad.membership.service import Fleet
     from quillroad.zones.zones import Zones
 
 log = logging.getLogger("quillroad")
@@ -141,7 +141,7 @@
             self.counts = Counts(loop, self.engine, self.upstream)
         self.fleet: Fleet | None = None
         if told := os.environ.get("QUILLROAD_FLEET"):
-            from quillroad.membership.socket import Fleet  # noqa: PLC0415
+            from quillroad.membership.service import Fleet  # noqa: PLC0415
 
             self.fleet = Fleet(Path(told), config, loop)
             self.fleet.attach(self.engine, lambda: self.source)
--- /dev/null
+++ b/quillroad/membership/rejoin.py
@@ -0,0 +1,44 @@
+"""Finding members again that are faulty or have left: after a partition nobody else does. Pure."""
+
+from __future__ import annotations
+
+from quillroad.membership.sender import EVERYONE, DatagramSender
+from quillroad.membership.state import LocalState
+from quillroad.membership.table_transfer import TableTransfer
+
+BROADCAST_INTERVAL_S = 1.0  # between two broadcasts of a table with absent members, by all together
+
+
+class RejoinProbes:
+    """Probes an absent member now and then, for ever, or broadcasts a part of the table with one."""
+
+    def __init__(
+        self, state: LocalState, sender: DatagramSender, tables: TableTransfer, now: float
+    ) -> None:
+        self._state = state
+        self._sender = sender
+        self._tables = tables
+        self.next_at = now
+
+    def step(self, now: float) -> None:
+        """Probe one, if it is time."""
+        if self.next_at > now:
+            return
+        state = self._state
+        timing = state.timing
+        cluster_size = state.cluster_size
+        interval_s = min(
+            timing.rejoin_max_interval_s,
+            max(timing.period_s, cluster_size * timing.rejoin_fleet_interval_s),
+        )
+        self.next_at = now + interval_s * (0.5 + state.draw())
+        broadcasts = (
+            state.roster.everyone is not None
+            and state.draw() * cluster_size * BROADCAST_INTERVAL_S < interval_s
+        )
+        for number in state.sample(1, state.view.absent()):
+            if broadcasts:
+                # All absent members read in it what is said of them, and refute that.
+                self._tables.send(EVERYONE, number, now)
+            else:
+                self._sender.ping(number, now)
--- a/quillroad/membership/settings.py
+++ b/quillroad/membership/settings.py
@@ -13,7 +13,7 @@
 from quillroad.config.file import Duration, output_file, read_toml, within
 from quillroad.membership.roster import Roster
 from quillroad.membership.timing import Timing
-from quillroad.membership.wire import MOST_BYTES, MOST_MEMBERS
+from quillroad.membership.wire import MAX_DATAGRAM_BYTES, MAX_MEMBERS
 
 NEEDED = 400  # bytes that probes, answers and help take in a period, in a fleet without news
 
@@ -27,7 +27,7 @@
 class _Talk(Struct, forbid_unknown_fields=True):
     period: Duration = "500 ms"
     answer: Duration = "200 ms"
-    bytes_per_second: Annotated[int, Meta(ge=4 * MOST_BYTES, le=1_000_000)] = 2000
+    bytes_per_second: Annotated[int, Meta(ge=4 * MAX_DATAGRAM_BYTES, le=1_000_000)] = 2000
     datagrams_per_second: Annotated[int, Meta(ge=10, le=10_000)] = 80
     fleet_bytes_per_second: Annotated[int, Meta(ge=0, le=10**9)] = 0
 
@@ -87,8 +87,8 @@
     else:
         listen, addresses, field = config.peers.listen, list(config.peers.addresses), "peers"
         everyone = config.peers.everyone
-    if not 2 <= len(addresses) <= MOST_MEMBERS:
-        raise ConfigError(f"{field}: needs 2 to {MOST_MEMBERS} addresses, not {len(addresses)}")
+    if not 2 <= len(addresses) <= MAX_MEMBERS:
+        raise ConfigError(f"{field}: needs 2 to {MAX_MEMBERS} addresses, not {len(addresses)}")
     try:
         roster = Roster(addresses, config.settings.gateway_index, everyone)
     except ValueError as error:
@@ -109,27 +109,27 @@
 def _timing(talk: _Talk, members: int) -> Timing:
     timing = Timing(
         period_s=within(talk.period, "talk.period", 0.05, 60.0),
-        answer_s=within(talk.answer, "talk.answer", 0.01, 30.0),
-        most_bytes=talk.bytes_per_second,
-        most_datagrams=talk.datagrams_per_second,
+        probe_timeout_s=within(talk.answer, "talk.answer", 0.01, 30.0),
+        max_bytes_per_s=talk.bytes_per_second,
+        max_datagrams_per_s=talk.datagrams_per_second,
     )
-    if timing.answer_s > 0.6 * timing.period_s:
+    if timing.probe_timeout_s > 0.6 * timing.period_s:
         raise ConfigError(
             "talk.answer: needs six tenths of talk.period at most, for others to help"
         )
     if talk.fleet_bytes_per_second:
-        own = min(timing.most_bytes, talk.fleet_bytes_per_second // members)
-        if own < 4 * MOST_BYTES:
+        own = min(timing.max_bytes_per_s, talk.fleet_bytes_per_second // members)
+        if own < 4 * MAX_DATAGRAM_BYTES:
             raise ConfigError(
-                f"talk.fleet_bytes_per_second: needs {4 * MOST_BYTES} for each of {members}"
+                f"talk.fleet_bytes_per_second: needs {4 * MAX_DATAGRAM_BYTES} for each of {members}"
             )
-        timing = replace(timing, most_bytes=own)
+        timing = replace(timing, max_bytes_per_s=own)
     # A budget that is small has longer periods, not probes that cannot be sent.
-    slower = max(1.0, NEEDED / timing.period_s / (0.4 * timing.most_bytes))
+    slower = max(1.0, NEEDED / timing.period_s / (0.4 * timing.max_bytes_per_s))
     return replace(
         timing,
         period_s=timing.period_s * slower,
-        answer_s=timing.answer_s * slower,
-        gossip_s=timing.period_s * slower * 0.4,
-        again_s=timing.answer_s * slower * 0.75,
+        probe_timeout_s=timing.probe_timeout_s * slower,
+        gossip_interval_s=timing.period_s * slower * 0.4,
+        retransmit_s=timing.probe_timeout_s * slower * 0.75,
     )
--- a/quillroad/membership/suspicion.py
+++ b/quillroad/membership/suspicion.py
@@ -1,7 +1,8 @@
-"""How long a suspicion may be refuted before it counts as certain (Lifeguard, Dadgar 2018). No I/O.
+"""How long a suspicion may be refuted before the member counts as faulty (Lifeguard, Dadgar 2018). Pure.
 
-One suspecter alone may be the one at fault: it waits long. Each further gateway that suspects on its own
-account shortens the wait, down to what a refutation needs to get through the fleet and back.
+A single suspector may be the one at fault, so its suspicion lasts long. Each further gateway that
+saw the member silent itself shortens it, down to what a refutation needs to get through the cluster
+and back.
 """
 
 from __future__ import annotations
@@ -9,39 +10,41 @@
 from dataclasses import dataclass
 from math import log, log10
 
-from quillroad.membership.claims import SLOTS
+from quillroad.membership.member_table import SUSPECTOR_SLOTS
 
+MIN_MAGNITUDE = 2.0  # small clusters wait like one of a hundred, for datagram losses up to 30%
+RESCALE_THRESHOLD = 1.2  # a change of loss below that is within the noise of its estimate
 
-def shortest_s(members: int, period_s: float, rounds: float) -> float:
-    """Seconds that a refutation needs to reach so many members: `rounds` periods for each tenfold, and no
-    less than a hundred would need, for a loss of 30%."""
-    return rounds * period_s * max(2.0, log10(max(1, members)))
+
+def min_timeout_s(members: int, period_s: float, factor: float) -> float:
+    """Return the seconds that a refutation needs: `factor` periods for each tenfold of members."""
+    return factor * period_s * max(MIN_MAGNITUDE, log10(max(1, members)))
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """One member's, as one gateway holds it. Times in seconds; `slots` as in a claim."""
+    """One suspected member, as one gateway sees it. Times in seconds; `suspector_slots` as in a status."""
 
     incarnation: int
-    began: float
-    shortest_s: float
-    longest_s: float
-    slots: int
-    told: bool  # somebody else may have heard of it: from then on its time runs
-    scale: float  # that both waits were made longer by, for loss
-    hearsay: bool = False  # it began with another's word that the member is gone
-
-    def scaled(self, scale: float) -> bool:
-        """Datagrams get lost more often than was thought: wait as much longer. Returns whether that is so."""
-        if scale <= 1.2 * self.scale:
+    started_at: float
+    min_s: float
+    max_s: float
+    suspector_slots: int
+    others_know: bool  # another gateway may have heard of it: from then on its time runs
+    scale: float  # the factor for datagram loss that both timeouts contain
+    from_faulty_report: bool = False  # it began with another's word that the member is faulty
+
+    def rescale(self, scale: float) -> bool:
+        """Lengthen the timeouts where more datagrams get lost than assumed; return whether they were."""
+        if scale <= RESCALE_THRESHOLD * self.scale:
             return False
-        self.shortest_s *= scale / self.scale
-        self.longest_s *= scale / self.scale
+        self.min_s *= scale / self.scale
+        self.max_s *= scale / self.scale
         self.scale = scale
         return True
 
     @property
-    def ends(self) -> float:
-        """When it counts as certain."""
-        part = log(max(1, self.slots.bit_count())) / log(SLOTS)
-        return self.began + self.longest_s - (self.longest_s - self.shortest_s) * part
+    def expires_at(self) -> float:
+        """When the member counts as faulty."""
+        confirmed = log(max(1, self.suspector_slots.bit_count())) / log(SUSPECTOR_SLOTS)
+        return self.started_at + self.max_s - (self.max_s - self.min_s) * confirmed
--- /dev/null
+++ b/quillroad/membership/table_transfer.py
@@ -0,0 +1,48 @@
+"""Sending a part of the member table in one datagram. Pure."""
+
+from __future__ import annotations
+
+from quillroad.membership.member_table import CHUNK_MEMBERS, PackedStatuses
+from quillroad.membership.sender import DEFERRABLE_FRACTION, DatagramSender, Payload
+from quillroad.membership.state import LocalState
+from quillroad.membership.wire import MAX_DATAGRAM_BYTES, MAX_TABLE_MEMBERS, MessageKind
+
+MAX_HEADER_BYTES = 60  # of a TABLE datagram, with every field at its longest
+EXCEPTION_BYTES = 7  # of one member with an incarnation of its own, at most
+
+
+class TableTransfer:
+    """Sends tables to single members or to all."""
+
+    def __init__(self, state: LocalState, sender: DatagramSender) -> None:
+        self._state = state
+        self._sender = sender
+
+    def send(
+        self, target: int, about: int, now: float, fraction: float = DEFERRABLE_FRACTION
+    ) -> int | None:
+        """Send the statuses of the members round `about`, as many as fit.
+
+        Returns the number after the last member sent, or None where the budget is spent.
+        """
+        members, statuses = self._fitted(about)
+        payload = Payload(MessageKind.TABLE, about=members.start, statuses=statuses)
+        if not self._sender.send(target, payload, now, fraction=fraction, updates=()):
+            return None
+        queue = self._state.gossip_queue
+        queue.mark_sent([n for n in queue.all() if n in members], len(self._state.roster))
+        return members.stop
+
+    def _fitted(self, about: int) -> tuple[range, PackedStatuses]:
+        """Return the members to send and their statuses: whole chunks, that of `about` among them."""
+        table = self._state.table
+        first = min(about, max(0, len(table) - MAX_TABLE_MEMBERS)) // CHUNK_MEMBERS * CHUNK_MEMBERS
+        stop = min(len(table), first + MAX_TABLE_MEMBERS)
+        while True:
+            statuses = table.pack(range(first, stop))
+            size = len(statuses.codes) + EXCEPTION_BYTES * len(statuses.exceptions) // 2
+            if size <= MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES or stop - first <= CHUNK_MEMBERS:
+                return range(first, stop), statuses
+            half = max(CHUNK_MEMBERS, (stop - first) // 2 // CHUNK_MEMBERS * CHUNK_MEMBERS)
+            middle = first + half
+            first, stop = (middle, stop) if about >= middle else (first, middle)
--- a/quillroad/membership/wire.py
+++ b/quillroad/membership/wire.py
@@ -1,123 +1,165 @@
-"""The datagrams between gateways, in MessagePack: 256 bytes at most. No I/O.
+"""The datagrams between gateways, in MessagePack: 256 bytes at most. Pure.
 
-The first four fields are those of every version, so that one that speaks a newer version still counts as
-heard. Fields behind those that this version knows are left unread.
+Fields are told by their place. The first four are those of every version, so that a member of a
+newer version still counts as heard. Fields behind those that this version knows are ignored.
 """
 
 from __future__ import annotations
 
-from enum import IntEnum
+from enum import IntEnum, StrEnum
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta, Struct
 
-from quillroad.membership.claims import MOST_INCARNATION, SLOTS, Claim, Standing
+from quillroad.membership.member_table import (
+    MAX_INCARNATION,
+    SUSPECTOR_SLOTS,
+    MemberState,
+    MemberStatus,
+    PackedStatuses,
+)
 
-MOST_BYTES = 256
+MAX_DATAGRAM_BYTES = 256  # a datagram is never fragmented, and a flood of them costs little
 VERSION = 1
-MOST_MEMBERS = 4096
-MOST_NEWS = 32  # in one datagram: the shortest take 5 bytes, and a header has its part
-MOST_TOLD = 224  # members of a table in one datagram
+MAX_MEMBERS = 4096
+MAX_UPDATES = 32  # in one datagram: the shortest take 5 bytes, and the header has its part
+MAX_TABLE_MEMBERS = 224  # members of a table in one datagram
 
-Number = Annotated[int, Meta(ge=0, lt=MOST_MEMBERS)]
-Incarnation = Annotated[int, Meta(ge=0, le=MOST_INCARNATION)]
+Number = Annotated[int, Meta(ge=0, lt=MAX_MEMBERS)]
+Incarnation = Annotated[int, Meta(ge=0, le=MAX_INCARNATION)]
 Bits32 = Annotated[int, Meta(ge=0, lt=2**32)]
 
 
-class Kind(IntEnum):
-    """What a datagram wants."""
+class MessageKind(IntEnum):
+    """What a datagram is, and what it asks for."""
 
-    PING = 0  # an ACK
+    PING = 0  # wants an ACK
     ACK = 1
-    ASK = 2  # a PING to `about` in the sender's stead, and word of how that went
-    NACK = 3  # `about` has not answered yet: the asked one lives, whatever became of `about`
-    GOSSIP = 4  # nothing
-    SUMS = 5  # the parts of the table that differ from these digests
-    TABLE = 6  # what is known better
-    TWIN = 7  # nothing: two processes speak under the number that it goes to
-
-
-class News(Struct, array_like=True, frozen=True):
-    """A claim of a member."""
+    PING_REQ = 2  # wants a PING to `about` in the sender's stead, and its result
+    NACK = 3  # `about` has not answered yet: says that the helper itself is reachable
+    GOSSIP = 4  # carries updates only
+    DIGESTS = 5  # wants the chunks of the table that differ from these digests
+    TABLE = 6  # wants what the receiver knows better
+    DUPLICATE = 7  # two processes use the receiver's number
+
+
+class DropReason(StrEnum):
+    """Why a datagram, or a part of one, was not taken; the value is the word of reports."""
+
+    STRANGER = "stranger"  # from an address that is not in the roster
+    OWN_ADDRESS = "own address"
+    FLOOD = "flood"  # beyond the bound of one member
+    TOO_LONG = "too long"
+    MALFORMED = "malformed"
+    VERSION = "version"  # of a newer version
+    NUMBER = "number"  # it has another number than the member at its address
+    UNKNOWN_MEMBER = "unknown member"  # in the middle of a reload one of two knows more members
+    INCARNATION_JUMP = "leap"  # an incarnation that is not credible
+    LAST_INCARNATION = "last incarnation"  # nothing is left to refute with
+    BUSY = "busy"  # too many indirect probes in flight
+    NOT_SENT = "not sent"  # the socket refused it
+
+
+class Update(Struct, array_like=True, frozen=True):
+    """A status of a member, as gossip carries it."""
 
     number: Number
     incarnation: Incarnation
-    standing: Annotated[int, Meta(ge=0, le=int(Standing.LEFT))]
-    slots: Annotated[int, Meta(ge=0, lt=2**SLOTS)] = 0
+    state: Annotated[int, Meta(ge=0, le=int(MemberState.LEFT))]
+    suspector_slots: Annotated[int, Meta(ge=0, lt=2**SUSPECTOR_SLOTS)] = 0
 
-    def makes_sense(self) -> bool:
-        """A suspicion has somebody who saw it, and of the unknown nothing is known."""
-        if self.standing == Standing.SUSPECT:
-            return self.slots > 0
-        return self.standing != Standing.UNKNOWN
+    def is_consistent(self) -> bool:
+        """Whether it says something: a suspicion has a suspector, and an unknown member has no update."""
+        if self.state == MemberState.SUSPECT:
+            return self.suspector_slots > 0
+        return self.state != MemberState.UNKNOWN
 
-    def claim(self) -> Claim:
-        standing = Standing(self.standing)
-        return Claim(self.incarnation, standing, self.slots if standing is Standing.SUSPECT else 0)
+    def status(self) -> MemberStatus:
+        """Return the status that it carries."""
+        state = MemberState(self.state)
+        slots = self.suspector_slots if state is MemberState.SUSPECT else 0
+        return MemberStatus(self.incarnation, state, slots)
 
 
-class Head(Struct, array_like=True, frozen=True):
-    """What every version begins with."""
+class Header(Struct, array_like=True, frozen=True):
+    """The fields that every version begins with."""
 
     version: Annotated[int, Meta(ge=0, le=255)]
     number: Number
-    life: Bits32
+    run_id: Bits32
     incarnation: Incarnation
 
 
 class Datagram(Struct, array_like=True, frozen=True):
-    """`life` is drawn at each start of a process; `sequence` ties an answer to its question; `about` is the
-    member that an ASK or NACK is about, the first one of a TABLE, and the first part of SUMS; `digest` is
-    that of the sender's table; `codes`, `base` and `others` are `Claims.packed`."""
+    """One datagram.
+
+    `run_id` is drawn at each start of a process; `sequence` ties an answer to its PING; `digest` is
+    that of the sender's table. `about` is the member that a PING_REQ or NACK is about, the first
+    member of a TABLE, or the first chunk of DIGESTS. `codes`, `base` and `exceptions` are those of
+    `PackedStatuses`.
+    """
 
     version: Annotated[int, Meta(ge=0, le=255)]
     number: Number
-    life: Bits32
+    run_id: Bits32
     incarnation: Incarnation
-    kind: Kind
+    kind: MessageKind
     sequence: Bits32
     digest: Bits32
-    news: Annotated[tuple[News, ...], Meta(max_length=MOST_NEWS)] = ()
+    updates: Annotated[tuple[Update, ...], Meta(max_length=MAX_UPDATES)] = ()
     about: Number = 0
-    sums: Annotated[tuple[Bits32, ...], Meta(max_length=MOST_BYTES)] = ()
-    codes: Annotated[bytes, Meta(max_length=MOST_BYTES)] = b""
+    digests: Annotated[tuple[Bits32, ...], Meta(max_length=MAX_DATAGRAM_BYTES)] = ()
+    codes: Annotated[bytes, Meta(max_length=MAX_DATAGRAM_BYTES)] = b""
     base: Incarnation = 0
-    others: Annotated[tuple[Incarnation, ...], Meta(max_length=2 * MOST_TOLD)] = ()
+    exceptions: Annotated[tuple[Incarnation, ...], Meta(max_length=2 * MAX_TABLE_MEMBERS)] = ()
+
+    def statuses(self) -> PackedStatuses:
+        """Return the packed statuses of a TABLE."""
+        return PackedStatuses(self.codes, self.base, self.exceptions)
+
+
+class DatagramError(Exception):
+    """A datagram that cannot be taken."""
+
+    def __init__(self, reason: DropReason) -> None:
+        super().__init__(reason.value)
+        self.reason = reason
 
 
-class Unreadable(Exception):
-    """Not a datagram of a gateway; the text is the reason to count it under."""
+class UnreadableDatagram(DatagramError):
+    """Not a datagram of a gateway."""
 
 
-class Newer(Exception):
-    """Of a version that this one cannot read, from one that lives."""
+class NewerVersion(DatagramError):
+    """A datagram of a version that this one cannot read, from a member that is alive."""
 
-    def __init__(self, head: Head) -> None:
-        super().__init__("version")
-        self.head = head
+    def __init__(self, header: Header) -> None:
+        super().__init__(DropReason.VERSION)
+        self.header = header
 
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Datagram)
-_heads = msgspec.msgpack.Decoder(Head)
+_header_decoder = msgspec.msgpack.Decoder(Header)
 
 
 def encode(datagram: Datagram) -> bytes:
+    """Return the bytes of a datagram, which may be more than `MAX_DATAGRAM_BYTES`."""
     return _encoder.encode(datagram)
 
 
 def decode(data: bytes) -> Datagram:
-    """Raises `Unreadable`, or `Newer`, and nothing else whatever the bytes."""
-    if len(data) > MOST_BYTES:
-        raise Unreadable("too long")
+    """Read a datagram; raises `DatagramError` and nothing else, whatever the bytes."""
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise UnreadableDatagram(DropReason.TOO_LONG)
     try:
-        head = _heads.decode(data)
-        if head.version != VERSION:
-            raise Newer(head)
+        header = _header_decoder.decode(data)
+        if header.version != VERSION:
+            raise NewerVersion(header)
         datagram = _decoder.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError):
-        raise Unreadable("malformed") from None
-    if not all(news.makes_sense() for news in datagram.news):
-        raise Unreadable("malformed")
+        raise UnreadableDatagram(DropReason.MALFORMED) from None
+    if not all(update.is_consistent() for update in datagram.updates):
+        raise UnreadableDatagram(DropReason.MALFORMED)
     return datagram
--- a/simulation/cuts.py
+++ b/simulation/cuts.py
@@ -14,12 +14,21 @@
 
 from immutables import Map
 
-from quillroad.membership.claims import Standing
-from quillroad.membership.condition import Self
+from quillroad.membership.local_health import HealthState
+from quillroad.membership.member_table import MemberState
 from quillroad.membership.roster import Address, Roster
+from quillroad.membership.sender import Outgoing
 from quillroad.membership.timing import Timing
-from quillroad.membership.view import Change, Seen, View
-from quillroad.membership.wire import MOST_NEWS, VERSION, Datagram, Kind, News, decode, encode
+from quillroad.membership.view import Cause, Change, ChangeKind, MemberRecord, View
+from quillroad.membership.wire import (
+    MAX_UPDATES,
+    VERSION,
+    Datagram,
+    MessageKind,
+    Update,
+    decode,
+    encode,
+)
 
 RINGS, HIGH, LOW = 10, 9, 4
 MISSED = 4  # periods without an answer
@@ -39,10 +48,12 @@
         self, roster: Roster, timing: Timing, now: float, draw: Callable[[], float], life: int
     ) -> None:
         self._roster, self._period_s, self._life = roster, timing.period_s, life
-        self.outbox: list[tuple[int, bytes]] = []
+        self.outbox: list[Outgoing] = []
         self.changes: list[Change] = []
         others = (n for n in range(len(roster)) if n != roster.number)
-        self._members = Map((n, Seen(Standing.UNKNOWN, 0, now, "roster", n)) for n in others)
+        self._members = Map(
+            (n, MemberRecord(MemberState.UNKNOWN, 0, now, Cause.ROSTER, n)) for n in others
+        )
         self._version = 0
         self._next = now + draw() * self._period_s
         self._again = now
@@ -58,13 +69,13 @@
 
     @property
     def view(self) -> View:
-        return View(self._version, self._roster.number, 1, Self.SOUND, 0.0, self._members)
+        return View(self._version, self._roster.number, 1, HealthState.HEALTHY, 0.0, self._members)
 
     def arm(self, now: float) -> float:
         return max(now, self._next)
 
     def _there(self) -> list[int]:
-        there = (n for n, seen in self._members.items() if seen.standing is Standing.ALIVE)
+        there = (n for n, seen in self._members.items() if seen.state is MemberState.ALIVE)
         return sorted([*there, self._roster.number])
 
     def _watchers(self, number: int) -> list[int]:
@@ -78,9 +89,11 @@
             ]
         return [ring[ring.index(number) - 1] for ring in self._rings if number in ring]
 
-    def _send(self, number: int, kind: Kind, news: tuple[News, ...] = (), vote: int = 0) -> None:
+    def _send(
+        self, number: int, kind: MessageKind, news: tuple[Update, ...] = (), vote: int = 0
+    ) -> None:
         data = encode(Datagram(VERSION, self._roster.number, self._life, 1, kind, vote, 0, news))
-        self.outbox.append((number, data))
+        self.outbox.append(Outgoing(number, data))
 
     def tick(self, now: float) -> None:
         if now < self._next:
@@ -90,14 +103,14 @@
         watched = [n for n in self._there() if n != own and own in self._watchers(n)]
         self._silent = {n: self._silent.get(n, 0) + 1 for n in watched}
         for number in watched:
-            self._send(number, Kind.PING)
-        away = [n for n, seen in self._members.items() if seen.standing is not Standing.ALIVE]
+            self._send(number, MessageKind.PING)
+        away = [n for n, seen in self._members.items() if seen.state is not MemberState.ALIVE]
         self._asked += 1
         # All at the start, and then one of those that are not there.
         for number in (
             away if self._asked == 1 else away[self._asked % len(away) :][:1] if away else []
         ):
-            self._send(number, Kind.PING)
+            self._send(number, MessageKind.PING)
         seen_silent = {n for n, periods in self._silent.items() if periods > MISSED}
         fresh = {n for n in seen_silent if own not in self._reports.get(n, ())}
         for number in fresh:
@@ -111,29 +124,31 @@
 
     def _tell(self, silent: set[int]) -> None:
         """Reports, and the vote that goes with what was proposed."""
-        news = [News(n, 1, int(Standing.GONE)) for n in sorted(silent | self._decided_reports)]
+        news = [
+            Update(n, 1, int(MemberState.FAULTY)) for n in sorted(silent | self._decided_reports)
+        ]
         vote = _hash(self._proposed) if self._proposed else self._decided
         if not news and not vote:
             return
         for to in self._there():
             if to == self._roster.number:
                 continue
-            for first in range(0, max(1, len(news)), MOST_NEWS):
-                self._send(to, Kind.GOSSIP, tuple(news[first : first + MOST_NEWS]), vote)
+            for first in range(0, max(1, len(news)), MAX_UPDATES):
+                self._send(to, MessageKind.GOSSIP, tuple(news[first : first + MAX_UPDATES]), vote)
 
     def receive(self, source: Address, data: bytes, now: float) -> None:
         datagram = decode(data)
         number = datagram.number
-        if self._members[number].standing is not Standing.ALIVE:
-            self._set(number, Standing.ALIVE, now)
-        if datagram.kind is Kind.PING:
-            self._send(number, Kind.ACK)
-        elif datagram.kind is Kind.ACK:
+        if self._members[number].state is not MemberState.ALIVE:
+            self._set(number, MemberState.ALIVE, now)
+        if datagram.kind is MessageKind.PING:
+            self._send(number, MessageKind.ACK)
+        elif datagram.kind is MessageKind.ACK:
             self._silent[number] = 0
-        for news in datagram.news:
+        for news in datagram.updates:
             if news.number != self._roster.number:
                 self._reports.setdefault(news.number, set()).add(number)
-        if datagram.kind is Kind.GOSSIP:
+        if datagram.kind is MessageKind.GOSSIP:
             if datagram.sequence:
                 self._votes.setdefault(datagram.sequence, set()).add(number)
             self._judge(now)
@@ -164,7 +179,7 @@
             self._decided_reports = {n for n in self._proposed if own in self._reports.get(n, ())}
             for number in self._proposed:
                 if number in self._members:
-                    self._set(number, Standing.GONE, now)
+                    self._set(number, MemberState.FAULTY, now)
             self._forget()
 
     def _forget(self) -> None:
@@ -173,11 +188,13 @@
         self._votes.clear()
         self._silent.clear()
 
-    def _set(self, number: int, standing: Standing, now: float) -> None:
-        self._members = self._members.set(number, Seen(standing, 1, now, "heard", number))
+    def _set(self, number: int, state: MemberState, now: float) -> None:
+        self._members = self._members.set(number, MemberRecord(state, 1, now, Cause.HEARD, number))
         self._version += 1
         self._rings = None
-        self.changes.append(Change(now, number, standing.name.lower(), 1, "heard", number))
+        self.changes.append(
+            Change(now, number, ChangeKind(state.reported_name), 1, Cause.HEARD, number)
+        )
 
 
 def _hash(cut: frozenset[int]) -> int:
--- a/simulation/fleet.py
+++ b/simulation/fleet.py
@@ -6,10 +6,11 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from quillroad.membership.claims import Standing
-from quillroad.membership.core import EVERYONE as TO_ALL
 from quillroad.membership.core import Core
+from quillroad.membership.member_table import MemberState
 from quillroad.membership.roster import Address, Roster
+from quillroad.membership.sender import EVERYONE as TO_ALL
+from quillroad.membership.sender import Outgoing
 from quillroad.membership.timing import Timing
 from quillroad.membership.view import Change, View
 from simulation.net import World
@@ -28,7 +29,7 @@
 class Part(Protocol):
     """What runs in a member: the fleet's own core, or another way that is weighed beside it."""
 
-    outbox: list[tuple[int, bytes]]
+    outbox: list[Outgoing]
     changes: list[Change]
 
     @property
@@ -206,8 +207,8 @@
         looked = self._looked.get(number)
         if looked is not None and looked[0] is core and looked[1:3] == (view.version, expected):
             return looked[3]
-        held = {n for n, seen in view.members.items() if seen.standing is Standing.ALIVE}
-        holds = held == expected - {number} and not view.count(Standing.SUSPECT)
+        held = {n for n, seen in view.members.items() if seen.state is MemberState.ALIVE}
+        holds = held == expected - {number} and not view.count(MemberState.SUSPECT)
         self._looked[number] = (core, view.version, expected, holds)
         return holds
 
--- a/simulation/heartbeats.py
+++ b/simulation/heartbeats.py
@@ -6,12 +6,13 @@
 
 from immutables import Map
 
-from quillroad.membership.claims import Standing
-from quillroad.membership.condition import Self
+from quillroad.membership.local_health import HealthState
+from quillroad.membership.member_table import MemberState
 from quillroad.membership.roster import Address, Roster
+from quillroad.membership.sender import Outgoing
 from quillroad.membership.timing import Timing
-from quillroad.membership.view import Change, Seen, View
-from quillroad.membership.wire import VERSION, Datagram, Kind, decode, encode
+from quillroad.membership.view import Cause, Change, ChangeKind, MemberRecord, View
+from quillroad.membership.wire import VERSION, Datagram, MessageKind, decode, encode
 
 MISSED = 5
 
@@ -23,17 +24,19 @@
         self, roster: Roster, timing: Timing, now: float, draw: Callable[[], float], life: int
     ) -> None:
         self._roster, self._period_s, self._life = roster, 2 * timing.period_s, life
-        self.outbox: list[tuple[int, bytes]] = []
+        self.outbox: list[Outgoing] = []
         self.changes: list[Change] = []
         self._heard: dict[int, float] = {}
         others = (n for n in range(len(roster)) if n != roster.number)
-        self._members = Map((n, Seen(Standing.UNKNOWN, 0, now, "roster", n)) for n in others)
+        self._members = Map(
+            (n, MemberRecord(MemberState.UNKNOWN, 0, now, Cause.ROSTER, n)) for n in others
+        )
         self._next = now + draw() * self._period_s
         self._version = 0
 
     @property
     def view(self) -> View:
-        return View(self._version, self._roster.number, 1, Self.SOUND, 0.0, self._members)
+        return View(self._version, self._roster.number, 1, HealthState.HEALTHY, 0.0, self._members)
 
     def arm(self, now: float) -> float:
         return max(now, self._next)
@@ -42,24 +45,28 @@
         if now < self._next:
             return
         self._next += self._period_s
-        data = encode(Datagram(VERSION, self._roster.number, self._life, 1, Kind.GOSSIP, 0, 0))
-        self.outbox += [(n, data) for n in self._members]
+        data = encode(
+            Datagram(VERSION, self._roster.number, self._life, 1, MessageKind.GOSSIP, 0, 0)
+        )
+        self.outbox += [Outgoing(n, data) for n in self._members]
         for number, at in list(self._heard.items()):
             if self._missed(number, at, now):
                 del self._heard[number]
-                self._set(number, Standing.GONE, now)
+                self._set(number, MemberState.FAULTY, now)
 
     def receive(self, source: Address, data: bytes, now: float) -> None:
         number = decode(data).number
         self._heard[number] = now
-        if self._members[number].standing is not Standing.ALIVE:
-            self._set(number, Standing.ALIVE, now)
+        if self._members[number].state is not MemberState.ALIVE:
+            self._set(number, MemberState.ALIVE, now)
 
     def _missed(self, number: int, at: float, now: float) -> bool:
         """Whether one that was heard last at `at` counts as gone."""
         return now - at > MISSED * self._period_s
 
-    def _set(self, number: int, standing: Standing, now: float) -> None:
+    def _set(self, number: int, state: MemberState, now: float) -> None:
         self._version += 1
-        self._members = self._members.set(number, Seen(standing, 1, now, "heard", number))
-        self.changes.append(Change(now, number, standing.name.lower(), 1, "heard", number))
+        self._members = self._members.set(number, MemberRecord(state, 1, now, Cause.HEARD, number))
+        self.changes.append(
+            Change(now, number, ChangeKind(state.reported_name), 1, Cause.HEARD, number)
+        )
--- a/simulation/schedule.py
+++ b/simulation/schedule.py
@@ -14,8 +14,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from quillroad.membership.claims import Standing
 from quillroad.membership.core import Core
+from quillroad.membership.member_table import MemberState
 from quillroad.membership.timing import Timing
 from simulation.fleet import EVERYONE, Fleet, Member, Part
 from simulation.net import Link, World
@@ -135,10 +135,9 @@
         if not fleet.agreed():
             raise Broken("views agreed, and not for long")
         for member in fleet.members:
-            if member.core is not None and self._core(member).held > LEAST_HELD:
-                raise Broken(
-                    f"{member.number} keeps {self._core(member).held} entries with nothing going on"
-                )
+            kept = 0 if member.core is None else self._core(member).pending_entries
+            if kept > LEAST_HELD:
+                raise Broken(f"{member.number} keeps {kept} entries with nothing going on")
         return fleet.world.trace
 
     def _core(self, member: Member) -> Core:
@@ -209,7 +208,7 @@
                     self._said[member.number], self._core(member).incarnation
                 )
         for member in fleet.members:
-            if member.peak_bytes > fleet.timing.most_bytes:
+            if member.peak_bytes > fleet.timing.max_bytes_per_s:
                 raise Broken(
                     f"{now:.2f}: {member.number} sent {member.peak_bytes} bytes in a second"
                 )
@@ -217,12 +216,12 @@
                 continue
             core = self._core(member)
             for number in range(len(fleet.members)):
-                claim = core.claims[number]
+                claim = core.table[number]
                 if claim.incarnation > self._said[number]:
                     raise Broken(
                         f"{now:.2f}: {member.number} holds an incarnation that {number} never had"
                     )
-                key, value = (member.number, number), (claim.incarnation, int(claim.standing))
+                key, value = (member.number, number), (claim.incarnation, int(claim.state))
                 if value < self._held.get(key, (0, 0)):
                     raise Broken(f"{now:.2f}: what {member.number} holds of {number} went back")
                 self._held[key] = value
@@ -232,11 +231,11 @@
     def _ends(self, now: float) -> None:
         """Nobody to whom nothing was done is held for gone: not by the sound, and not by one that is slow, or
         was stopped, or whose network was gone one way or both."""
-        gone = Standing.GONE.name.lower()
+        gone = MemberState.FAULTY.reported_name
         for member in self._fleet.members:
             since, self._read[member.number] = self._read[member.number], len(member.history)
             for change in member.history[since:]:
-                false = change.what == gone and change.number not in self._touched
+                false = change.kind == gone and change.number not in self._touched
                 if false and member.number not in self._parted:
                     raise Broken(
                         f"{now:.2f}: {member.number} held {change.number} for gone, a sound one"
--- a/simulation/walk.py
+++ b/simulation/walk.py
@@ -13,10 +13,11 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from quillroad.membership.claims import Standing
-from quillroad.membership.condition import Self
-from quillroad.membership.core import EVERYONE, Core
+from quillroad.membership.core import Core
+from quillroad.membership.local_health import HealthState
+from quillroad.membership.member_table import MemberState
 from quillroad.membership.roster import Address, Roster
+from quillroad.membership.sender import EVERYONE
 from quillroad.membership.timing import Timing
 from simulation.fleet import address
 
@@ -157,15 +158,15 @@
         if core.dropped:
             raise Broken(f"{core.number} cannot take {dict(core.dropped)}")
         for n in range(self._size):
-            claim = core.claims[n]
+            claim = core.table[n]
             if claim.incarnation > said[n]:
                 raise Broken(f"{core.number} holds an incarnation that {n} never had")
-            if before is not None and claim[:2] < before.claims[n][:2]:
+            if before is not None and claim[:2] < before.table[n][:2]:
                 raise Broken(f"what {core.number} holds of {n} went back")
             if n == core.number:
                 continue
             seen = core.view.members[n]
-            if seen.standing is Standing.GONE and claim.standing is Standing.ALIVE:
+            if seen.state is MemberState.FAULTY and claim.state is MemberState.ALIVE:
                 raise Broken(f"{core.number} holds {n} for gone against its own word")
         if before is not None and core.incarnation < before.incarnation:
             raise Broken(f"the incarnation of {core.number} went back")
@@ -228,8 +229,10 @@
         if not self._agreed(state):
             raise Broken("views agreed, and not for long")
         for core in self._running(state):
-            if core.held > LEAST_HELD and core.view.self_state is Self.SOUND:
-                raise Broken(f"{core.number} keeps {core.held} entries with nothing going on")
+            if core.pending_entries > LEAST_HELD and core.view.self_state is HealthState.HEALTHY:
+                raise Broken(
+                    f"{core.number} keeps {core.pending_entries} entries with nothing going on"
+                )
 
     def scenes(self) -> dict[str, State]:
         """Where walks begin: moments at which much can still go either way."""
@@ -239,12 +242,12 @@
         settled = self.play(start, self._agreed, "never settled")
         crashed = self.step(settled, Step("crash", last))
         suspected = self.play(
-            crashed, lambda at: self._holds(at, Standing.SUSPECT, last), "never suspected"
+            crashed, lambda at: self._holds(at, MemberState.SUSPECT, last), "never suspected"
         )
         gone = self.play(suspected, self._agreed, "never gone")
         cut = frozenset({(last, n) for n in others} | {(n, last) for n in others})
         apart = self.play(
-            settled, lambda at: self._holds(at, Standing.GONE, last), "never apart", cut
+            settled, lambda at: self._holds(at, MemberState.FAULTY, last), "never apart", cut
         )
         return {
             "all start": start,
@@ -255,9 +258,9 @@
             "apart, and whole again": apart,
         }
 
-    def _holds(self, state: State, standing: Standing, number: int) -> bool:
+    def _holds(self, state: State, standing: MemberState, number: int) -> bool:
         others = [core for core in self._running(state) if core.number != number]
-        return all(core.view.members[number].standing is standing for core in others)
+        return all(core.view.members[number].state is standing for core in others)
 
     def play(
         self,
@@ -296,10 +299,10 @@
         """Whether each that runs holds just those for alive; one that is left cannot know, and says so."""
         cores = self._running(state)
         if len(cores) == 1:
-            return cores[0].view.self_state is Self.ALONE
+            return cores[0].view.self_state is HealthState.ISOLATED
         expected = {core.number for core in cores}
         for core in cores:
-            held = {n for n, seen in core.view.members.items() if seen.standing is Standing.ALIVE}
-            if held != expected - {core.number} or core.view.count(Standing.SUSPECT):
+            held = {n for n, seen in core.view.members.items() if seen.state is MemberState.ALIVE}
+            if held != expected - {core.number} or core.view.count(MemberState.SUSPECT):
                 return False
         return True
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -4,11 +4,17 @@
 
 import pytest
 
-from quillroad.membership.claims import LEAP, MOST_INCARNATION, USUAL_INCARNATION, Claim, Standing
-from quillroad.membership.condition import Self
 from quillroad.membership.core import Core
+from quillroad.membership.local_health import HealthState
+from quillroad.membership.member_table import (
+    MAX_INCARNATION,
+    MAX_INCARNATION_JUMP,
+    PLAUSIBLE_INCARNATION,
+    MemberState,
+    MemberStatus,
+)
 from quillroad.membership.roster import Roster
-from quillroad.membership.wire import VERSION, Datagram, Kind, News, encode
+from quillroad.membership.wire import VERSION, Datagram, DropReason, MessageKind, Update, encode
 from simulation.fleet import EVERYONE, Fleet, Member
 from simulation.net import Link, World
 
@@ -35,7 +41,7 @@
         (m.number, c.number)
         for m in fleet.members
         for c in m.history
-        if c.what == "gone" and c.at >= since
+        if c.kind == "gone" and c.at >= since
     ]
 
 
@@ -85,7 +91,7 @@
     assert fleet.until(fleet.agreed, 10.0) is not None
     assert not ends(fleet, since)
     assert not [
-        c for c in fleet.members[4].history if c.what in ("suspect", "gone") and c.number != 4
+        c for c in fleet.members[4].history if c.kind in ("suspect", "gone") and c.number != 4
     ]
 
 
@@ -104,7 +110,7 @@
     others = set(range(12)) - {3}
     fleet.world.cut(others, {3})
     fleet.world.run(fleet.world.now + 15.0)
-    assert core(fleet, 3).view.self_state is Self.ALONE
+    assert core(fleet, 3).view.self_state is HealthState.ISOLATED
     assert not [b for a, b in ends(fleet) if a == 3]
     assert fleet.agreed(others, others)  # it can send, and not hear: to the others it is gone
     fleet.world.cut(others, {3}, on=False)
@@ -151,8 +157,8 @@
     fleet.world.every.loss = 0.0
     fleet.world.run(fleet.world.now + 10.0)
     for member in fleet.running():
-        assert core(fleet, member.number).held <= 1  # a probe on its way
-        assert member.peak_bytes <= fleet.timing.most_bytes
+        assert core(fleet, member.number).pending_entries <= 1  # a probe on its way
+        assert member.peak_bytes <= fleet.timing.max_bytes_per_s
 
 
 def test_one_that_leaves_is_not_missed() -> None:
@@ -162,7 +168,7 @@
     fleet.members[3]._flush(leaving)
     fleet.members[3].kill()
     assert fleet.until(fleet.agreed, 5.0) is not None
-    assert core(fleet, 0).view.members[3].standing is Standing.LEFT and not ends(fleet)
+    assert core(fleet, 0).view.members[3].state is MemberState.LEFT and not ends(fleet)
 
 
 def test_one_that_has_left_is_due_once_a_period_and_no_more() -> None:
@@ -183,7 +189,9 @@
     return core(fleet, 0), fleet
 
 
-def datagram(number: int, *news: News, kind: Kind = Kind.GOSSIP, version: int = VERSION) -> bytes:
+def datagram(
+    number: int, *news: Update, kind: MessageKind = MessageKind.GOSSIP, version: int = VERSION
+) -> bytes:
     return encode(Datagram(version, number, 1, 1, kind, 0, 0, news))
 
 
@@ -197,7 +205,7 @@
     one.receive(source, b"\x00", now)
     one.receive(source, b"x" * 257, now)
     one.receive(source, datagram(1, version=VERSION + 1), now)
-    one.receive(source, datagram(1, News(200, 1, 1)), now)
+    one.receive(source, datagram(1, Update(200, 1, 1)), now)
     assert one.dropped == {
         "stranger": 1,
         "number": 1,
@@ -208,17 +216,17 @@
         "unknown member": 1,
     }
     assert one.view.members == before.members
-    assert one.heard(1) == now  # one that speaks a newer version lives
+    assert one.last_heard(1) == now  # one that speaks a newer version lives
 
 
 def test_a_member_that_floods_is_cut_short() -> None:
     one, fleet = alone()
     now = fleet.world.now
     for _ in range(1000):
-        one.receive(fleet.addresses[1], datagram(1, kind=Kind.PING), now)
-    assert one.dropped["flood"] >= 1000 - fleet.timing.most_datagrams
-    assert sum(len(data) for _, data in one.outbox) <= fleet.timing.most_bytes
-    assert len(one.outbox) <= fleet.timing.most_datagrams
+        one.receive(fleet.addresses[1], datagram(1, kind=MessageKind.PING), now)
+    assert one.dropped[DropReason.FLOOD] >= 1000 - fleet.timing.max_datagrams_per_s
+    assert sum(len(data) for _, data in one.outbox) <= fleet.timing.max_bytes_per_s
+    assert len(one.outbox) <= fleet.timing.max_datagrams_per_s
 
 
 def test_a_liar_ends_no_sound_member() -> None:
@@ -229,7 +237,7 @@
             if target != 5:
                 liar = core(fleet, 5)
                 lies = [
-                    News(n, liar.claims[n].incarnation, int(Standing.GONE))
+                    Update(n, liar.table[n].incarnation, int(MemberState.FAULTY))
                     for n in range(12)
                     if n != 5
                 ]
@@ -241,10 +249,10 @@
 @pytest.mark.parametrize(
     "incarnation",
     [
-        MOST_INCARNATION,
-        MOST_INCARNATION - 1,
-        USUAL_INCARNATION + LEAP,
-        USUAL_INCARNATION,
+        MAX_INCARNATION,
+        MAX_INCARNATION - 1,
+        PLAUSIBLE_INCARNATION + MAX_INCARNATION_JUMP,
+        PLAUSIBLE_INCARNATION,
         1000,
     ],
 )
@@ -258,14 +266,20 @@
     end = fleet.world.now + 10.0
     while fleet.world.now < end:
         for target in (0, 1, 2, 3, 4):
-            lies = [News(n, incarnation, int(Standing.GONE)) for n in range(5)]
+            lies = [Update(n, incarnation, int(MemberState.FAULTY)) for n in range(5)]
             fleet.carry(5, target, datagram(5, *lies))
         fleet.world.run(fleet.world.now + 0.5)
     assert not [pair for pair in ends(fleet) if pair[0] != 5 and pair[1] != 0]
     assert fleet.until(lambda: fleet.agreed(range(5), range(6)), 20.0) is not None
-    assert all(core(fleet, n).incarnation < USUAL_INCARNATION + 3 * LEAP for n in range(5))
-    if incarnation > USUAL_INCARNATION + LEAP:
-        assert core(fleet, 1).dropped["leap"] > 0 and core(fleet, 1).incarnation < 100
+    assert all(
+        core(fleet, n).incarnation < PLAUSIBLE_INCARNATION + 3 * MAX_INCARNATION_JUMP
+        for n in range(5)
+    )
+    if incarnation > PLAUSIBLE_INCARNATION + MAX_INCARNATION_JUMP:
+        assert (
+            core(fleet, 1).dropped[DropReason.INCARNATION_JUMP] > 0
+            and core(fleet, 1).incarnation < 100
+        )
     fleet.members[2].kill()  # what is true is still seen, and comes back from nothing
     assert fleet.until(lambda: fleet.agreed([0, 1, 3, 4], [0, 1, 3, 4, 5]), 20.0) is not None
     fleet.members[2].start()
@@ -274,11 +288,11 @@
 
 def test_one_that_came_far_and_starts_from_nothing_believes_two_and_not_one() -> None:
     fleet = settled(6, 1)
-    far = USUAL_INCARNATION + 50 * LEAP
-    core(fleet, 2).incarnation = far  # as after years of refutations
-    core(fleet, 2).claims.merge(2, Claim(far, Standing.ALIVE))
+    far = PLAUSIBLE_INCARNATION + 50 * MAX_INCARNATION_JUMP
+    core(fleet, 2).state.incarnation = far  # as after years of refutations
+    core(fleet, 2).table.merge(2, MemberStatus(far, MemberState.ALIVE))
     assert fleet.until(
-        lambda: all(core(fleet, n).claims[2].incarnation >= far for n in range(6)), 60.0
+        lambda: all(core(fleet, n).table[2].incarnation >= far for n in range(6)), 60.0
     )
     fleet.members[2].kill()
     others = set(range(6)) - {2}
@@ -295,11 +309,13 @@
     twin.start()
     fleet.world.run(fleet.world.now + 15.0)
     for process in (fleet.members[4], twin):
-        assert process.core is not None and process.core.view.self_state is Self.DOUBLED
-    assert any(c.what == "doubled" and c.number == 4 for m in fleet.members for c in m.history)
+        assert process.core is not None and process.core.view.self_state is HealthState.DUPLICATED
+    assert any(c.kind == "doubled" and c.number == 4 for m in fleet.members for c in m.history)
     twin.kill()
     del fleet.twins[4]
-    assert fleet.until(lambda: core(fleet, 4).view.self_state is Self.SOUND, 60.0) is not None
+    assert (
+        fleet.until(lambda: core(fleet, 4).view.self_state is HealthState.HEALTHY, 60.0) is not None
+    )
 
 
 def test_a_restart_is_no_second_process() -> None:
@@ -309,30 +325,30 @@
         fleet.world.run(fleet.world.now + 0.5)
         fleet.members[4].start()
         fleet.world.run(fleet.world.now + 10.0)
-    assert not [c for m in fleet.members for c in m.history if c.what == "doubled"]
+    assert not [c for m in fleet.members for c in m.history if c.kind == "doubled"]
 
 
 def test_a_roster_that_grows_and_shrinks() -> None:
     fleet = settled(4, 1)
     longer = [*fleet.addresses, ("10.0.1.4", 7946)]
     for member in fleet.members:
-        core(fleet, member.number).follow(Roster(longer, member.number), fleet.world.now)
-    assert core(fleet, 0).view.members[4].standing is Standing.UNKNOWN
+        core(fleet, member.number).change_roster(Roster(longer, member.number), fleet.world.now)
+    assert core(fleet, 0).view.members[4].state is MemberState.UNKNOWN
     fleet.world.run(fleet.world.now + 3.0)
     for member in fleet.members[:3]:
-        core(fleet, member.number).follow(
+        core(fleet, member.number).change_roster(
             Roster(fleet.addresses[:3], member.number), fleet.world.now
         )
     assert set(core(fleet, 0).view.members) == {1, 2}
     fleet.world.run(fleet.world.now + 5.0)  # 3 goes on talking: a stranger
-    assert core(fleet, 0).dropped["stranger"] > 0
+    assert core(fleet, 0).dropped[DropReason.STRANGER] > 0
     assert set(core(fleet, 0).view.members) == {1, 2}
     # One that starts with the shorter roster says the same as those that heard of 3.
     fleet.members[1].kill()
     fleet.members[1].start(Roster(fleet.addresses[:3], 1))
     fleet.world.run(fleet.world.now + 10.0)
-    assert core(fleet, 1).claims.digest == core(fleet, 0).claims.digest
-    assert core(fleet, 0).view.settled(fleet.world.now, 2.0)
-    assert core(fleet, 0).heard(3) is None
+    assert core(fleet, 1).table.digest == core(fleet, 0).table.digest
+    assert core(fleet, 0).view.is_settled(fleet.world.now, 2.0)
+    assert core(fleet, 0).last_heard(3) is None
     with pytest.raises(ValueError, match="own number"):
-        core(fleet, 0).follow(Roster(fleet.addresses[:3], 1), fleet.world.now)
+        core(fleet, 0).change_roster(Roster(fleet.addresses[:3], 1), fleet.world.now)
--- a/tests/membership/test_ways.py
+++ b/tests/membership/test_other_detectors.py
@@ -8,7 +8,7 @@
 
 from quillroad.membership.roster import Roster
 from quillroad.membership.timing import Timing
-from quillroad.membership.wire import VERSION, Datagram, Kind, encode
+from quillroad.membership.wire import VERSION, Datagram, MessageKind, encode
 from simulation.cuts import Cuts
 from simulation.fleet import Fleet
 from simulation.heartbeats import Heartbeats
@@ -32,7 +32,7 @@
     fleet = settled(way, size)
     fleet.members[1].kill()
     assert fleet.until(fleet.agreed, 15.0) is not None
-    assert {c.number for m in fleet.members for c in m.history if c.what == "gone"} == {1}
+    assert {c.number for m in fleet.members for c in m.history if c.kind == "gone"} == {1}
     fleet.members[1].start()
     assert fleet.until(fleet.agreed, 15.0) is not None
 
@@ -41,7 +41,7 @@
     def phi_after(interval_s: float, silent_s: float) -> float:
         phi = Phi(ROSTER, Timing(), 0.0, lambda: 0.0, 1)
         for i in range(50):
-            data = encode(Datagram(VERSION, 1, 1, 1, Kind.GOSSIP, 0, 0))
+            data = encode(Datagram(VERSION, 1, 1, 1, MessageKind.GOSSIP, 0, 0))
             phi.receive(("10.0.0.1", 1), data, i * interval_s)
         return phi.phi(1, silent_s + PAUSE_PERIODS * 2 * Timing().period_s)
 
@@ -55,4 +55,4 @@
     for member in fleet.members[:8]:
         member.kill()
     assert fleet.until(fleet.agreed, 30.0) is None
-    assert not [c for m in fleet.members for c in m.history if c.what == "gone"]
+    assert not [c for m in fleet.members for c in m.history if c.kind == "gone"]
--- a/tests/membership/test_sweep.py
+++ b/tests/membership/test_probe_burst.py
@@ -5,46 +5,53 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.membership.condition import BRISK, Condition
-from quillroad.membership.core import LIGHT_LOSSY
+from quillroad.membership.failure_detector import MAX_DIRECT_LOSS
+from quillroad.membership.local_health import FAST_LOSS_SMOOTHING, LocalHealth
+from quillroad.membership.probe_burst import (
+    FULL_RATE_S,
+    PROBES_PER_MEMBER,
+    REST_S,
+    STEP_S,
+    TAIL_S,
+    ProbeBurst,
+)
 from quillroad.membership.suspicion import Suspicion
-from quillroad.membership.sweep import AFTER_S, REST_S, STEP_S, SWEPT, SWEPT_S, Sweep
 from tests.membership.test_core import core, ends, settled
 
 
 def swept(dead: float) -> float:
     """How many one member gets asked by all others together, with so many of them gone."""
-    sweep, now, asked = Sweep(), 10.0, 0.0
-    sweep.begin(now)
-    while sweep.lasts(now):
-        if sweep.due(now):
-            share = sweep.step(now)
+    burst, now, asked = ProbeBurst(), 10.0, 0.0
+    burst.begin(now)
+    while burst.is_active(now):
+        if burst.is_due(now):
+            share = burst.step(now)
             asked += share
             for i in range(100):
-                sweep.ended(answered=i >= 100 * dead)
+                burst.record_result(answered=i >= 100 * dead)
         now += STEP_S / 4
     return asked * (1 - dead)
 
 
 def test_the_fewer_are_left_the_more_each_asks() -> None:
     for dead in (0.0, 0.3, 0.7, 0.9):
-        assert 0.7 * SWEPT < swept(dead) < 1.5 * SWEPT
+        assert 0.7 * PROBES_PER_MEMBER < swept(dead) < 1.5 * PROBES_PER_MEMBER
 
 
 @given(st.lists(st.floats(0.0, 3.0), max_size=200))
 def test_sweeps_end_and_rest(waits: list[float]) -> None:
     """Suspicions whenever they come: it never lasts longer than a sweep, and rests after each."""
-    sweep, now, began = Sweep(), 0.0, float("-inf")
+    burst, now, began = ProbeBurst(), 0.0, float("-inf")
     for wait in waits:
         now += wait
-        before = sweep.lasts(now)
-        sweep.begin(now)
-        if sweep.lasts(now) and not before:
-            assert now - began >= SWEPT_S + AFTER_S + REST_S
+        before = burst.is_active(now)
+        burst.begin(now)
+        if burst.is_active(now) and not before:
+            assert now - began >= FULL_RATE_S + TAIL_S + REST_S
             began = now
-        if now - began > SWEPT_S + AFTER_S:
-            assert not sweep.lasts(now) and not sweep.due(now)
-        assert 0.0 < sweep.telling(now, 0.8) <= 0.8
+        if now - began > FULL_RATE_S + TAIL_S:
+            assert not burst.is_active(now) and not burst.is_due(now)
+        assert 0.0 < burst.gossip_fraction(now, 0.8) <= 0.8
 
 
 def test_seven_in_ten_of_sixty_are_missed_by_all_without_one_that_is_sound() -> None:
@@ -55,7 +62,7 @@
             fleet.members[number].kill()
         assert fleet.until(fleet.agreed, 10.0) is not None
         assert {number for _, number in ends(fleet, since)} == dead
-        assert all(m.peak_bytes <= fleet.timing.most_bytes for m in fleet.running())
+        assert all(m.peak_bytes <= fleet.timing.max_bytes_per_s for m in fleet.running())
 
 
 def test_one_that_is_cut_off_sweeps_nobody_away() -> None:
@@ -66,7 +73,7 @@
     since = fleet.world.now
     fleet.world.run(since + 4.0)
     # It has asked in turn and nobody answered: no sweep, that would make suspects of half of the fleet.
-    assert len(core(fleet, 7)._suspicions) < 8
+    assert len(core(fleet, 7).state.suspicions) < 8
     fleet.world.cut({7}, others, on=False)
     fleet.world.cut(others, {7}, on=False)
     assert fleet.until(fleet.agreed, 10.0) is not None
@@ -86,21 +93,23 @@
 
 @given(st.lists(st.booleans(), max_size=60))
 def test_what_is_lost_is_noticed_soon_and_forgotten(repeated: list[bool]) -> None:
-    condition = Condition(0.2, 3.0, 2.0, 2)
+    health = LocalHealth(0.2, 3.0, 2.0, 2)
     for i, one in enumerate(repeated):
-        condition.probed(True, float(i), one)
-        assert 0.0 <= condition.brisk <= 1.0 and 0.0 <= condition.lossy <= 1.0
-        assert condition.refuting >= condition.lossy_stretch >= 1.0
+        health.record_answer(float(i), one)
+        assert 0.0 <= health.fast_loss <= 1.0 and 0.0 <= health.loss <= 1.0
+        assert health.refutation_loss_factor >= health.probe_loss_factor >= 1.0
     for i in range(200):
-        condition.probed(True, float(i), False)
-    assert condition.lossy_stretch == 1.0 and condition.brisk < LIGHT_LOSSY * BRISK
+        health.record_answer(float(i), False)
+    assert (
+        health.probe_loss_factor == 1.0 and health.fast_loss < MAX_DIRECT_LOSS * FAST_LOSS_SMOOTHING
+    )
 
 
 def test_a_suspicion_waits_longer_once_more_gets_lost_and_never_shorter() -> None:
-    held = Suspicion(1, 0.0, 2.0, 4.0, 1, told=True, scale=1.0)
-    assert not held.scaled(1.1) and held.ends == 4.0
-    assert held.scaled(1.5) and held.ends == 6.0
-    assert not held.scaled(1.0) and held.ends == 6.0
+    held = Suspicion(1, 0.0, 2.0, 4.0, 1, others_know=True, scale=1.0)
+    assert not held.rescale(1.1) and held.expires_at == 4.0
+    assert held.rescale(1.5) and held.expires_at == 6.0
+    assert not held.rescale(1.0) and held.expires_at == 6.0
 
 
 def test_with_an_address_for_all_a_crash_costs_a_suspicions_wait() -> None:
@@ -110,10 +119,10 @@
     since = fleet.world.now
     assert fleet.until(fleet.agreed, 10.0) is not None
     first = min(
-        c.at for m in fleet.running() for c in m.history if c.what == "suspect" and c.at > since
+        c.at for m in fleet.running() for c in m.history if c.kind == "suspect" and c.at > since
     )
     heard = [
-        c.at for m in fleet.running() for c in m.history if c.what == "suspect" and c.at > since
+        c.at for m in fleet.running() for c in m.history if c.kind == "suspect" and c.at > since
     ]
     assert sum(at - first < 0.3 for at in heard) > 0.8 * len(heard)
 
@@ -133,6 +142,6 @@
     assert not [(a, b) for a, b in ends(fleet, since) if (a in one) == (b in one)]
     fleet.world.run(fleet.world.now + 5.0)
     for member in fleet.members:
-        assert core(fleet, member.number).held <= 1
-        assert not core(fleet, member.number)._aloud
-        assert member.peak_bytes <= fleet.timing.most_bytes
+        assert core(fleet, member.number).pending_entries <= 1
+        assert not core(fleet, member.number)._broadcaster.pending
+        assert member.peak_bytes <= fleet.timing.max_bytes_per_s
--- a/tests/membership/test_schedules.py
+++ b/tests/membership/test_schedules.py
@@ -8,13 +8,19 @@
 import msgspec
 import pytest
 
-from quillroad.membership import core as core_module
-from quillroad.membership.budget import Budget
-from quillroad.membership.claims import Claim, Standing
-from quillroad.membership.condition import Condition, Self
-from quillroad.membership.core import Core
+from quillroad.membership import refutation, suspicions
+from quillroad.membership.anti_entropy import AntiEntropy
+from quillroad.membership.gossip import Gossip
+from quillroad.membership.indirect_probe import IndirectProbes
+from quillroad.membership.local_health import HealthState, LocalHealth
+from quillroad.membership.member_table import MemberState, MemberStatus
+from quillroad.membership.member_updates import MemberUpdates
+from quillroad.membership.rate_limiter import RateLimiter
+from quillroad.membership.refutation import Refutation
+from quillroad.membership.rejoin import RejoinProbes
 from quillroad.membership.suspicion import Suspicion
-from quillroad.membership.view import Seen
+from quillroad.membership.suspicions import SuspicionTracker
+from quillroad.membership.view import Cause, MemberRecord
 from simulation.schedule import Schedule, Step, broken, draw, read_schedule, smaller, write_schedule
 
 SEEDS = range(1000, 1040)
@@ -79,59 +85,83 @@
     )
 
 
-def _at_once(self: Core, number: int, claim: Claim, by: int, how: str, now: float) -> None:
-    """Another's word that somebody is gone is taken for a fact."""
-    if self.claims.merge(number, claim):
-        self._queue.put(number)
-        if claim.standing is Standing.SUSPECT:
-            self._suspect(number, claim, by, how, now)
+def _apply_at_once(
+    self: MemberUpdates, number: int, status: MemberStatus, reporter: int, cause: Cause, now: float
+) -> None:
+    """Another's word that a member is faulty is taken for a fact."""
+    state = self._state
+    if state.table.merge(number, status):
+        state.gossip_queue.put(number)
+        if status.state is MemberState.SUSPECT:
+            self._suspicions.suspect(number, status, reporter, cause, now)
         else:
-            self._suspicions.pop(number, None)
-            self._set(number, Seen(claim.standing, claim.incarnation, now, how, by), now)
+            self._suspicions.end(number)
+            record = MemberRecord(status.state, status.incarnation, now, cause, reporter)
+            state.view.record(number, record, now)
 
 
-def _helps_stay(self: Core, now: float) -> None:
+def _keep_indirect_probes(self: IndirectProbes, now: float) -> None:
     """What was asked of this gateway is never over."""
-    for sequence, help_ in self._helps.items():
-        self._helps[sequence] = help_._replace(nack=1e9, ends=1e9)
+    for probe in self._probes.values():
+        probe.nack_at = probe.ends_at = 1e9
 
 
-def _brings_back(self: Core, number: int, claim: Claim, by: int, how: str, now: float) -> None:
+def _bring_back(
+    self: MemberUpdates, number: int, status: MemberStatus, reporter: int, cause: Cause, now: float
+) -> None:
     """Whoever is heard is said to have come back, though it did not say so itself."""
-    if how == "heard" and self.claims[number].standing is Standing.GONE:
-        claim = Claim(self.claims[number].incarnation + 1, Standing.ALIVE)
-    _claim(self, number, claim, by, how, now)
+    known = self._state.table[number]
+    if cause is Cause.HEARD and known.state is MemberState.FAULTY:
+        status = MemberStatus(known.incarnation + 1, MemberState.ALIVE)
+    _apply(self, number, status, reporter, cause, now)
+
+
+def _suspect_known_to_others(
+    self: SuspicionTracker,
+    number: int,
+    status: MemberStatus,
+    reporter: int,
+    cause: Cause,
+    now: float,
+) -> None:
+    """The time to refute a suspicion runs though nobody may have heard of it."""
+    _suspect(self, number, status, reporter, cause, now)
+    self._state.suspicions[number].others_know = True
 
 
-def _told_at_once(self: Core, number: int, claim: Claim, by: int, how: str, now: float) -> None:
-    """The time to refute a suspicion runs though nobody may have heard of it."""
-    _suspect(self, number, claim, by, how, now)
-    self._suspicions[number].told = True
+def _never_probe_absent(self: RejoinProbes, now: float) -> None:
+    """The first probe of an absent member is the last."""
+    if self.next_at <= now:
+        self.next_at = now + 1e9
 
 
-_claim, _suspect = Core._claim, Core._suspect
+_apply, _suspect = MemberUpdates.apply, SuspicionTracker.suspect
 FAULTS: dict[str, tuple[Any, str, Any]] = {
-    "what is said of oneself is not refuted": (Core, "_of_self", lambda *_: None),
-    "a suspicion never ends": (Suspicion, "ends", property(lambda self: self.began + 1e9)),
-    "the bound on bytes is not kept": (Budget, "take", lambda *_: True),
-    "nobody asks those that are gone": (
-        Core,
-        "_ask_gone",
-        lambda self, now: setattr(self, "_next_gone", now + 1e9),
+    "what is said of oneself is not refuted": (Refutation, "consider", lambda *_: None),
+    "a suspicion never ends": (
+        Suspicion,
+        "expires_at",
+        property(lambda self: self.started_at + 1e9),
     ),
+    "the bound on bytes is not kept": (RateLimiter, "try_acquire", lambda *_: True),
+    "nobody asks those that are gone": (RejoinProbes, "step", _never_probe_absent),
     "one that is not sound judges, heard or not": (
-        Condition,
+        LocalHealth,
         "state",
-        lambda self, now: Self.SOUND if self._heard > 0 else Self.ALONE,
+        lambda self, now: HealthState.HEALTHY if self._heard_at > 0 else HealthState.ISOLATED,
+    ),
+    "a suspicion that nobody heard of runs out": (
+        SuspicionTracker,
+        "suspect",
+        _suspect_known_to_others,
     ),
-    "a suspicion that nobody heard of runs out": (Core, "_suspect", _told_at_once),
-    "another's word that one is gone is a fact": (Core, "_claim", _at_once),
-    "help is never over": (Core, "_step_helps", _helps_stay),
-    "others bring one back": (Core, "_claim", _brings_back),
-    "what is certain on the other side of a heal is so here": (core_module, "MISLED_S", 0.0),
-    "what is new is never passed on": (Core, "_gossip", lambda *_: None),
-    "tables are not compared": (Core, "_compare", lambda *_: None),
-    "a refutation keeps its incarnation": (core_module, "MOST_INCARNATION", 1),
+    "another's word that one is gone is a fact": (MemberUpdates, "apply", _apply_at_once),
+    "help is never over": (IndirectProbes, "step", _keep_indirect_probes),
+    "others bring one back": (MemberUpdates, "apply", _bring_back),
+    "what is certain on the other side of a heal is so here": (suspicions, "FALSE_REPORT_S", 0.0),
+    "what is new is never passed on": (Gossip, "round", lambda *_: None),
+    "tables are not compared": (AntiEntropy, "compare", lambda *_: None),
+    "a refutation keeps its incarnation": (refutation, "MAX_INCARNATION", 1),
 }
 # Found by other tests: without gossip news still goes along with probes, and without the comparison of tables
 # with gossip: both cost time only, which no schedule judges.
--- a/tests/membership/test_followers.py
+++ b/tests/membership/test_service.py
@@ -11,8 +11,8 @@
 from quillroad.config import Config, Peers
 from quillroad.discovery.source import Source
 from quillroad.engine.engine import Engine
-from quillroad.membership.share import Part
-from quillroad.membership.socket import Fleet
+from quillroad.membership.quota_division import GatewayPosition
+from quillroad.membership.service import Fleet
 from testbed.gateway import free_port
 from tests.net import make_config, on_loop, told_settings
 
@@ -48,16 +48,16 @@
     path.write_text("[use]\nwindows = true\nrounds = true")
     engine, sources = Follower(), [Follower()]
     one = fleet(path, engine, sources)
-    one._give()
+    one._notify_followers()
     assert engine.heard == sources[0].heard == []  # they know the told number
-    one.part = Part(0, 2)
-    one._give()
-    one._give()
+    one._followers.position = GatewayPosition(0, 2)
+    one._notify_followers()
+    one._notify_followers()
     assert engine.heard == [GatewayCountChanged(0, 2)] and sources[0].heard == [(0, 2)]
     sources.append(
         Follower()
     )  # another source of hosts, by a reload: it knows the told number only
-    one._give()
+    one._notify_followers()
     assert sources[1].heard == [(0, 2)] and len(engine.heard) == 1
     path.write_text("[use]\nrounds = true")
     one.take(one.read(config()))
@@ -73,10 +73,10 @@
     engine = Follower()
     one = fleet(path, engine, [Follower()])
     one.start()
-    one.part = Part(0, 2)
-    one._give()
+    one._followers.position = GatewayPosition(0, 2)
+    one._notify_followers()
     one.serves = lambda: False
-    one._due()
+    one._tick()
     assert (
         engine.heard == [GatewayCountChanged(0, 2), GatewayCountChanged(2, 4)] and one.core is None
     )
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -13,7 +13,7 @@
 from quillroad.__main__ import main
 from quillroad.cli.fleet import differing
 from quillroad.config import Config, ConfigError, Peers
-from quillroad.membership.report import Line, Report, write_report
+from quillroad.membership.report import MemberLine, Report, write_report
 from quillroad.membership.settings import load_fleet
 from tests.net import make_config
 
@@ -94,12 +94,14 @@
     few = load_fleet(file(tmp_path, "[talk]\nfleet_bytes_per_second = 3072"), config())
     usual = load_fleet(file(tmp_path, ""), config())
     assert few is not None and usual is not None
-    assert few.timing.most_bytes == 1024 and few.timing.period_s > usual.timing.period_s
+    assert few.timing.max_bytes_per_s == 1024 and few.timing.period_s > usual.timing.period_s
 
 
 def report(number: int, state: str, *standings: str) -> Report:
     others = [n for n in range(len(standings) + 1) if n != number]
-    lines = [Line(n, s, 1, 2.0, 0.1, "heard", n) for n, s in zip(others, standings, strict=True)]
+    lines = [
+        MemberLine(n, s, 1, 2.0, 0.1, "heard", n) for n, s in zip(others, standings, strict=True)
+    ]
     return Report(
         f"n{number}", number, time.time(), 3, 1, state, 4.0, 2, (number, 3), True, lines, {}, 0, 0
     )
@@ -131,7 +133,7 @@
 IO = {"asyncio", "socket", "time", "random", "os", "threading"}
 
 
-def test_only_the_socket_reaches_for_the_world() -> None:
+def test_only_the_transport_and_the_service_do_io() -> None:
     """Cores take time and randomness as arguments; else the simulation's runs would not be the
     same each time."""
     for path in sorted((ROOT / "quillroad/membership").glob("*.py")):
@@ -141,14 +143,18 @@
                 names |= {alias.name.partition(".")[0] for alias in node.names}
             elif isinstance(node, ast.ImportFrom):
                 names.add((node.module or "").partition(".")[0])
-        assert path.name == "socket.py" or not names & IO, path
+        assert path.name in ("service.py", "transport.py") or not names & IO, path
+        assert path.name == "transport.py" or "socket" not in names, path
 
 
 def test_off_nothing_of_it_is_imported() -> None:
     import subprocess  # noqa: PLC0415
     import sys  # noqa: PLC0415
 
-    code = "import sys, quillroad.gateway, quillroad.start; print([m for m in sys.modules if 'fleet' in m])"
+    code = (
+        "import sys, quillroad.gateway, quillroad.start; "
+        "print([m for m in sys.modules if 'fleet' in m or 'quillroad.membership' in m])"
+    )
     done = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT
     )
--- a/tests/membership/test_wire.py
+++ b/tests/membership/test_wire.py
@@ -7,30 +7,30 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.membership.budget import Budget
+from quillroad.membership.rate_limiter import RateLimiter
 from quillroad.membership.wire import (
-    MOST_BYTES,
-    MOST_MEMBERS,
+    MAX_DATAGRAM_BYTES,
+    MAX_MEMBERS,
     VERSION,
     Datagram,
-    Kind,
-    Newer,
-    News,
-    Unreadable,
+    MessageKind,
+    NewerVersion,
+    UnreadableDatagram,
+    Update,
     decode,
     encode,
 )
 
 BITS = st.integers(0, 2**32 - 1)
-NUMBERS = st.integers(0, MOST_MEMBERS - 1)
-NEWS = st.builds(News, NUMBERS, BITS, st.integers(1, 4), st.integers(1, 7))
+NUMBERS = st.integers(0, MAX_MEMBERS - 1)
+NEWS = st.builds(Update, NUMBERS, BITS, st.integers(1, 4), st.integers(1, 7))
 DATAGRAMS = st.builds(
     Datagram,
     st.just(VERSION),
     NUMBERS,
     BITS,
     BITS,
-    st.sampled_from(list(Kind)),
+    st.sampled_from(list(MessageKind)),
     BITS,
     BITS,
     st.lists(NEWS, max_size=12).map(tuple),
@@ -41,7 +41,7 @@
 def readable(data: bytes) -> bool:
     try:
         decode(data)
-    except (Unreadable, Newer):
+    except (UnreadableDatagram, NewerVersion):
         return False
     return True
 
@@ -49,7 +49,7 @@
 @given(DATAGRAMS)
 def test_what_is_encoded_is_read(datagram: Datagram) -> None:
     data = encode(datagram)
-    assert len(data) > MOST_BYTES or decode(data) == datagram
+    assert len(data) > MAX_DATAGRAM_BYTES or decode(data) == datagram
 
 
 @given(st.binary(max_size=300))
@@ -67,13 +67,13 @@
     good = [VERSION, 3, 7, 1, 0, 9, 11, [], 0]
     assert readable(msgspec.msgpack.encode(good))
     for at, value in (
-        (1, MOST_MEMBERS),
+        (1, MAX_MEMBERS),
         (1, -1),
         (2, 2**32),
         (3, 2**32),
         (4, 9),
         (5, -1),
-        (8, MOST_MEMBERS),
+        (8, MAX_MEMBERS),
         (7, [[1, 1, 5, 0]]),
         (7, [[1, 1, 2, 8]]),
         (7, [[1, 1, 2, 0]]),
@@ -98,20 +98,20 @@
 
 
 def test_a_newer_version_still_tells_who_speaks() -> None:
-    with pytest.raises(Newer) as caught:
+    with pytest.raises(NewerVersion) as caught:
         decode(msgspec.msgpack.encode([VERSION + 1, 3, 7, 4, "whatever", {}]))
-    assert (caught.value.head.number, caught.value.head.incarnation) == (3, 4)
+    assert (caught.value.header.number, caught.value.header.incarnation) == (3, 4)
 
 
 @given(st.lists(st.tuples(st.floats(0, 0.4), st.integers(1, 256)), max_size=150))
 def test_no_second_holds_more_than_the_budget(asked: list[tuple[float, int]]) -> None:
-    budget, now, went = Budget(2000, 20), 0.0, list[tuple[float, int]]()
+    limiter, now, went = RateLimiter(2000, 20), 0.0, list[tuple[float, int]]()
     for wait_s, size in asked:
         now += wait_s
-        if budget.take(size, now):
+        if limiter.try_acquire(size, now):
             went.append((now, size))
-        assert budget.held <= 20
+        assert limiter.entries <= 20
     for began, _ in went:
         inside = [size for at, size in went if began <= at < began + 1.0]
         assert sum(inside) <= 2000 and len(inside) <= 20
-    assert budget.take(256, now + 1.0)  # and it comes back
+    assert limiter.try_acquire(256, now + 1.0)  # and it comes back
--- a/tests/recordings/fleet.py
+++ b/tests/recordings/fleet.py
@@ -11,16 +11,16 @@
 
 from immutables import Map
 
-from quillroad.membership.claims import Claim, Claims, Standing
-from quillroad.membership.condition import Self
 from quillroad.membership.core import Core
-from quillroad.membership.report import Line, Report, make_report, read_report, write_report
+from quillroad.membership.local_health import HealthState
+from quillroad.membership.member_table import MemberState, MemberStatus, MemberTable
+from quillroad.membership.quota_division import GatewayPosition
+from quillroad.membership.report import MemberLine, Report, make_report, read_report, write_report
 from quillroad.membership.roster import Roster
-from quillroad.membership.share import Part
-from quillroad.membership.socket import Fleet
+from quillroad.membership.service import Fleet
 from quillroad.membership.timing import Timing
-from quillroad.membership.view import Change, Seen, View
-from quillroad.membership.wire import VERSION, Datagram, Kind, News, decode, encode
+from quillroad.membership.view import Cause, Change, ChangeKind, MemberRecord, View
+from quillroad.membership.wire import VERSION, Datagram, MessageKind, Update, decode, encode
 from tests.net import make_config
 from tests.recordings.kinds import Documents
 
@@ -29,14 +29,26 @@
 RUN_S, STEP_S = 3.0, 0.05
 FUTURE_S = 4_000_000_000.25  # of the day: a command that shows a report does not call it old
 
-NEWS = (News(11, 12, int(Standing.SUSPECT), 5), News(13, 14, int(Standing.GONE)))
+NEWS = (Update(11, 12, int(MemberState.SUSPECT), 5), Update(13, 14, int(MemberState.FAULTY)))
 DATAGRAM = Datagram(
-    VERSION, 1, 2_000_000_002, 3, Kind.TABLE, 5, 6, NEWS, 7, (8, 9), b"\x10\x11", 18, (19, 20)
+    VERSION,
+    1,
+    2_000_000_002,
+    3,
+    MessageKind.TABLE,
+    5,
+    6,
+    NEWS,
+    7,
+    (8, 9),
+    b"\x10\x11",
+    18,
+    (19, 20),
 )
 LINES = [
-    Line(
+    MemberLine(
         number,
-        standing.name.lower(),
+        standing.reported_name,
         21 + number,
         22.125 + number,
         23.25 + number,
@@ -44,7 +56,7 @@
         24 + number,
     )
     for number, (standing, how) in enumerate(
-        zip(Standing, ("heard", "told", "silent", "timer", "told"), strict=True)
+        zip(MemberState, ("heard", "told", "silent", "timer", "told"), strict=True)
     )
 ]
 REPORT = Report(
@@ -67,18 +79,20 @@
 
 def datagrams() -> Documents:
     """One of each kind, one with every field, and the table of claims that one carries."""
-    claims = Claims(40)
+    claims = MemberTable(40)
     for number in range(40):
-        standing = list(Standing)[number % len(Standing)]
-        claims.merge(number, Claim(1 + number * number, standing, 1 + number % 7))
-    codes, base, others = claims.packed(range(3, 37))
-    told = {f"kind {kind.value}": encode(Datagram(VERSION, 1, 2, 3, kind, 4, 5)) for kind in Kind}
+        standing = list(MemberState)[number % len(MemberState)]
+        claims.merge(number, MemberStatus(1 + number * number, standing, 1 + number % 7))
+    statuses = claims.pack(range(3, 37))
+    told = {
+        f"kind {kind.value}": encode(Datagram(VERSION, 1, 2, 3, kind, 4, 5)) for kind in MessageKind
+    }
     told["every field"] = encode(DATAGRAM)
     told["table"] = encode(
-        Datagram(VERSION, 1, 2, 3, Kind.TABLE, 4, 5, (), 3, (), bytes(codes), base, tuple(others))
+        Datagram(VERSION, 1, 2, 3, MessageKind.TABLE, 4, 5, (), 3, (), *statuses)
     )
     told["sums"] = encode(
-        Datagram(VERSION, 1, 2, 3, Kind.SUMS, 4, 5, (), 0, tuple(claims.digests()))
+        Datagram(VERSION, 1, 2, 3, MessageKind.DIGESTS, 4, 5, (), 0, tuple(claims.chunk_digests()))
     )
     return told
 
@@ -116,7 +130,7 @@
     }
 
 
-def _view(state: Self, *seen: Seen) -> View:
+def _view(state: HealthState, *seen: MemberRecord) -> View:
     return View(51, 1, 52, state, 53.5, Map(dict(enumerate(seen, start=2))))
 
 
@@ -128,17 +142,21 @@
             Report("", 0, 0.0, 0, 0, "", 0.0, 0, (0, 0), False, [], {}, 0, 0)
         ).decode(),
     }
-    for state in Self:
-        for standing in Standing:
-            view = _view(state, Seen(standing, 54, 55.5, "told", 56))
+    for state in HealthState:
+        for standing in MemberState:
+            view = _view(state, MemberRecord(standing, 54, 55.5, Cause.REPORTED, 56))
             core = cast(
                 Any,
                 SimpleNamespace(
-                    view=view, heard={2: 57.25}.get, dropped={"malformed": 58}, unsent=59, held=60
+                    view=view,
+                    last_heard={2: 57.25}.get,
+                    dropped={"malformed": 58},
+                    unsent=59,
+                    pending_entries=60,
                 ),
             )
-            report = make_report(core, "n1", Part(1, 3), True, 100.0, 1_700_000_000.5)
-            told[f"{state.value}, {standing.name.lower()}"] = write_report(report).decode()
+            report = make_report(core, "n1", GatewayPosition(1, 3), True, 100.0, 1_700_000_000.5)
+            told[f"{state.value}, {standing.reported_name}"] = write_report(report).decode()
     return told
 
 
@@ -162,18 +180,18 @@
             settings = fleet.settings
             assert settings is not None
             fleet._files = cast(Any, SimpleNamespace(append=lambda path, line: lines.append(line)))
-            fleet._open_events(settings)
+            fleet._open_change_log(settings)
             fleet.core = cast(
                 Any,
                 SimpleNamespace(
                     number=0,
                     changes=[
-                        Change(61.0625, 1, "gone", 62, "timer", 2),
-                        Change(63.0, 3, "alive", 64, "heard", 4),
+                        Change(61.0625, 1, ChangeKind.FAULTY, 62, Cause.TIMEOUT, 2),
+                        Change(63.0, 3, ChangeKind.ALIVE, 64, Cause.HEARD, 4),
                     ],
                 ),
             )
-            fleet._tell_changes()
+            fleet._record_changes(fleet.core)
             return lines
 
     lines = [json.loads(line) for line in asyncio.run(run())]
