--- a/quillroad/cli/fleet.py
+++ b/quillroad/cli/fleet.py
@@ -4,6 +4,7 @@
 
 import sys
 import time
+from collections.abc import Sequence
 from pathlib import Path
 
 import click
@@ -11,10 +12,35 @@
 from rich.console import Console
 from rich.table import Table
 
+from quillroad.membership.local_health import HealthState
+from quillroad.membership.member_table import MemberState
 from quillroad.membership.report import Report, read_report
 
-STALE_S = 10.0  # after which a report says nothing of now
-SHORT = {"alive": "+", "suspect": "?", "gone": "-", "left": "<", "unknown": "."}
+STALE_S = 10.0  # after which a report says nothing of the present
+MIN_WIDTH = 110  # columns, so that the table does not wrap where the output is no terminal
+EXIT_UNREADABLE = 1
+EXIT_DIFFERING = 3
+SIGNS = {
+    MemberState.ALIVE.reported_name: "+",
+    MemberState.SUSPECT.reported_name: "?",
+    MemberState.FAULTY.reported_name: "-",
+    MemberState.LEFT.reported_name: "<",
+    MemberState.UNKNOWN.reported_name: ".",
+}
+OWN_SIGN = "o"
+COLUMNS = (
+    "gateway",
+    "number",
+    "thinks of itself",
+    "there",
+    "divides by",
+    "settled",
+    "others",
+    "not heard for",
+    "dropped",
+    "report",
+)
+CAPTION = "+ alive  ? suspect  - gone  < left  . never heard of  o itself"
 
 
 @click.command()
@@ -25,80 +51,84 @@
 def fleet(reports: tuple[Path, ...], as_json: bool) -> int:
     """Who sees whom, since when, and where two views differ, from the REPORT files of gateways.
 
-    The status is 1 where a report cannot be read, 3 where views differ or a gateway is not sound."""
-    told: list[Report] = []
-    status = 0
-    for path in reports:
+    The status is 1 where a report cannot be read, 3 where views differ or a gateway is not sound.
+    """
+    views = _read_all(reports)
+    differences = differing(views)
+    if as_json:
+        print(msgspec.json.encode({"views": views, "differ": differences}).decode())
+    else:
+        _print_tables(views, differences)
+    if len(views) < len(reports):
+        return EXIT_UNREADABLE
+    unsound = any(view.state != HealthState.HEALTHY for view in views)
+    return EXIT_DIFFERING if differences or unsound else 0
+
+
+def _read_all(paths: Sequence[Path]) -> list[Report]:
+    """Return the reports that can be read, by number; say of the others why not."""
+    views: list[Report] = []
+    for path in paths:
         try:
-            told.append(read_report(path.read_bytes()))
+            views.append(read_report(path.read_bytes()))
         except OSError as error:
             print(f"quillroad: cannot read {path}: {error.strerror}", file=sys.stderr)
-            status = 1
         except msgspec.MsgspecError as error:
             print(f"quillroad: {path} is no report: {error}", file=sys.stderr)
-            status = 1
-    told.sort(key=lambda report: report.number)
-    apart = differing(told)
-    if as_json:
-        print(msgspec.json.encode({"views": told, "differ": apart}).decode())
-    else:
-        console = Console(width=max(110, Console().width))
-        console.print(shown(told, time.time()))
-        for number, views in apart.items():
-            said = "; ".join(
-                f"{', '.join(map(str, by))}: {standing}" for standing, by in views.items()
-            )
-            console.print(f"gateway {number} by what each holds of it: {said}")
-    unsound = any(report.state != "sound" for report in told)
-    return status or (3 if apart or unsound else 0)
-
-
-def differing(told: list[Report]) -> dict[int, dict[str, list[int]]]:
-    """Of each member on which two views differ: who holds what of it. A gateway holds itself for alive."""
-    held: dict[int, dict[str, list[int]]] = {}
-    for report in told:
-        held.setdefault(report.number, {}).setdefault("alive", []).append(report.number)
-        for line in report.members:
-            held.setdefault(line.number, {}).setdefault(line.standing, []).append(report.number)
-    return {number: views for number, views in sorted(held.items()) if len(views) > 1}
-
-
-def shown(told: list[Report], now: float) -> Table:
-    """A line for each gateway; of the others one sign each, in the order of their numbers."""
-    table = Table(
-        "gateway",
-        "number",
-        "thinks of itself",
-        "there",
-        "divides by",
-        "settled",
-        "others",
-        "not heard for",
-        "dropped",
-        "report",
-        caption="+ alive  ? suspect  - gone  < left  . never heard of  o itself",
-    )
-    for report in told:
-        signs = {line.number: SHORT[line.standing] for line in report.members} | {
-            report.number: "o"
-        }
-        heard = [
-            line.heard_s
-            for line in report.members
-            if line.standing == "alive" and line.heard_s >= 0
-        ]
-        place, of = report.part
-        age = now - report.at
-        table.add_row(
-            report.gateway,
-            str(report.number),
-            report.state,
-            f"{report.there} of {len(signs)}",
-            f"{of} (place {place})" if report.used else "the told number",
-            f"{report.settled_s:.1f} s" if report.settled_s >= 0 else "no",
-            "".join(signs[number] for number in sorted(signs)),
-            f"{max(heard):.1f} s" if heard else "",
-            str(sum(report.dropped.values())),
-            f"{age:.0f} s old" if age > STALE_S else "now",
+    return sorted(views, key=lambda view: view.number)
+
+
+def _print_tables(views: list[Report], differences: dict[int, dict[str, list[int]]]) -> None:
+    console = Console(width=max(MIN_WIDTH, Console().width))
+    console.print(view_table(views, time.time()))
+    for number, by_state in differences.items():
+        said = "; ".join(
+            f"{', '.join(map(str, observers))}: {state}" for state, observers in by_state.items()
         )
+        console.print(f"gateway {number} by what each holds of it: {said}")
+
+
+def differing(views: list[Report]) -> dict[int, dict[str, list[int]]]:
+    """Return each member on which two views differ: by state, the numbers of who sees it so.
+
+    A gateway sees itself as alive.
+    """
+    observers: dict[int, dict[str, list[int]]] = {}
+    alive = MemberState.ALIVE.reported_name
+    for view in views:
+        observers.setdefault(view.number, {}).setdefault(alive, []).append(view.number)
+        for line in view.members:
+            by_state = observers.setdefault(line.number, {})
+            by_state.setdefault(line.standing, []).append(view.number)
+    return {number: by_state for number, by_state in sorted(observers.items()) if len(by_state) > 1}
+
+
+def view_table(views: list[Report], now: float) -> Table:
+    """Return a line for each gateway, with a sign for each other one by number."""
+    table = Table(*COLUMNS, caption=CAPTION)
+    for view in views:
+        table.add_row(*_row(view, now))
     return table
+
+
+def _row(view: Report, now: float) -> list[str]:
+    signs = {line.number: SIGNS[line.standing] for line in view.members}
+    signs[view.number] = OWN_SIGN
+    alive = MemberState.ALIVE.reported_name
+    silent_s = [
+        line.heard_s for line in view.members if line.standing == alive and line.heard_s >= 0
+    ]
+    index, count = view.part
+    age_s = now - view.at
+    return [
+        view.gateway,
+        str(view.number),
+        view.state,
+        f"{view.there} of {len(signs)}",
+        f"{count} (place {index})" if view.used else "the told number",
+        f"{view.settled_s:.1f} s" if view.settled_s >= 0 else "no",
+        "".join(signs[number] for number in sorted(signs)),
+        f"{max(silent_s):.1f} s" if silent_s else "",
+        str(sum(view.dropped.values())),
+        f"{age_s:.0f} s old" if age_s > STALE_S else "now",
+    ]
--- a/quillroad/membership/anti_entropy.py
+++ b/quillroad/membership/anti_entropy.py
@@ -39,7 +39,7 @@
         self._next_at = now
 
     def compare(self, datagram: Datagram, now: float) -> None:
-        """Compare the whole tables' digests; where they differ, ask for the chunks that do, now and then."""
+        """Compare the tables' digests; if they differ, ask for the chunks that do, now and then."""
         state = self._state
         if datagram.digest == state.table.digest:
             return
--- a/quillroad/membership/broadcast.py
+++ b/quillroad/membership/broadcast.py
@@ -1,4 +1,4 @@
-"""Announcing what others can have from this member only: by gossip, and by broadcast where there is one. Pure."""
+"""Announcing what only this member knows, by gossip and, where there is one, broadcast. Pure."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
             self.flush(now)
 
     def flush(self, now: float) -> None:
-        """Broadcast what is pending: as updates, or as the part of the table with the first of it."""
+        """Broadcast what is pending: as updates, or as a part of the table."""
         state = self._state
         interval_s = max(MIN_INTERVAL_S, state.cluster_size * CLUSTER_INTERVAL_S)
         self._next_at = now + interval_s * (0.5 + state.draw())
--- a/quillroad/membership/change_log.py
+++ b/quillroad/membership/change_log.py
@@ -29,7 +29,7 @@
 
 
 class ChangeLog:
-    """Writes to `path`, or to the log only where that is None. `gateway_index` stands in each line."""
+    """Writes to `path`, None: to the log only. Each line names `gateway_index`."""
 
     def __init__(self, files: Writer, path: Path | None, gateway_index: int) -> None:
         self._gateway_index = gateway_index
--- a/quillroad/membership/core.py
+++ b/quillroad/membership/core.py
@@ -1,4 +1,4 @@
-"""One gateway's part in the membership protocol: SWIM (Das 2002) with Lifeguard (Dadgar 2018). Pure.
+"""One gateway's part in the protocol: SWIM (Das 2002) with Lifeguard (Dadgar 2018). Pure.
 
 Datagrams and the time go in; datagrams, changes of the view and the time of the next step come out.
 The work is done by one module for each concern; this one says which of them sees what.
@@ -286,7 +286,7 @@
     # Leaving, and another roster.
 
     def leave(self, now: float) -> None:
-        """Say that this member leaves, to as many as the budget allows; from now on it probes nobody."""
+        """Tell as many as the budget allows that this member leaves; it probes nobody any more."""
         state = self.state
         state.has_left = True
         state.table.merge(state.number, MemberStatus(state.incarnation, MemberState.LEFT))
@@ -299,7 +299,7 @@
                 break
 
     def change_roster(self, roster: Roster, now: float) -> None:
-        """Take another roster: more or fewer members, or other addresses. Numbers keep their meaning.
+        """Take a longer or shorter roster, or other addresses; numbers keep their meaning.
 
         Raises `ValueError` where the own number is another.
         """
--- a/quillroad/membership/failure_detector.py
+++ b/quillroad/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: direct and indirect probes, and suspicion of members that do not answer. Pure.
+"""SWIM's failure detector: direct and indirect probes, and what silence leads to. Pure.
 
 Each period one member is probed: a PING, repeated until it is answered, then through other members.
 When many are suspected at once, direct-only probes take the place of full ones, some of them in
@@ -132,7 +132,7 @@
                 return
 
     def _unheard(self, now: float) -> list[int]:
-        """Return the present members not heard for a period, neither probed nor found silent here."""
+        """Return the present members not heard for a period, nor probed or found silent here."""
         state = self._state
         own_slot = suspector_slot(state.number)
         excluded = {probe.number for probe in self._probes.values()}
@@ -260,7 +260,7 @@
         self._updates.apply(probe.number, suspicion, state.number, Cause.UNANSWERED, now)
 
     def _missing_at_start(self, number: int, now: float) -> None:
-        """A member never heard of does not answer: it may not have started yet, so others are not told."""
+        """A member never heard of is silent: it may not have started, so others are not told."""
         state = self._state
         if now - state.started_at >= state.timing.join_timeout_s:
             record = MemberRecord(MemberState.FAULTY, 0, now, Cause.UNANSWERED, state.number)
--- a/quillroad/membership/indirect_probe.py
+++ b/quillroad/membership/indirect_probe.py
@@ -1,4 +1,4 @@
-"""Probing on behalf of others: a PING_REQ is answered by an ACK, or by a NACK while there is none. Pure."""
+"""Probing on behalf of others: a PING_REQ is answered by an ACK or a NACK. Pure."""
 
 from __future__ import annotations
 
--- a/quillroad/membership/live_count.py
+++ b/quillroad/membership/live_count.py
@@ -13,7 +13,7 @@
 
 
 class LiveCountFollowers:
-    """The engine's subsets and the source's polling rounds, as far as the settings have them follow."""
+    """The engine's subsets and the source's polling rounds, each if the settings say so."""
 
     def __init__(self, configured: GatewayPosition) -> None:
         self._configured = configured
@@ -23,7 +23,7 @@
         self._source: Callable[[], Source] | None = None
 
     def attach(self, engine: Engine, source: Callable[[], Source]) -> None:
-        """Whom to tell; `source` returns the present source of hosts. Both know the configured position."""
+        """Whom to tell; `source` returns the present one. Both know the configured position."""
         self._engine = engine
         self._source = source
         self._known_subset = self._configured
@@ -54,12 +54,12 @@
         """
         if self._engine is None or self._source is None:
             return
-        subset = self.position if settings.windows else self._configured
+        subset = self.position if settings.subset_follows else self._configured
         if subset != self._known_subset:
             self._known_subset = subset
             self._engine.feed(GatewayCountChanged(subset.gateway_index, subset.gateway_count))
         source = self._source()
-        rounds = self.position if settings.rounds else self._configured
+        rounds = self.position if settings.polling_follows else self._configured
         if (source, rounds) != (self._known_source, self._known_rounds):
             self._known_source = source
             self._known_rounds = rounds
--- a/quillroad/membership/local_health.py
+++ b/quillroad/membership/local_health.py
@@ -88,7 +88,7 @@
             self.score = max(0, self.score - 1)
 
     def record_no_answer(self, helpers_heard: bool) -> None:
-        """A probe was not answered; where its helpers were heard, the fault is not this gateway's own."""
+        """A probe was not answered; if its helpers were heard, the fault is not this gateway's."""
         self._unanswered_in_a_row += 1
         if not helpers_heard:
             self._degrade()
@@ -106,7 +106,7 @@
 
     @property
     def probe_loss_factor(self) -> float:
-        """The factor on waits for an answer, where more datagrams get lost than usual; 1 or more."""
+        """The factor (1 or more) on waits for an answer while more than the usual gets lost."""
         if not self._lifeguard:
             return 1.0
         return 1.0 + LOSS_TIMEOUT_FACTOR * max(0.0, self.loss - USUAL_LOSS)
@@ -125,7 +125,7 @@
 
     @property
     def is_in_doubt(self) -> bool:
-        """Whether the next probe should go to a member just heard, to see which side is at fault."""
+        """Whether to probe a member just heard next, to see which side is at fault."""
         return self._unanswered_in_a_row >= UNANSWERED_IN_A_ROW - 1
 
     def state(self, now: float) -> HealthState:
--- a/quillroad/membership/member_table.py
+++ b/quillroad/membership/member_table.py
@@ -1,4 +1,4 @@
-"""Member states with incarnations, merged so that order, repetition and loss of messages do not matter.
+"""Member states with incarnations, merged so that order and repetition do not matter.
 
 The higher incarnation wins; within one incarnation the worse state does, and two suspicions unite
 their suspectors. Only a member itself raises its incarnation, so nobody can bring back a member
@@ -84,7 +84,7 @@
 
 
 def credible(incarnation: int, known: int) -> bool:
-    """Whether another's word is believed that a member, last heard of at `known`, has this incarnation.
+    """Whether a report is believed that a member, known at `known`, has this incarnation.
 
     Without this, one false report of the last incarnation makes every later suspicion irrefutable.
     """
@@ -124,7 +124,7 @@
 
 
 class MemberTable:
-    """The highest status of each of `size` members, with a digest of the whole and of each chunk."""
+    """The highest status of each of `size` members, with a digest of all and of each chunk."""
 
     def __init__(self, size: int) -> None:
         self._statuses = [NOTHING_KNOWN] * size
@@ -166,7 +166,7 @@
         return list(self._digests)
 
     def differing_chunks(self, digests: Sequence[int], first: int = 0) -> Iterator[range]:
-        """Yield the members of each chunk, from chunk `first` on, whose digest differs from that given."""
+        """Yield the members of each chunk, from chunk `first` on, whose digest is another."""
         for i, (own, other) in enumerate(zip(self._digests[first:], digests, strict=False), first):
             if own != other:
                 start = i * CHUNK_MEMBERS
--- a/quillroad/membership/member_updates.py
+++ b/quillroad/membership/member_updates.py
@@ -43,7 +43,7 @@
     def apply(
         self, number: int, status: MemberStatus, reporter: int, cause: Cause, now: float
     ) -> None:
-        """Merge a status of another member into the table, pass it on, and follow it in the view."""
+        """Merge another member's status into the table, pass it on, and follow it in the view."""
         state = self._state
         if cause is Cause.REPORTED and not credible(
             status.incarnation, state.table[number].incarnation
--- a/quillroad/membership/probe_burst.py
+++ b/quillroad/membership/probe_burst.py
@@ -56,5 +56,5 @@
         return count if now <= self._until - TAIL_S else TAIL_RATE * count
 
     def gossip_fraction(self, now: float, usual: float) -> float:
-        """Return the part of the send budget for gossip, `usual` where no burst is at its full rate."""
+        """Return the part of the send budget for gossip, `usual` outside of a burst's full rate."""
         return GOSSIP_FRACTION if now < self._until - TAIL_S else usual
--- a/quillroad/membership/probe_targets.py
+++ b/quillroad/membership/probe_targets.py
@@ -32,13 +32,13 @@
         return None
 
     def _is_skipped(self, member_state: MemberState) -> bool:
-        """Absent members are probed apart; of many suspects too, so that others get their turn sooner."""
+        """Absent members, and suspects where they are many, are probed apart from the order."""
         if member_state is MemberState.SUSPECT:
             return len(self._state.suspicions) >= MASS_FAILURE_SUSPECTS
         return member_state in ABSENT
 
     def _last_heard(self, now: float) -> int | None:
-        """Return the member heard last, within the time after which this one takes itself for cut off."""
+        """Return the member heard last, if that is less than `isolation_s` ago."""
         state = self._state
         since = now - state.timing.isolation_s
         heard = [
--- a/quillroad/membership/quota_division.py
+++ b/quillroad/membership/quota_division.py
@@ -21,7 +21,7 @@
 
 
 class QuotaDivision:
-    """`configured` is the position by the settings; `hold_s` (s) how long a view has to be certain."""
+    """`configured` is the position by the settings, `hold_s` how long a view has to be settled."""
 
     def __init__(self, configured: GatewayPosition, hold_s: float) -> None:
         self._configured = configured
--- a/quillroad/membership/rate_limiter.py
+++ b/quillroad/membership/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Bound on the bytes and datagrams that pass in any stretch of a second. Pure: the time is passed in."""
+"""Bound on the bytes and datagrams that pass in any stretch of a second. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RateLimiter:
-    """Sliding window over the last second, for what is sent to all and for what is read from one member."""
+    """Sliding window over the last second: one for all sends, one for each sender read from."""
 
     def __init__(self, max_bytes_per_s: int, max_datagrams_per_s: int) -> None:
         self.max_bytes_per_s = max_bytes_per_s
@@ -24,7 +24,7 @@
         return max(self._bytes / self.max_bytes_per_s, len(self._passed) / self.max_datagrams_per_s)
 
     def try_acquire(self, size: int, now: float, fraction: float = 1.0) -> bool:
-        """Spend `size` bytes and one datagram, unless more than `fraction` of a bound were spent then.
+        """Spend `size` bytes and one datagram, if no more than `fraction` of a bound is spent then.
 
         Less urgent traffic passes a smaller fraction, which leaves the rest to probes and their
         answers.
--- a/quillroad/membership/rejoin.py
+++ b/quillroad/membership/rejoin.py
@@ -10,7 +10,7 @@
 
 
 class RejoinProbes:
-    """Probes an absent member now and then, for ever, or broadcasts a part of the table with one."""
+    """Probes an absent member now and then, or broadcasts a part of the table with one."""
 
     def __init__(
         self, state: LocalState, sender: DatagramSender, tables: TableTransfer, now: float
--- a/quillroad/membership/report.py
+++ b/quillroad/membership/report.py
@@ -15,7 +15,7 @@
 
 
 class MemberLine(Struct):
-    """One member, under the stored names: `standing` is its state, `how` the cause, `by` the reporter.
+    """One member: `standing` is its state, `how` the cause, `by` the reporter.
 
     `since_s` and `heard_s` are seconds ago; `heard_s` is -1 where it was never heard itself.
     """
--- a/quillroad/membership/sender.py
+++ b/quillroad/membership/sender.py
@@ -1,4 +1,4 @@
-"""Building datagrams within the send budget, with updates piggybacked on them. Pure: they go to an outbox."""
+"""Building datagrams within the send budget, with piggybacked updates, for an outbox. Pure."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
         fraction: float = 1.0,
         updates: tuple[Update, ...] | None = None,
     ) -> int | None:
-        """Send a PING with a new sequence number; return that, or None where the budget is spent."""
+        """Send a PING; return its new sequence number, or None where the budget is spent."""
         self._sequence = (self._sequence + 1) & 0xFFFFFFFF
         payload = Payload(MessageKind.PING, self._sequence)
         sent = self.send(target, payload, now, fraction=fraction, updates=updates)
--- a/quillroad/membership/service.py
+++ b/quillroad/membership/service.py
@@ -1,4 +1,4 @@
-"""Membership in a running gateway: its lifetime, its clock, and who is told what follows from the view."""
+"""Membership in a running gateway: its lifetime, its clock, and who follows the view."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
 
     def _open_change_log(self, settings: FleetSettings) -> None:
         index = self._config.settings.gateway_index
-        self._change_log = ChangeLog(self._files, settings.changes, index)
+        self._change_log = ChangeLog(self._files, settings.change_log_path, index)
 
     def _join(self) -> None:
         settings = self.settings
@@ -126,7 +126,7 @@
         self.core = None
 
     def _step_aside(self) -> None:
-        """The other process of this gateway takes part in its place: the same member, another run."""
+        """The other process of this gateway takes over: the same member, another run."""
         self._close()
         self.core = None
         self._followers.reset()
@@ -153,7 +153,7 @@
         return load_fleet(self._path, replace(config, settings=self._config.settings))
 
     def take(self, settings: FleetSettings | None) -> None:
-        """Take another roster, who follows, and reports; times and the own address need a restart."""
+        """Take another roster, followers and reports; times and the address need a restart."""
         if settings is None or self.settings is None:
             return
         if settings.listen != self.settings.listen or settings.timing != self.settings.timing:
@@ -250,12 +250,12 @@
         core = self.core
         if settings is None or core is None:
             return
-        if settings.report is not None:
-            used = settings.windows or settings.rounds
+        if settings.report_path is not None:
+            used = settings.subset_follows or settings.polling_follows
             position = self._followers.position
             report = make_report(core, self._config.name, position, used, monotonic(), time.time())
-            self._files.replace(settings.report, write_report(report))
-        self._report_timer = self._loop.call_later(settings.every_s, self._report)
+            self._files.replace(settings.report_path, write_report(report))
+        self._report_timer = self._loop.call_later(settings.report_interval_s, self._report)
 
 
 def _address(core: Core, outgoing: Outgoing) -> tuple[str, int]:
--- a/quillroad/membership/settings.py
+++ b/quillroad/membership/settings.py
@@ -1,10 +1,13 @@
-"""The file that turns the view of the fleet on: `deploy/fleet.toml` explains each field. Needs `msgspec`."""
+"""Settings of the membership, from the file that turns it on. Needs `msgspec`.
+
+`deploy/fleet.toml` explains each field of the file.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 from pathlib import Path
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta, Struct
@@ -15,7 +18,12 @@
 from quillroad.membership.timing import Timing
 from quillroad.membership.wire import MAX_DATAGRAM_BYTES, MAX_MEMBERS
 
-NEEDED = 400  # bytes that probes, answers and help take in a period, in a fleet without news
+QUIET_PERIOD_BYTES = 400  # that probes, answers and help take in a period without updates
+QUIET_FRACTION = 0.4  # of the send budget that they may take, so that updates have the rest
+MIN_BYTES_PER_S = 4 * MAX_DATAGRAM_BYTES  # less sends no probe, answer, help and gossip in a second
+MAX_ANSWER_FRACTION = 0.6  # of the period: the rest is for indirect probes
+GOSSIP_PERIODS = 0.4  # between two rounds of gossip
+RETRANSMIT_FRACTION = 0.75  # of the probe timeout, between two PINGs of a probe
 
 
 class _Members(Struct, forbid_unknown_fields=True):
@@ -27,7 +35,7 @@
 class _Talk(Struct, forbid_unknown_fields=True):
     period: Duration = "500 ms"
     answer: Duration = "200 ms"
-    bytes_per_second: Annotated[int, Meta(ge=4 * MAX_DATAGRAM_BYTES, le=1_000_000)] = 2000
+    bytes_per_second: Annotated[int, Meta(ge=MIN_BYTES_PER_S, le=1_000_000)] = 2000
     datagrams_per_second: Annotated[int, Meta(ge=10, le=10_000)] = 80
     fleet_bytes_per_second: Annotated[int, Meta(ge=0, le=10**9)] = 0
 
@@ -53,59 +61,86 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """`windows` and `rounds` say what follows the live number; `report` and `changes` are where the view and
-    each change of it are written, None: nowhere. Times in seconds."""
+    """What the file means for one gateway. Times in seconds.
+
+    `subset_follows` and `polling_follows` say which quotas are divided by the live count, once the
+    view has been settled for `hold_s`. The view is written to `report_path` and each change of it
+    to `change_log_path`; None: nowhere.
+    """
 
     roster: Roster
     listen: Address
     timing: Timing
-    windows: bool
-    rounds: bool
+    subset_follows: bool
+    polling_follows: bool
     hold_s: float
-    report: Path | None
-    every_s: float
-    changes: Path | None
+    report_path: Path | None
+    report_interval_s: float
+    change_log_path: Path | None
+
+
+class _Addresses(NamedTuple):
+    """The members' addresses, and the field of the settings that they come from."""
+
+    listen: Address
+    members: list[Address]
+    everyone: Address | None
+    field: str
 
 
 def load_fleet(path: Path, config: Config) -> FleetSettings | None:
-    """The file's meaning for a gateway; None where the platform forbids talk between gateways. Raises
-    `ConfigError`."""
-    told = read_toml(path, _File)
-    if told.members.listen or told.members.addresses:
-        listen = read_address(told.members.listen, "members.listen")
-        addresses = [
-            read_address(a, f"members.addresses[{i}]") for i, a in enumerate(told.members.addresses)
-        ]
-        everyone = None
-        if told.members.everyone:
-            everyone = read_address(told.members.everyone, "members.everyone")
-        field = "members.addresses"
-    elif told.members.everyone:
-        raise ConfigError("members.everyone: goes with members.listen and members.addresses")
-    elif config.peers is None:
+    """Return the file's meaning; None where the platform forbids talk between gateways.
+
+    Raises `ConfigError`.
+    """
+    document = read_toml(path, _File)
+    addresses = _addresses(document.members, config)
+    if addresses is None:
         return None
-    else:
-        listen, addresses, field = config.peers.listen, list(config.peers.addresses), "peers"
-        everyone = config.peers.everyone
-    if not 2 <= len(addresses) <= MAX_MEMBERS:
-        raise ConfigError(f"{field}: needs 2 to {MAX_MEMBERS} addresses, not {len(addresses)}")
-    try:
-        roster = Roster(addresses, config.settings.gateway_index, everyone)
-    except ValueError as error:
-        raise ConfigError(f"{field}: {error}") from None
+    roster = _roster(addresses, config.settings.gateway_index)
     return FleetSettings(
         roster=roster,
-        listen=listen,
-        timing=_timing(told.talk, len(roster)),
-        windows=told.use.windows,
-        rounds=told.use.rounds,
-        hold_s=within(told.use.hold, "use.hold", 0.1, 3600.0),
-        report=output_file(told.report.file, "report.file", config.name),
-        every_s=within(told.report.every, "report.every", 0.05, 3600.0),
-        changes=output_file(told.report.changes, "report.changes", config.name),
+        listen=addresses.listen,
+        timing=_timing(document.talk, len(roster)),
+        subset_follows=document.use.windows,
+        polling_follows=document.use.rounds,
+        hold_s=within(document.use.hold, "use.hold", 0.1, 3600.0),
+        report_path=output_file(document.report.file, "report.file", config.name),
+        report_interval_s=within(document.report.every, "report.every", 0.05, 3600.0),
+        change_log_path=output_file(document.report.changes, "report.changes", config.name),
     )
 
 
+def _addresses(members: _Members, config: Config) -> _Addresses | None:
+    """Return the file's addresses, else the platform's; None where it has none."""
+    if members.listen or members.addresses:
+        return _Addresses(
+            read_address(members.listen, "members.listen"),
+            [
+                read_address(address, f"members.addresses[{i}]")
+                for i, address in enumerate(members.addresses)
+            ],
+            read_address(members.everyone, "members.everyone") if members.everyone else None,
+            "members.addresses",
+        )
+    if members.everyone:
+        raise ConfigError("members.everyone: goes with members.listen and members.addresses")
+    peers = config.peers
+    if peers is None:
+        return None
+    return _Addresses(peers.listen, list(peers.addresses), peers.everyone, "peers")
+
+
+def _roster(addresses: _Addresses, own_number: int) -> Roster:
+    count = len(addresses.members)
+    if not 2 <= count <= MAX_MEMBERS:
+        raise ConfigError(f"{addresses.field}: needs 2 to {MAX_MEMBERS} addresses, not {count}")
+    try:
+        return Roster(addresses.members, own_number, addresses.everyone)
+    except ValueError as error:
+        raise ConfigError(f"{addresses.field}: {error}") from None
+
+
 def _timing(talk: _Talk, members: int) -> Timing:
     timing = Timing(
         period_s=within(talk.period, "talk.period", 0.05, 60.0),
@@ -113,23 +148,28 @@
         max_bytes_per_s=talk.bytes_per_second,
         max_datagrams_per_s=talk.datagrams_per_second,
     )
-    if timing.probe_timeout_s > 0.6 * timing.period_s:
+    if timing.probe_timeout_s > MAX_ANSWER_FRACTION * timing.period_s:
         raise ConfigError(
             "talk.answer: needs six tenths of talk.period at most, for others to help"
         )
     if talk.fleet_bytes_per_second:
-        own = min(timing.max_bytes_per_s, talk.fleet_bytes_per_second // members)
-        if own < 4 * MAX_DATAGRAM_BYTES:
+        own_bytes = min(timing.max_bytes_per_s, talk.fleet_bytes_per_second // members)
+        if own_bytes < MIN_BYTES_PER_S:
             raise ConfigError(
-                f"talk.fleet_bytes_per_second: needs {4 * MAX_DATAGRAM_BYTES} for each of {members}"
+                f"talk.fleet_bytes_per_second: needs {MIN_BYTES_PER_S} for each of {members}"
             )
-        timing = replace(timing, max_bytes_per_s=own)
-    # A budget that is small has longer periods, not probes that cannot be sent.
-    slower = max(1.0, NEEDED / timing.period_s / (0.4 * timing.max_bytes_per_s))
+        timing = replace(timing, max_bytes_per_s=own_bytes)
+    return _slowed_to_budget(timing)
+
+
+def _slowed_to_budget(timing: Timing) -> Timing:
+    """Lengthen all intervals where the send budget is small; else probes could not be sent."""
+    needed_bytes_per_s = QUIET_PERIOD_BYTES / timing.period_s
+    slowdown = max(1.0, needed_bytes_per_s / (QUIET_FRACTION * timing.max_bytes_per_s))
     return replace(
         timing,
-        period_s=timing.period_s * slower,
-        probe_timeout_s=timing.probe_timeout_s * slower,
-        gossip_interval_s=timing.period_s * slower * 0.4,
-        retransmit_s=timing.probe_timeout_s * slower * 0.75,
+        period_s=timing.period_s * slowdown,
+        probe_timeout_s=timing.probe_timeout_s * slowdown,
+        gossip_interval_s=timing.period_s * slowdown * GOSSIP_PERIODS,
+        retransmit_s=timing.probe_timeout_s * slowdown * RETRANSMIT_FRACTION,
     )
--- a/quillroad/membership/state.py
+++ b/quillroad/membership/state.py
@@ -1,4 +1,4 @@
-"""What one member knows of itself and the others: the data that the parts of the protocol share. Pure."""
+"""What one member knows: the data that the parts of the protocol share. Pure."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
     @property
     def is_mass_failure(self) -> bool:
-        """Whether so many are suspected that full probes of each would take the send budget of many seconds.
+        """Whether so many are suspected that full probes of each would exhaust the send budget.
 
         Not on a lossy network: there direct-only probes would make more suspects, and those more
         probes.
--- a/quillroad/membership/suspicion.py
+++ b/quillroad/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""How long a suspicion may be refuted before the member counts as faulty (Lifeguard, Dadgar 2018). Pure.
+"""How long a suspicion may be refuted until the member is faulty (Lifeguard). Pure.
 
 A single suspector may be the one at fault, so its suspicion lasts long. Each further gateway that
 saw the member silent itself shortens it, down to what a refutation needs to get through the cluster
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """One suspected member, as one gateway sees it. Times in seconds; `suspector_slots` as in a status."""
+    """One suspected member. Times in seconds; `suspector_slots` as in a status."""
 
     incarnation: int
     started_at: float
@@ -35,7 +35,7 @@
     from_faulty_report: bool = False  # it began with another's word that the member is faulty
 
     def rescale(self, scale: float) -> bool:
-        """Lengthen the timeouts where more datagrams get lost than assumed; return whether they were."""
+        """Lengthen the timeouts if more datagrams get lost than assumed; return whether it did."""
         if scale <= RESCALE_THRESHOLD * self.scale:
             return False
         self.min_s *= scale / self.scale
--- a/quillroad/membership/suspicions.py
+++ b/quillroad/membership/suspicions.py
@@ -93,7 +93,7 @@
         return factor
 
     def _shorten(self, suspicion: Suspicion, now: float) -> None:
-        """Another member has waited for a refutation already: the suspect has the shortest timeout left.
+        """Another member has waited for a refutation already: the shortest timeout is left.
 
         Half of that is enough for one suspected here before. Not after a partition: what the other
         side suspected when it healed is reported faulty by it soon, and healthy members would not
--- a/quillroad/membership/table_transfer.py
+++ b/quillroad/membership/table_transfer.py
@@ -34,7 +34,7 @@
         return members.stop
 
     def _fitted(self, about: int) -> tuple[range, PackedStatuses]:
-        """Return the members to send and their statuses: whole chunks, that of `about` among them."""
+        """Return the members to send, whole chunks with that of `about`, and their statuses."""
         table = self._state.table
         first = min(about, max(0, len(table) - MAX_TABLE_MEMBERS)) // CHUNK_MEMBERS * CHUNK_MEMBERS
         stop = min(len(table), first + MAX_TABLE_MEMBERS)
--- a/quillroad/membership/transport.py
+++ b/quillroad/membership/transport.py
@@ -1,4 +1,4 @@
-"""The UDP socket of the membership protocol: the only file of this package that does network I/O."""
+"""The UDP socket of the membership protocol: the package's only network I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class UdpTransport:
-    """A bound socket, from construction until `close`. Raises `OSError` where the address is not free.
+    """A bound socket, until `close`; raises `OSError` where the address is not free.
 
     `on_readable` is called by the event loop while datagrams wait.
     """
--- a/quillroad/membership/view.py
+++ b/quillroad/membership/view.py
@@ -1,4 +1,4 @@
-"""Who is there, as one gateway sees it: an immutable value with a version, and what builds it. Pure."""
+"""The membership as one gateway sees it: an immutable value, and what builds it. Pure."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
     @property
     def live_count(self) -> int:
-        """Gateways that count as present, this one among them; a suspect does until it is faulty."""
+        """Gateways that are present, this one among them; a suspect is until it is faulty."""
         return 1 + self.count(*PRESENT)
 
     @property
--- a/quillroad/membership/wire.py
+++ b/quillroad/membership/wire.py
@@ -70,7 +70,7 @@
     suspector_slots: Annotated[int, Meta(ge=0, lt=2**SUSPECTOR_SLOTS)] = 0
 
     def is_consistent(self) -> bool:
-        """Whether it says something: a suspicion has a suspector, and an unknown member has no update."""
+        """Whether it says something: a suspicion has a suspector, and nothing is unknown."""
         if self.state == MemberState.SUSPECT:
             return self.suspector_slots > 0
         return self.state != MemberState.UNKNOWN
