--- a/tests/membership/test_lines.py
+++ b/tests/membership/test_lines.py
@@ -26,7 +26,7 @@
 
 
 @on_loop
-async def test_a_cut_line_is_silent_and_whole_again_with_what_was_sent() -> None:
+async def test_a_cut_line_is_silent_and_delivers_what_was_sent_once_whole() -> None:
     host = await Host("s-0").start()
     lines = await Lines(2, {"s-0": host.port}).start()
     reader, writer = await ask(lines, host, 1)
@@ -58,7 +58,7 @@
     host.stop()
 
 
-def test_whose_a_line_is_follows_from_its_address() -> None:
+def test_the_gateway_of_a_line_follows_from_its_address() -> None:
     assert [gateway_at(address_of(n)) for n in (0, 11, 199)] == [0, 11, 199]
     assert gateway_at("127.0.0.1") == -1
     with pytest.raises(msgspec.ValidationError):
@@ -66,7 +66,7 @@
 
 
 @on_loop_within(60.0)
-async def test_a_part_without_discovery_and_a_third_of_the_hosts_loses_no_request(
+async def test_gateways_without_discovery_and_a_third_of_the_hosts_lose_no_request(
     tmp_path: Path,
 ) -> None:
     """Its datagrams, its line to discovery and those to two hosts are cut at once: a partition as it is."""
@@ -106,7 +106,7 @@
 
 
 @on_loop
-async def test_one_that_no_host_answers_is_no_less_there(tmp_path: Path) -> None:
+async def test_a_gateway_that_no_host_answers_is_still_a_member(tmp_path: Path) -> None:
     """Its lines to hosts are cut on the way back: its own requests suffer, each with one answer, and nobody
     holds it for gone, nor does it hold others."""
     async with Stage(tmp_path, WORKS, 6, delay=0.01, gateways=4, fleet=USED, lines=True) as on:
--- a/tests/membership/test_many_faults.py
+++ b/tests/membership/test_many_faults.py
@@ -28,18 +28,18 @@
 PARTS = [list(range(4)), list(range(4, 8)), list(range(8, 12))]
 
 
-def stage(folder: Path, aloud: bool) -> Stage:
-    return Stage(folder, WORKS, 6, delay=0.01, gateways=SIZE, fleet=USED, aloud=aloud)
+def stage(folder: Path, broadcast: bool) -> Stage:
+    return Stage(folder, WORKS, 6, delay=0.01, gateways=SIZE, fleet=USED, aloud=broadcast)
 
 
-@pytest.mark.parametrize("aloud", [False, True], ids=["one by one", "aloud"])
+@pytest.mark.parametrize("broadcast", [False, True], ids=["one by one", "broadcast"])
 @on_loop_within(60.0)
 async def test_a_bridge_that_flaps_between_three_parts_ends_nobody_on_the_own_side(
-    tmp_path: Path, aloud: bool
+    tmp_path: Path, broadcast: bool
 ) -> None:
     """The middle part is heard by one of the others, then by the other, then by none, and again."""
     left, middle, right = PARTS
-    async with stage(tmp_path, aloud) as on:
+    async with stage(tmp_path, broadcast) as on:
         await until(agreed(on, range(SIZE)))
         before = marks(on, range(SIZE))
         loads = [on.load(part[0]) for part in PARTS]
@@ -64,8 +64,9 @@
 
 
 @on_loop
-async def test_one_with_a_fifth_of_a_core_ends_nobody(tmp_path: Path) -> None:
-    async with stage(tmp_path, aloud=False) as on:
+async def test_a_gateway_with_a_fifth_of_a_core_declares_nobody_faulty(tmp_path: Path) -> None:
+    """One of twelve gateways gets a fifth of a core for eight seconds under load."""
+    async with stage(tmp_path, broadcast=False) as on:
         await until(agreed(on, range(SIZE)))
         before = marks(on, range(SIZE))
         await on.ration(0.2, 4)
@@ -78,10 +79,11 @@
 
 
 @on_loop
-async def test_seven_in_ten_killed_under_load_are_known_to_all_by_one_datagram(
+async def test_eight_of_twelve_killed_under_load_with_broadcast(
     tmp_path: Path,
 ) -> None:
-    async with stage(tmp_path, aloud=True) as on:
+    """Eight of twelve are killed under load where one datagram reaches all, and start again."""
+    async with stage(tmp_path, broadcast=True) as on:
         await until(agreed(on, range(SIZE)))
         left = range(8, SIZE)
         loads = [on.load(number) for number in left]
@@ -106,11 +108,11 @@
 
 
 @on_loop
-async def test_one_that_is_killed_and_comes_back_is_known_to_all_and_nobody_else_is_missed(
+async def test_a_killed_gateway_comes_back_with_broadcast_and_nobody_else_is_missed(
     tmp_path: Path,
 ) -> None:
     """Where one datagram reaches all: what they hold of it changes, and of nobody else."""
-    async with stage(tmp_path, aloud=True) as on:
+    async with stage(tmp_path, broadcast=True) as on:
         await until(agreed(on, range(SIZE)))
         before = marks(on, range(SIZE))
         on.gateways[5].kill()
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -32,7 +32,7 @@
 
 
 @given(claims(), claims(), claims())
-def test_a_join_is_commutative_associative_and_idempotent(
+def test_join_is_commutative_associative_and_idempotent(
     a: MemberStatus, b: MemberStatus, c: MemberStatus
 ) -> None:
     assert a.join(b) == b.join(a)
@@ -45,7 +45,7 @@
     st.lists(st.tuples(st.integers(0, 69), claims()), max_size=40),
     st.randoms(use_true_random=False),
 )
-def test_tables_that_heard_the_same_in_any_order_say_the_same(  # type: ignore[no-untyped-def]
+def test_tables_that_merged_the_same_in_any_order_are_equal(  # type: ignore[no-untyped-def]
     told: list[tuple[int, MemberStatus]], random
 ) -> None:
     one, other = MemberTable(70), MemberTable(70)
@@ -60,7 +60,7 @@
 
 
 @given(st.lists(claims(), min_size=1, max_size=200))
-def test_what_is_packed_is_told_whole(held: list[MemberStatus]) -> None:
+def test_packed_statuses_are_unpacked_whole(held: list[MemberStatus]) -> None:
     table, copy = MemberTable(len(held)), MemberTable(len(held))
     for number, claim in enumerate(held):
         table.merge(number, claim)
@@ -74,7 +74,7 @@
     ]  # and nothing of those who are unknown
 
 
-def test_only_what_differs_is_found() -> None:
+def test_only_chunks_that_differ_are_found() -> None:
     one, other = MemberTable(100), MemberTable(100)
     for table in (one, other):
         for number in range(100):
@@ -100,7 +100,9 @@
     st.integers(0, MAX_INCARNATION),
     st.lists(st.integers(0, 300), max_size=20),
 )
-def test_a_table_that_makes_no_sense_is_refused(codes: bytes, base: int, others: list[int]) -> None:
+def test_packed_statuses_that_make_no_sense_raise_value_error(
+    codes: bytes, base: int, others: list[int]
+) -> None:
     try:
         told = unpack(PackedStatuses(codes, base, tuple(others)))
     except ValueError:
@@ -109,7 +111,7 @@
 
 
 @given(st.lists(claims(), min_size=1, max_size=70))
-def test_who_is_forgotten_leaves_no_trace_in_the_digest(held: list[MemberStatus]) -> None:
+def test_a_forgotten_member_leaves_no_trace_in_the_digest(held: list[MemberStatus]) -> None:
     table = MemberTable(len(held))
     for number, claim in enumerate(held):
         table.merge(number, claim)
@@ -118,6 +120,6 @@
     assert table.digest == 0 and set(table.chunk_digests()) == {0} and table[0] == NOTHING_KNOWN
 
 
-def test_an_incarnation_of_nobody_is_refused() -> None:
+def test_an_incarnation_of_no_member_raises_value_error() -> None:
     with pytest.raises(ValueError, match="nobody"):
         unpack(PackedStatuses(b"\x11", 1, (2, 7)))
--- a/tests/membership/test_other_detectors.py
+++ b/tests/membership/test_other_detectors.py
@@ -50,7 +50,8 @@
     assert phi_after(2.0, 1.7) < THRESHOLD < phi_after(1.0, 1.7)
 
 
-def test_a_cut_needs_three_quarters_and_without_them_ends_nobody() -> None:
+def test_cut_detection_without_three_quarters_declares_nobody_faulty() -> None:
+    """Eight of twelve crash: with the rest alone no vote of three quarters comes about."""
     fleet = settled(Cuts, 12)
     for member in fleet.members[:8]:
         member.kill()
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -101,7 +101,11 @@
 
 
 @on_loop
-async def test_seven_in_ten_killed_at_once_under_load(tmp_path: Path) -> None:
+async def test_eight_of_twelve_killed_at_once_under_load(tmp_path: Path) -> None:
+    """Eight of twelve gateways are killed under load, and start again.
+
+    The others divide by four, and by twelve as soon as the rest is back; each request is accounted for.
+    """
     async with stage(tmp_path) as on:
         await until(agreed(on, range(SIZE)))
         left = range(8, SIZE)
@@ -123,6 +127,10 @@
 
 @on_loop
 async def test_a_partition_and_its_heal(tmp_path: Path) -> None:
+    """The network is cut in two under load until each side holds the other faulty, and heals.
+
+    Nobody counts as faulty after that, and no request is lost.
+    """
     async with stage(tmp_path) as on:
         await until(agreed(on, range(SIZE)))
         one, other = list(range(5)), list(range(5, SIZE))
@@ -139,7 +147,10 @@
 
 
 @on_loop
-async def test_one_that_was_stopped_is_missed_and_blames_nobody(tmp_path: Path) -> None:
+async def test_a_stopped_gateway_is_found_faulty_and_suspects_nobody_afterwards(
+    tmp_path: Path,
+) -> None:
+    """A gateway gets SIGSTOP until all others hold it faulty, then SIGCONT."""
     async with stage(tmp_path) as on:
         await until(agreed(on, range(SIZE)))
         others = set(range(SIZE)) - {4}
@@ -158,7 +169,13 @@
 
 @pytest.mark.parametrize("hears", [True, False])
 @on_loop
-async def test_a_one_way_cut_leaves_the_one_in_doubt_of_itself(tmp_path: Path, hears: bool) -> None:
+async def test_a_gateway_cut_off_one_way_doubts_itself_and_goes_on_serving(
+    tmp_path: Path, hears: bool
+) -> None:
+    """A gateway cannot send to the others, or cannot receive from them.
+
+    It says that it is isolated, declares nobody faulty, and divides by the configured count.
+    """
     async with stage(tmp_path) as on:
         await until(agreed(on, range(SIZE)))
         others = set(range(SIZE)) - {3}
@@ -177,7 +194,8 @@
 
 
 @on_loop
-async def test_loss_doubles_and_late_datagrams_end_nobody(tmp_path: Path) -> None:
+async def test_lost_doubled_and_late_datagrams_make_nobody_faulty(tmp_path: Path) -> None:
+    """30% of datagrams get lost, 30% are doubled and all are up to 50 ms late for six seconds."""
     async with stage(tmp_path) as on:
         await until(agreed(on, range(SIZE)))
         before = marks(on, range(SIZE))
@@ -192,6 +210,7 @@
 
 @on_loop
 async def test_garbage_and_a_flood_cost_their_own_sender_only(tmp_path: Path) -> None:
+    """Datagrams of no sense and 200 in one moment come under one member's address."""
     async with stage(tmp_path, size=4) as on:
         await until(agreed(on, range(4)))
         for data in (b"\x00", b"\xff" * 256, b"\x9f" * 256, b"x" * 300, bytes(256)):
@@ -208,7 +227,7 @@
 
 
 @on_loop
-async def test_one_that_is_told_to_end_leaves_and_comes_back_from_nothing(tmp_path: Path) -> None:
+async def test_a_gateway_that_ends_by_sigterm_leaves_and_comes_back(tmp_path: Path) -> None:
     """It ends by SIGTERM, so that nobody has to miss it, and comes back as if it had never been."""
     async with stage(tmp_path, size=4) as on:
         await until(agreed(on, range(4)))
--- a/tests/membership/test_quota_division.py
+++ b/tests/membership/test_quota_division.py
@@ -30,7 +30,7 @@
     return View(1, number, 1, state, changed, members)
 
 
-def test_a_share_grows_on_a_view_that_held_for_a_while_only() -> None:
+def test_a_quota_grows_only_on_a_view_that_was_settled_for_a_while() -> None:
     division = QuotaDivision(GatewayPosition(2, 4), 5.0)
     seven = view(10.0, ALIVE, GONE, GONE)
     assert division.follow(seven, 10.0) == (2, 4)
@@ -38,27 +38,27 @@
     assert division.follow(seven, 15.0) == (1, 2)
 
 
-def test_a_share_shrinks_at_once() -> None:
+def test_a_quota_shrinks_at_once() -> None:
     division = QuotaDivision(GatewayPosition(2, 4), 5.0)
     division.follow(view(0.0, ALIVE, GONE, GONE), 5.0)
     assert division.follow(view(6.0, ALIVE, SUSPECT, GONE), 6.0) == (2, 3)
     assert division.follow(view(6.0, ALIVE, ALIVE, ALIVE), 6.0) == (2, 4)
 
 
-def test_a_view_in_doubt_lets_nothing_grow() -> None:
+def test_a_quota_does_not_grow_on_a_view_in_doubt() -> None:
     division = QuotaDivision(GatewayPosition(2, 4), 5.0)
     assert division.follow(view(0.0, ALIVE, SUSPECT, GONE), 100.0) == (2, 4)
     assert division.follow(view(0.0, ALIVE, UNKNOWN, GONE), 100.0) == (2, 4)
 
 
-def test_a_gateway_that_cannot_judge_goes_back_to_the_told_part() -> None:
+def test_a_gateway_that_cannot_judge_goes_back_to_the_configured_position() -> None:
     for state in (HealthState.ISOLATED, HealthState.SLOW):
         division = QuotaDivision(GatewayPosition(2, 4), 5.0)
         assert division.follow(view(0.0, ALIVE, GONE, GONE), 5.0) == (1, 2)
         assert division.follow(view(6.0, ALIVE, GONE, GONE, state=state), 6.0) == (2, 4)
 
 
-def test_two_of_one_number_halve_its_told_part() -> None:
+def test_two_processes_of_one_number_halve_its_quota() -> None:
     division = QuotaDivision(GatewayPosition(2, 4), 5.0)
     division.follow(view(0.0, ALIVE, GONE, GONE), 5.0)
     assert division.follow(view(6.0, ALIVE, GONE, GONE, state=HealthState.DUPLICATED), 60.0) == (
@@ -67,6 +67,6 @@
     )
 
 
-def test_more_gateways_than_told_of_shrink_it_below_the_told_part() -> None:
+def test_more_gateways_than_configured_shrink_the_quota_below_the_configured_one() -> None:
     division = QuotaDivision(GatewayPosition(2, 3), 5.0)
     assert division.follow(view(0.0, ALIVE, ALIVE, ALIVE, ALIVE), 0.0) == (2, 5)
--- a/tests/membership/test_relay.py
+++ b/tests/membership/test_relay.py
@@ -48,7 +48,7 @@
 
 
 @on_loop
-async def test_what_goes_through_comes_from_the_address_that_its_reader_knows() -> None:
+async def test_a_relayed_datagram_comes_from_the_address_that_its_reader_knows() -> None:
     own = gateways(3)
     relay = Relay([one.getsockname() for one in own], 1)
     own[0].sendto(b"to 1", peer(relay, 0, 1))
@@ -79,13 +79,13 @@
     relay.close()
 
 
-def test_a_script_that_makes_no_sense_is_refused() -> None:
+def test_a_script_that_makes_no_sense_is_rejected() -> None:
     with pytest.raises(msgspec.ValidationError):
         read_script("[[phases]]\nat_s = 0.0\nrules = [{ loss = 2.0 }]")
 
 
 @on_loop
-async def test_what_is_sent_to_all_reaches_each_other_one_by_the_rules_of_its_pair() -> None:
+async def test_a_broadcast_reaches_each_gateway_by_the_rules_of_its_pair() -> None:
     own = gateways(4)
     relay = Relay([one.getsockname() for one in own], 1)
     host, _, port = relay.everyone(0).partition(":")
--- a/tests/membership/test_schedules.py
+++ b/tests/membership/test_schedules.py
@@ -26,11 +26,11 @@
 SEEDS = range(1000, 1040)
 
 
-@pytest.mark.parametrize("aloud", [False, True])
+@pytest.mark.parametrize("broadcast", [False, True])
 @pytest.mark.parametrize("size", [3, 7])
-def test_what_must_hold_does_whatever_the_schedule(size: int, aloud: bool) -> None:
+def test_invariants_hold_whatever_the_schedule(size: int, broadcast: bool) -> None:
     for seed in SEEDS:
-        assert broken(draw(seed, size, 8, aloud)) == "", f"seed {seed}"
+        assert broken(draw(seed, size, 8, broadcast)) == "", f"seed {seed}"
 
 
 @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
         Schedule(1014, 7, (Step(1.67, "whole"), Step(3.81, "apart", (4, 5)), Step(4.89, "whole"))),
     ],
 )
-def test_schedules_that_once_broke(schedule: Schedule) -> None:
+def test_schedules_that_once_broke_an_invariant(schedule: Schedule) -> None:
     assert broken(schedule) == ""
 
 
@@ -64,7 +64,7 @@
         read_schedule(write_schedule(schedule).replace('"act"', '"acts"'))
 
 
-def test_a_schedule_that_breaks_is_cut_down_to_what_it_needs() -> None:
+def test_a_breaking_schedule_is_reduced_to_what_it_needs() -> None:
     def breaks(schedule: Any) -> bool:
         kills = [step for step in schedule.steps if step.act == "kill" and 2 in step.members]
         return bool(kills) and any(step.act == "loss" for step in schedule.steps)
@@ -137,37 +137,37 @@
 
 _apply, _suspect = MemberUpdates.apply, SuspicionTracker.suspect
 FAULTS: dict[str, tuple[Any, str, Any]] = {
-    "what is said of oneself is not refuted": (Refutation, "consider", lambda *_: None),
+    "reports of oneself are not refuted": (Refutation, "consider", lambda *_: None),
     "a suspicion never ends": (
         Suspicion,
         "expires_at",
         property(lambda self: self.started_at + 1e9),
     ),
     "the bound on bytes is not kept": (RateLimiter, "try_acquire", lambda *_: True),
-    "nobody asks those that are gone": (RejoinProbes, "step", _never_probe_absent),
-    "one that is not sound judges, heard or not": (
+    "absent members are never probed": (RejoinProbes, "step", _never_probe_absent),
+    "an unhealthy member judges others": (
         LocalHealth,
         "state",
         lambda self, now: HealthState.HEALTHY if self._heard_at > 0 else HealthState.ISOLATED,
     ),
-    "a suspicion that nobody heard of runs out": (
+    "a suspicion that nobody heard of expires": (
         SuspicionTracker,
         "suspect",
         _suspect_known_to_others,
     ),
-    "another's word that one is gone is a fact": (MemberUpdates, "apply", _apply_at_once),
-    "help is never over": (IndirectProbes, "step", _keep_indirect_probes),
-    "others bring one back": (MemberUpdates, "apply", _bring_back),
-    "what is certain on the other side of a heal is so here": (suspicions, "FALSE_REPORT_S", 0.0),
-    "what is new is never passed on": (Gossip, "round", lambda *_: None),
+    "a report that a member is faulty is a fact": (MemberUpdates, "apply", _apply_at_once),
+    "indirect probes never end": (IndirectProbes, "step", _keep_indirect_probes),
+    "others bring a member back": (MemberUpdates, "apply", _bring_back),
+    "reports after a heal are trusted at once": (suspicions, "FALSE_REPORT_S", 0.0),
+    "there are no rounds of gossip": (Gossip, "round", lambda *_: None),
     "tables are not compared": (AntiEntropy, "compare", lambda *_: None),
     "a refutation keeps its incarnation": (refutation, "MAX_INCARNATION", 1),
 }
 # Found by other tests: without gossip news still goes along with probes, and without the comparison of tables
 # with gossip: both cost time only, which no schedule judges.
-COST_TIME_ONLY = {"what is new is never passed on", "tables are not compared"}
+COST_TIME_ONLY = {"there are no rounds of gossip", "tables are not compared"}
 # Behind this one stand other guards: it takes few members and long schedules, 195 of them.
-LONG = {"one that is not sound judges, heard or not"}
+LONG = {"an unhealthy member judges others"}
 
 
 @pytest.mark.parametrize("fault", [fault for fault in FAULTS if fault not in COST_TIME_ONLY])
--- a/tests/membership/test_service.py
+++ b/tests/membership/test_service.py
@@ -43,7 +43,9 @@
 
 
 @on_loop
-async def test_a_file_that_turns_it_off_gives_the_told_number_back(tmp_path: Path) -> None:
+async def test_a_file_that_turns_following_off_restores_the_configured_count(
+    tmp_path: Path,
+) -> None:
     path = tmp_path / "fleet.toml"
     path.write_text("[use]\nwindows = true\nrounds = true")
     engine, sources = Follower(), [Follower()]
@@ -65,7 +67,7 @@
 
 
 @on_loop
-async def test_who_steps_aside_for_its_other_process_goes_by_the_told_number(
+async def test_a_process_that_steps_aside_divides_by_the_configured_count(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "fleet.toml"
@@ -84,7 +86,7 @@
 
 
 @on_loop
-async def test_a_reload_that_tells_another_number_changes_the_members_only(tmp_path: Path) -> None:
+async def test_a_reload_with_another_number_changes_the_members_only(tmp_path: Path) -> None:
     path = tmp_path / "fleet.toml"
     path.write_text("")
     one = fleet(path, Follower(), [Follower()])
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -31,7 +31,7 @@
     return path
 
 
-def test_the_file_that_is_shipped_is_the_defaults(tmp_path: Path) -> None:
+def test_the_shipped_file_has_the_defaults(tmp_path: Path) -> None:
     shipped = load_fleet(ROOT / "deploy/fleet.toml", config())
     usual = load_fleet(file(tmp_path, ""), config())
     assert shipped is not None and usual is not None
@@ -76,7 +76,7 @@
     )
 
 
-def test_the_address_that_reaches_all_is_the_platforms_or_the_files(tmp_path: Path) -> None:
+def test_the_broadcast_address_is_the_platforms_or_the_files(tmp_path: Path) -> None:
     everyone = ("127.0.0.1", 9)
     told = load_fleet(file(tmp_path, ""), config(Peers(("127.0.0.1", 7000), ADDRESSES, everyone)))
     assert told is not None and told.roster.everyone == everyone
@@ -147,7 +147,7 @@
         assert path.name == "transport.py" or "socket" not in names, path
 
 
-def test_off_nothing_of_it_is_imported() -> None:
+def test_nothing_of_the_package_is_imported_while_it_is_off() -> None:
     import subprocess  # noqa: PLC0415
     import sys  # noqa: PLC0415
 
--- a/tests/membership/test_walk.py
+++ b/tests/membership/test_walk.py
@@ -19,16 +19,14 @@
 )
 
 
-@pytest.fixture(scope="module", params=[None, EVERYONE], ids=["one by one", "aloud"])
+@pytest.fixture(scope="module", params=[None, EVERYONE], ids=["one by one", "broadcast"])
 def walk(request: pytest.FixtureRequest) -> Walk:
     everyone: Address | None = request.param
     return Walk(3, everyone=everyone)
 
 
 @pytest.mark.parametrize("scene", SCENES)
-def test_whatever_the_order_what_must_hold_does_and_views_agree_after_it(
-    walk: Walk, scene: str
-) -> None:
+def test_invariants_hold_in_every_order_and_views_agree_afterwards(walk: Walk, scene: str) -> None:
     begin = walk.scenes()[scene]
     walk.walk(begin, 3)
     walk.walk(begin, 6, closing=False)
@@ -52,7 +50,8 @@
     assert both(first, second) == both(second, first)
 
 
-def test_one_that_is_left_over_says_alone_and_ends_nobody() -> None:
+def test_the_only_survivor_is_isolated_and_declares_nobody_faulty() -> None:
+    """Two of three members crash: the third cannot know whether it is cut off."""
     walk = Walk(3)
     at = walk.scenes()["settled"]
     for number in (1, 2):
@@ -63,10 +62,10 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        "what is said of oneself is not refuted",
+        "reports of oneself are not refuted",
         "a suspicion never ends",
-        "others bring one back",
-        "help is never over",
+        "others bring a member back",
+        "indirect probes never end",
         "a refutation keeps its incarnation",
     ],
 )
--- a/tests/membership/test_wire.py
+++ b/tests/membership/test_wire.py
@@ -46,18 +46,18 @@
 
 
 @given(DATAGRAMS)
-def test_what_is_encoded_is_read(datagram: Datagram) -> None:
+def test_encoded_datagrams_are_read_back(datagram: Datagram) -> None:
     data = encode(datagram)
     assert len(data) > MAX_DATAGRAM_BYTES or decode(data) == datagram
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_read_or_refused(data: bytes) -> None:
+def test_any_bytes_are_read_or_rejected(data: bytes) -> None:
     readable(data)
 
 
 @given(DATAGRAMS, st.integers(0, 255), st.binary(min_size=1, max_size=3))
-def test_any_damage_is_read_or_refused(datagram: Datagram, at: int, damage: bytes) -> None:
+def test_any_damage_is_read_or_rejected(datagram: Datagram, at: int, damage: bytes) -> None:
     data = encode(datagram)
     readable(data[: at % len(data)] + damage + data[at % len(data) + 1 :])
 
@@ -91,12 +91,12 @@
     )  # longer than a datagram may be
 
 
-def test_fields_behind_those_known_are_left_unread() -> None:
+def test_unknown_trailing_fields_are_ignored() -> None:
     whole = [VERSION, 3, 7, 1, 0, 9, 11, [], 0, [], b"", 0, [], {"new": 1}, 5]
     assert decode(msgspec.msgpack.encode(whole)).sequence == 9
 
 
-def test_a_newer_version_still_tells_who_speaks() -> None:
+def test_a_datagram_of_a_newer_version_still_names_its_sender() -> None:
     with pytest.raises(NewerVersion) as caught:
         decode(msgspec.msgpack.encode([VERSION + 1, 3, 7, 4, "whatever", {}]))
     assert (caught.value.header.number, caught.value.header.incarnation) == (3, 4)
