--- a/quillroad/membership/table_transfer.py
+++ b/quillroad/membership/table_transfer.py
@@ -36,13 +36,27 @@
     def _fitted(self, about: int) -> tuple[range, PackedStatuses]:
         """Return the members to send, whole chunks with that of `about`, and their statuses."""
         table = self._state.table
-        first = min(about, max(0, len(table) - MAX_TABLE_MEMBERS)) // CHUNK_MEMBERS * CHUNK_MEMBERS
+        first = min(_chunk_start(about), self._last_start())
         stop = min(len(table), first + MAX_TABLE_MEMBERS)
         while True:
             statuses = table.pack(range(first, stop))
             size = len(statuses.codes) + EXCEPTION_BYTES * len(statuses.exceptions) // 2
             if size <= MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES or stop - first <= CHUNK_MEMBERS:
                 return range(first, stop), statuses
-            half = max(CHUNK_MEMBERS, (stop - first) // 2 // CHUNK_MEMBERS * CHUNK_MEMBERS)
+            half = max(CHUNK_MEMBERS, _chunk_start((stop - first) // 2))
             middle = first + half
             first, stop = (middle, stop) if about >= middle else (first, middle)
+
+    def _last_start(self) -> int:
+        """Return the first chunk from which on the rest of the table fits one datagram.
+
+        Rounded up to a chunk: rounded down, the last members of a table that is longer than a datagram are in
+        none, and members that differ about them never agree.
+        """
+        surplus = max(0, len(self._state.table) - MAX_TABLE_MEMBERS)
+        return _chunk_start(surplus + CHUNK_MEMBERS - 1)
+
+
+def _chunk_start(number: int) -> int:
+    """Return the first member of the chunk with this one."""
+    return number // CHUNK_MEMBERS * CHUNK_MEMBERS
