--- a/quillroad/membership/core.py
+++ b/quillroad/membership/core.py
@@ -115,6 +115,7 @@
 
     @outbox.setter
     def outbox(self, outgoing: list[Outgoing]) -> None:
+        """Replace it, by an empty one once its datagrams are sent."""
         self._sender.outbox = outgoing
 
     @property
@@ -124,6 +125,7 @@
 
     @changes.setter
     def changes(self, changes: list[Change]) -> None:
+        """Replace them, by none once they are read."""
         self.state.view.changes = changes
 
     def last_heard(self, number: int) -> float | None:
--- a/quillroad/membership/table_transfer.py
+++ b/quillroad/membership/table_transfer.py
@@ -50,8 +50,8 @@
     def _last_start(self) -> int:
         """Return the first chunk from which on the rest of the table fits one datagram.
 
-        Rounded up to a chunk: rounded down, the last members of a table that is longer than a datagram are in
-        none, and members that differ about them never agree.
+        Rounded up to a chunk: rounded down, the last members of a table that is longer than a
+        datagram are in none, and members that differ about them never agree.
         """
         surplus = max(0, len(self._state.table) - MAX_TABLE_MEMBERS)
         return _chunk_start(surplus + CHUNK_MEMBERS - 1)
--- a/tests/membership/test_broadcast.py
+++ b/tests/membership/test_broadcast.py
@@ -6,7 +6,7 @@
 
 
 def test_a_broadcast_suspicion_is_known_to_most_members_at_once() -> None:
-    """A member crashes where one datagram reaches all: the first suspicion is known to most at once."""
+    """A member crashes where one datagram reaches all: most know the first suspicion at once."""
     fleet = settled_cluster(60, 1, 0.05, broadcast=True)
     fleet.members[4].kill()
     since = fleet.world.now
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -49,7 +49,7 @@
 
 
 def test_a_member_that_has_left_is_due_once_a_period_and_no_more() -> None:
-    """It answers for as long as it drains, and nothing that it would have begun keeps its clock busy."""
+    """It answers while it drains, and nothing that it would have begun keeps its timer busy."""
     fleet = settled_cluster(4, 1, broadcast=True)
     leaving, now = core_of(fleet, 3), fleet.world.now + 1.0
     leaving.tick(now)
--- a/tests/membership/test_lines.py
+++ b/tests/membership/test_lines.py
@@ -1,4 +1,4 @@
-"""Lines to hosts and discovery under rules: alone, and between processes together with their datagrams."""
+"""Connections to hosts and discovery under fault rules: alone, and between processes."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 async def test_gateways_without_discovery_and_a_third_of_the_hosts_lose_no_request(
     tmp_path: Path,
 ) -> None:
-    """Its datagrams, its line to discovery and those to two hosts are cut at once: a partition as it is."""
+    """Its datagrams, its line to discovery and those to two hosts are cut at once."""
     async with Stage(
         tmp_path, WORKS, 6, delay=0.01, gateways=SIZE, fleet=USED, aloud=True, lines=True
     ) as on:
@@ -92,7 +92,7 @@
         await on.relay.rule()
         await until(agreed(on, range(SIZE)))
         await asyncio.gather(*running)
-        # What hosts received from whom is what the loads' gateways sent, and nobody else sent anything.
+        # Hosts received from each gateway what its load sent, and nothing from anybody else.
         assert {one.by for one in on.receipts()} == {0, 5}
         late = [on.load(number, prefix=f"b{number}-") for number in (0, 5)]
         on.tell(on.hosts[4], lifecycle="draining")  # which all hear again
@@ -107,8 +107,10 @@
 
 @on_loop
 async def test_a_gateway_that_no_host_answers_is_still_a_member(tmp_path: Path) -> None:
-    """Its lines to hosts are cut on the way back: its own requests suffer, each with one answer, and nobody
-    holds it for gone, nor does it hold others."""
+    """The lines from hosts to one gateway are cut.
+
+    Its own requests suffer, each with one answer; nobody holds it faulty, nor does it hold others.
+    """
     async with Stage(tmp_path, WORKS, 6, delay=0.01, gateways=4, fleet=USED, lines=True) as on:
         await until(agreed(on, range(4)))
         before = marks(on, range(4))
--- a/tests/membership/test_many_faults.py
+++ b/tests/membership/test_many_faults.py
@@ -1,7 +1,9 @@
-"""Twelve processes of the program through the harder faults: a bridge that flaps between three parts, a part
-of a core, a start of all under load, and what one datagram to all changes. One account for each.
+"""Twelve gateway processes through the harder faults, with an account of all requests for each.
 
-As in `test_processes.py` waits are for the views to say something, and no timing is judged."""
+A bridge that flaps between three parts, a part of a core, a start of all under load, and what a
+broadcast changes. As in `test_processes.py` waits are for the views to say something, and no timing
+is judged.
+"""
 
 from __future__ import annotations
 
@@ -130,7 +132,7 @@
 
 @on_loop_within(60.0)
 async def test_a_roster_that_grows_by_reload_one_gateway_after_the_other(tmp_path: Path) -> None:
-    """Four know of four, and a fifth starts while some have read the longer roster and some have not."""
+    """Four know of four, and a fifth starts while only some have read the longer roster."""
     async with Stage(
         tmp_path, WORKS, 6, delay=0.01, gateways=5, fleet=USED, aloud=True, later=1
     ) as on:
@@ -146,7 +148,7 @@
             on.gateways[n].hang_up()
         await until(lambda: all(4 in standing(view(on, n)).get("unknown", set()) for n in (0, 1)))  # type: ignore[arg-type]
         await on.start_later()
-        # The others take it for a stranger, and what they are told of it for a member that they do not know.
+        # To the others it is a stranger, and what they are told of it is of an unknown member.
         await until(lambda: all(4 in standing(view(on, n)).get("alive", set()) for n in (0, 1)))  # type: ignore[arg-type]
         await until(lambda: view(on, 2).dropped.get("stranger", 0) > 0)  # type: ignore[union-attr]
         before = marks(on, range(5))
--- a/tests/membership/test_other_detectors.py
+++ b/tests/membership/test_other_detectors.py
@@ -1,4 +1,4 @@
-"""The other ways of knowing who is there, as they are measured beside: that they do what their papers say."""
+"""The other failure detectors that are measured beside: they do what their papers say."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_probe_burst.py
+++ b/tests/membership/test_probe_burst.py
@@ -71,7 +71,7 @@
     fleet.world.cut(others, {7})
     since = fleet.world.now
     fleet.world.run(since + 4.0)
-    # It has asked in turn and nobody answered: no burst, that would make suspects of half of the fleet.
+    # It has probed in turn and nobody answered; a burst would suspect half of the cluster.
     assert len(core_of(fleet, 7).state.suspicions) < 8
     fleet.world.cut({7}, others, on=False)
     fleet.world.cut(others, {7}, on=False)
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -1,6 +1,8 @@
-"""Processes of the program with faults between them: what each holds of the others, and one account for all.
+"""Gateway processes with faults between them: their views, and an account of all requests.
 
-Waits are for the views to say something; a bound on a wait is the test's own, and no timing is judged."""
+Waits are for the views to say something; a bound on a wait is the test's own, and no timing is
+judged.
+"""
 
 from __future__ import annotations
 
@@ -104,7 +106,7 @@
 async def test_eight_of_twelve_killed_at_once_under_load(tmp_path: Path) -> None:
     """Eight of twelve gateways are killed under load, and start again.
 
-    The others divide by four, and by twelve as soon as the rest is back; each request is accounted for.
+    The others divide by four, and by twelve once the rest is back; no request is lost.
     """
     async with stage(tmp_path) as on:
         await until(agreed(on, range(SIZE)))
@@ -283,7 +285,7 @@
 
 @on_loop
 async def test_a_second_process_under_one_number_takes_no_part(tmp_path: Path) -> None:
-    """By mistake, on one machine: it serves, says so, and the view of the others stays as it was."""
+    """By mistake, on one machine: it serves, logs that, and the others' view stays the same."""
     async with stage(tmp_path, size=3) as on:
         await until(agreed(on, range(3)))
         twin = GatewayProcess(tmp_path, on.discovery.port, settings(WORKS, peers=True))
--- a/tests/membership/test_refutation.py
+++ b/tests/membership/test_refutation.py
@@ -44,8 +44,11 @@
     ],
 )
 def test_a_false_report_of_a_far_incarnation_can_still_be_refuted(incarnation: int) -> None:
-    """One says of all others that they are gone in an incarnation far ahead, for a while, also to one that
-    has just started and knows nothing."""
+    """A member reports all others faulty in an incarnation far ahead, for ten seconds.
+
+    It does so also to one that has just started and knows nothing. None of them may come so far
+    that nothing is left to refute with, and a true crash is still seen.
+    """
     fleet = settled_cluster(6, 1)
     fleet.members[0].kill()
     fleet.world.run(fleet.world.now + 1.0)
--- a/tests/membership/test_relay.py
+++ b/tests/membership/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay: rules as they are told, a script in its phases, and each gateway under an address of its own."""
+"""The relay: fault rules, scripts of them, and an address of its own for each gateway."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_schedules.py
+++ b/tests/membership/test_schedules.py
@@ -1,4 +1,4 @@
-"""Schedules of faults, drawn by seed: what must hold does, and faults planted in the core are found."""
+"""Schedules of faults drawn by seed: invariants hold, and faults planted in the core are found."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
                 Step(3.18, "go_on", (4,)),
             ),
         ),
-        # A heal: what the other side only suspected so far was certain there soon, and taken for that here.
+        # A heal: what the other side only suspected so far was reported faulty soon, and believed.
         Schedule(1014, 7, (Step(1.67, "whole"), Step(3.81, "apart", (4, 5)), Step(4.89, "whole"))),
     ],
 )
@@ -163,8 +163,8 @@
     "tables are not compared": (AntiEntropy, "compare", lambda *_: None),
     "a refutation keeps its incarnation": (refutation, "MAX_INCARNATION", 1),
 }
-# Found by other tests: without gossip news still goes along with probes, and without the comparison of tables
-# with gossip: both cost time only, which no schedule judges.
+# Found by other tests: without rounds of gossip updates still travel with probes, and without the
+# comparison of tables by gossip. Both cost time only, which no schedule judges.
 COST_TIME_ONLY = {"there are no rounds of gossip", "tables are not compared"}
 # Behind this one stand other guards: it takes few members and long schedules, 195 of them.
 LONG = {"an unhealthy member judges others"}
--- a/tests/membership/test_service.py
+++ b/tests/membership/test_service.py
@@ -1,4 +1,4 @@
-"""Who follows the live number: told of each part once, and of the told number when the view ends."""
+"""The service: followers hear of each position once, and of the configured one at the end."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -1,4 +1,4 @@
-"""The file: every field checked, off where the platform forbids talk, and the command that reads reports."""
+"""The settings file: every field checked, off where talk is forbidden; and the command."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_traces.py
+++ b/tests/membership/test_traces.py
@@ -1,7 +1,7 @@
-"""Seeded runs send and deliver the same datagrams at the same times as on the day they were recorded.
+"""Seeded runs send and deliver the same datagrams at the same times as when recorded.
 
-The hashes cover each datagram's bytes, ends and time. They were taken from the code of 2026-12-03, before it
-was split into modules: a change of structure alone leaves them as they are.
+The hashes cover each datagram's bytes, sender, receiver and time. They were taken from the code of
+2026-12-03, before it was split into modules: a change of structure alone leaves them as they are.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def play(seed: int, size: int, broadcast: bool) -> tuple[str, int]:
-    """The trace and the number of changes that views went through in a run with every kind of fault."""
+    """Return trace and number of changes of all views, of a run with every kind of fault."""
     fleet = Fleet(
         World(seed, Link(loss=0.05, doubled=0.02)), size, everyone=EVERYONE if broadcast else None
     )
--- a/tests/membership/test_walk.py
+++ b/tests/membership/test_walk.py
@@ -1,4 +1,4 @@
-"""All orders of delivery, loss and crash for three members, from moments at which much can go either way."""
+"""All orders of delivery, loss and crash for three members, from moments of much activity."""
 
 from __future__ import annotations
 
