--- a/quillroad/membership/failure_detector.py
+++ b/quillroad/membership/failure_detector.py
@@ -22,7 +22,7 @@
 
 MAX_FULL_PROBES = 8  # in flight at once
 MAX_DIRECT_PROBES = 40  # in flight at once
-DIRECT_PINGS = 3  # of a direct-only probe: two leave one in a hundred wrong at 5% datagram loss
+DIRECT_PINGS = 3  # of a direct-only probe: with fewer, usual loss makes healthy members suspect
 MAX_DIRECT_LOSS = 0.35  # fast loss from where on a direct-only probe without an answer says nothing
 FULL_PROBE_PERIODS = 0.85  # length of a full probe: it ends before the next period begins
 PERIOD_JITTER = (
--- a/quillroad/membership/local_health.py
+++ b/quillroad/membership/local_health.py
@@ -11,7 +11,7 @@
 MAX_MULTIPLIER_SCORE = 8  # the bound of Lifeguard's local health multiplier
 LOSS_SMOOTHING = 0.05  # weight of the newest probe: an average over about ten seconds
 FAST_LOSS_SMOOTHING = 0.2  # the same within about three seconds, less certain
-USUAL_LOSS = 0.15  # repeated probes at 5% datagram loss stay below that
+USUAL_LOSS = 0.15  # part of probes repeated on a network that needs no longer timeouts
 STOPPED_S = 2.0  # a timer this late is a stopped process, not a loaded one
 UNANSWERED_IN_A_ROW = 3  # from there on the fault may be this gateway's own
 DUPLICATE_REPORT_S = 30.0  # for so long a report counts that two processes use this number
--- a/quillroad/membership/state.py
+++ b/quillroad/membership/state.py
@@ -17,7 +17,7 @@
 
 WITNESSES = 2  # members that have to agree before one is believed: a single one may lie
 MASS_FAILURE_SUSPECTS = 3  # suspects at once that are no accident of the network
-LOSSY_NETWORK = 0.25  # part of probes repeated: 0.1 at 5% datagram loss, 0.5 at 30%
+LOSSY_NETWORK = 0.25  # part of probes repeated, from where on one lost datagram is no evidence
 RECENT_PERIODS = 2  # a member heard within that many periods is surely reachable
 
 
