--- a/quillroad/membership/failure_detector.py
+++ b/quillroad/membership/failure_detector.py
@@ -25,9 +25,8 @@
 DIRECT_PINGS = 3  # of a direct-only probe: with fewer, usual loss makes healthy members suspect
 MAX_DIRECT_LOSS = 0.35  # fast loss from where on a direct-only probe without an answer says nothing
 FULL_PROBE_PERIODS = 0.85  # length of a full probe: it ends before the next period begins
-PERIOD_JITTER = (
-    0.2  # part of a period by which its length varies, so that members do not act in step
-)
+# part of a period by which its length varies, so that members do not act in step
+PERIOD_JITTER = 0.2
 SUSPECT_PROBERS = 2  # members of the whole cluster that probe a suspect in each gossip interval
 
 
--- a/quillroad/membership/member_table.py
+++ b/quillroad/membership/member_table.py
@@ -17,9 +17,8 @@
 # One false report may move an incarnation by this much: at ten reports a second the last
 # incarnation, behind which nothing can be refuted, is 58 hours away.
 MAX_INCARNATION_JUMP = 1024
-CHUNK_MEMBERS = (
-    32  # members under one digest; with incarnations of 5 bytes they still fit one datagram
-)
+# members under one digest; with incarnations of 5 bytes they still fit one datagram
+CHUNK_MEMBERS = 32
 SUSPECTOR_SLOTS = 3  # bits that tell how many gateways saw a member silent themselves
 _CODE_MASK = 0b1111  # a packed state takes four bits
 
--- a/quillroad/membership/refutation.py
+++ b/quillroad/membership/refutation.py
@@ -13,9 +13,8 @@
 from quillroad.membership.view import Change, ChangeKind
 from quillroad.membership.wire import DropReason
 
-MIN_INTERVAL_S = (
-    0.1  # between two refutations: two processes of one number would refute without end
-)
+# between two refutations: two processes of one number would refute without end
+MIN_INTERVAL_S = 0.1
 
 
 class Refutation:
--- a/quillroad/membership/sender.py
+++ b/quillroad/membership/sender.py
@@ -19,9 +19,8 @@
 )
 
 EVERYONE = -1  # as a target: the address at which one datagram reaches all members
-DEFERRABLE_FRACTION = (
-    0.8  # of the send budget, for what can wait; the rest is for probes and answers
-)
+# of the send budget, for what can wait; the rest is for probes and answers
+DEFERRABLE_FRACTION = 0.8
 BUSY_FRACTION = (
     DEFERRABLE_FRACTION / 2
 )  # of the send budget spent, from where on piggybacks are short
--- a/quillroad/membership/suspicions.py
+++ b/quillroad/membership/suspicions.py
@@ -20,9 +20,8 @@
 FALSE_REPORT_S = 10.0  # for so long after a member spoke that was reported faulty
 FALSE_REPORT_FACTOR = 3.0  # on the shortest timeout in that time
 MASS_FAILURE_MAX_FACTOR = 2.0  # longest timeout in shortest ones, while many fail and others answer
-CONFIRMED_FRACTION = (
-    0.5  # of the shortest timeout, for a suspect that another has waited for already
-)
+# of the shortest timeout, for a suspect that another has waited for already
+CONFIRMED_FRACTION = 0.5
 
 
 class SuspicionTracker:
--- a/quillroad/membership/timing.py
+++ b/quillroad/membership/timing.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 ISOLATION_PERIODS = 6  # a member of a pair receives a dozen datagrams in that time
-RECOVERY_PERIODS = 4
+RECOVERY_PERIODS = 4  # a stop that repeats each period or two must not count as recovered
 
 
 @dataclass(frozen=True, slots=True)
