--- a/quillroad/balancing/admission.py
+++ b/quillroad/balancing/admission.py
@@ -52,7 +52,7 @@
     state.requests[request.id] = request
     state.mean_work_us += (request.work_us - state.mean_work_us) / WORK_SMOOTHING
     weight = min(1.0, request.work_us / state.mean_work_us / ISOLATION_SMOOTHING)
-    state.long_work_share += (is_long(state, route) - state.long_work_share) * weight
+    state.long_work_ratio += (is_long(state, route) - state.long_work_ratio) * weight
     if (
         not state.settings.clients_mark_retries
         and left_us < route.client_wait_us - route.attempt_timeout_us
--- a/quillroad/balancing/balancer.py
+++ b/quillroad/balancing/balancer.py
@@ -116,7 +116,7 @@
         """How the balancer stands, by the names that the log of each second has for it."""
         return {
             "queued": self.queued,
-            "admitted": round(self.admitted_share, 3),
+            "admitted": round(self.admitted_ratio, 3),
             "width": self.subset_size or len(self.candidates),
             "limit": round(self.concurrency_limit, 2),
             "nerve": round(self.congestion_window, 2),
--- a/quillroad/balancing/endpoints.py
+++ b/quillroad/balancing/endpoints.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from quillroad.balancing.actions import WatchEndpoints
-from quillroad.balancing.endpoint import EndpointStatus
+from quillroad.balancing.endpoint import Endpoint, EndpointStatus
 from quillroad.balancing.events import EndpointUpdate, UpdateKind
 from quillroad.balancing.slow_start import is_warming
 from quillroad.balancing.state import BalancerState, HostState
@@ -37,19 +37,24 @@
         listed = [endpoint.id for endpoint in event.endpoints]
         state.hosts = {number: state.hosts[number] for number in listed if number in state.hosts}
     for endpoint in event.endpoints:
-        known = state.hosts.get(endpoint.id)
-        if endpoint.status is EndpointStatus.REMOVED:
-            state.hosts.pop(endpoint.id, None)
-        elif known is None or (endpoint.started_us or 0) > (known.endpoint.started_us or 0):
-            state.hosts[endpoint.id] = HostState(endpoint)
-            state.machine_slowness.setdefault(endpoint.machine_type, 0.0)
-        else:
-            known.endpoint = endpoint
+        _take(state, endpoint)
     refresh_candidates(state)
     if state.cross_zone is not None:
         check_local_zone(state, state.cross_zone)
 
 
+def _take(state: BalancerState, endpoint: Endpoint) -> None:
+    """Take in one entry of a list."""
+    known = state.hosts.get(endpoint.id)
+    if endpoint.status is EndpointStatus.REMOVED:
+        state.hosts.pop(endpoint.id, None)
+    elif known is None or (endpoint.started_us or 0) > (known.endpoint.started_us or 0):
+        state.hosts[endpoint.id] = HostState(endpoint)
+        state.machine_slowness.setdefault(endpoint.machine_type, 0.0)
+    else:
+        known.endpoint = endpoint
+
+
 def refresh_candidates(state: BalancerState) -> None:
     """Work out what follows from the hosts as they are listed, at the time `state.now_us`."""
     ready = [host for host in state.hosts.values() if host.endpoint.status is EndpointStatus.READY]
--- a/quillroad/balancing/learning.py
+++ b/quillroad/balancing/learning.py
@@ -18,13 +18,14 @@
     SLOW_ANSWER,
     note_congestion,
     on_rejected_by_host,
-    pause,
-    permits,
+    pause_after_attempt,
 )
 
 if TYPE_CHECKING:
-    from quillroad.balancing.state import Attempt, BalancerState, Request
+    from quillroad.balancing.state import Attempt, BalancerState, Request, RouteState
 
+SAY_NOTHING = (Outcome.CANCELLED, Outcome.NOT_SENT)
+"""Outcomes of attempts that the gateway itself ended or never began."""
 SLOWNESS_SMOOTHING = 0.12
 """Weight of the newest answer in a machine type's slowness: as quick to learn as payoffs."""
 LEAST_SLOWNESS = 0.01
@@ -52,24 +53,32 @@
         state.concurrency_limit >= 1.0 or not keeps_permit(state, request, attempt, outcome)
     ):
         state.in_flight -= 1
-    if outcome is Outcome.CANCELLED or outcome is Outcome.NOT_SENT:
+    if outcome in SAY_NOTHING:
         return
     # In a slot at a warming host nobody else sends: its answers say nothing of other gateways.
     shared = state.concurrency_limit < 1.0 and not is_warming(state, host)
-    if shared and outcome is not Outcome.REJECTED and (own := permits(state)) < 1.0:
-        pause(state, min(event.elapsed_us, request.route.attempt_timeout_us) * (1.0 / own - 1.0))
-    if outcome is Outcome.SUCCESS:
-        if _learn_from_answer(state, request, attempt, event.elapsed_us, shared):
-            return
-    elif request.long_body and outcome is Outcome.TIMEOUT:
+    if shared and outcome is not Outcome.REJECTED:
+        pause_after_attempt(state, min(event.elapsed_us, request.route.attempt_timeout_us))
+    if outcome is Outcome.SUCCESS and _learn_from_answer(
+        state, request, attempt, event.elapsed_us, shared
+    ):
         return
+    _learn_from_failure(state, request, attempt, outcome, shared)
+
+
+def _learn_from_failure(
+    state: BalancerState, request: Request, attempt: Attempt, outcome: Outcome, shared: bool
+) -> None:
+    """Hold a failure, or an answer that missed the objective, against the host."""
+    if request.long_body and outcome is Outcome.TIMEOUT:
+        return  # the client read or sent slowly
     if state.concurrency_limit < 1.0 and outcome is not Outcome.TIMEOUT:
-        rest(state, host, FAILURE_REST_US)
+        rest(state, attempt.host, FAILURE_REST_US)
         if outcome is Outcome.REJECTED and shared:
             on_rejected_by_host(state)
     if not attempt.overdue:
         # A failed connection says that this host is gone, not that the fleet is in a jam.
-        blame(state, host, outcome is not Outcome.CONNECT_FAILED)
+        blame(state, attempt.host, outcome is not Outcome.CONNECT_FAILED)
 
 
 def _learn_from_answer(
@@ -90,13 +99,7 @@
     machine_type = host.endpoint.machine_type
     known = state.machine_slowness[machine_type]
     state.machine_slowness[machine_type] = known + (slowness - known) * SLOWNESS_SMOOTHING
-    route.samples += 1
-    if attempt.alone or route.samples < FIRST_SAMPLES:
-        step_us = (elapsed_us - route.uncrowded_latency_us) / min(route.samples, MOST_SAMPLES)
-        route.uncrowded_latency_us = max(LEAST_LATENCY_US, route.uncrowded_latency_us + step_us)
-    # In a subset others fill a host: own answers do not tell how many attempts it bears.
-    if attempt.filled_host and route.samples >= FIRST_SAMPLES and state.concurrency_limit >= 1.0:
-        adjust_limit(state, elapsed_us / route.uncrowded_latency_us)
+    _learn_latency(state, route, attempt, elapsed_us)
     objective_us = route.settings.latency_objective_us
     bound_us = objective_us or route.latency.percentile(MEDIAN) or elapsed_us
     route.latency.append(elapsed_us)
@@ -106,3 +109,16 @@
     # outlier. Without this distinction such routes shed load and eject hosts on a quiet day.
     credit(state, host, float(elapsed_us <= bound_us), objective_us is not None)
     return True
+
+
+def _learn_latency(
+    state: BalancerState, route: RouteState, attempt: Attempt, elapsed_us: int
+) -> None:
+    """Take the time of an answer into the route's uncrowded latency and the concurrency limit."""
+    route.samples += 1
+    if attempt.alone or route.samples < FIRST_SAMPLES:
+        step_us = (elapsed_us - route.uncrowded_latency_us) / min(route.samples, MOST_SAMPLES)
+        route.uncrowded_latency_us = max(LEAST_LATENCY_US, route.uncrowded_latency_us + step_us)
+    # In a subset others fill a host: own answers do not tell how many attempts it bears.
+    if attempt.filled_host and route.samples >= FIRST_SAMPLES and state.concurrency_limit >= 1.0:
+        adjust_limit(state, elapsed_us / route.uncrowded_latency_us)
--- a/quillroad/balancing/load_shedding.py
+++ b/quillroad/balancing/load_shedding.py
@@ -1,9 +1,9 @@
 """The share of arrivals that is admitted while too few attempts meet their objective.
 
-Decides `admitted_share` (0 to 1). Inputs: the worth (0 or 1) of each outcome, and the arrivals of
-late. The share falls while fewer than `TARGET_IN_TIME` of the attempts are in time and rises while
-more are. Without it a fleet that is slower than its traffic works on nothing but requests that are
-too late: no limit of a single gateway can bound that.
+Decides `admitted_ratio` (0 to 1). Inputs: the reward of each outcome (1: it met the objective, 0:
+not), and the arrivals of late. The share falls while fewer than `TARGET_IN_TIME` of the attempts
+are in time and rises while more are. Without it a fleet that is slower than its traffic works on
+nothing but requests that are too late: no limit of a single gateway can bound that.
 
 Where a subset is drawn from, permits bound what is in flight: no jam is fed, and hosts that fail
 say nothing of one. There nothing is shed.
@@ -30,13 +30,13 @@
 
 def is_shed(state: BalancerState) -> bool:
     """Whether to turn an arrival away: by chance, in proportion to the share not admitted."""
-    return state.concurrency_limit >= 1.0 and state.random.random() > state.admitted_share
+    return state.concurrency_limit >= 1.0 and state.random.random() > state.admitted_ratio
 
 
-def adjust_admitted_share(state: BalancerState, worth: float, sheds: bool) -> None:
-    """Learn one outcome: worth 1 if in time, 0 if not. Not `sheds`: it may raise the share only."""
-    if sheds or worth > TARGET_IN_TIME:
+def adjust_admitted_ratio(state: BalancerState, reward: float, sheds: bool) -> None:
+    """Learn one outcome: reward 1 if in time, else 0. Not `sheds`: it may only raise the share."""
+    if sheds or reward > TARGET_IN_TIME:
         step = STEP / max(LEAST_REMEMBERED, state.recent_requests)
-        state.admitted_share = min(
-            1.0, max(LEAST_ADMITTED, state.admitted_share + (worth - TARGET_IN_TIME) * step)
+        state.admitted_ratio = min(
+            1.0, max(LEAST_ADMITTED, state.admitted_ratio + (reward - TARGET_IN_TIME) * step)
         )
--- a/quillroad/balancing/outlier_detection.py
+++ b/quillroad/balancing/outlier_detection.py
@@ -1,7 +1,7 @@
 """The payoff of a host, and its ejection and return.
 
-Decides which hosts are in rotation. Inputs: the worth (0 or 1) of each outcome, its time, the
-gateway's traffic, the number of gateways.
+Decides which hosts are in rotation. Inputs: the reward of each outcome (1: it met the objective, 0:
+not), its time, the gateway's traffic, the number of gateways.
 
 Payoff: the smoothed share (0 to 1) of attempts that met the objective. It is less certain with age
 and fades to the mean of all hosts, so blame fades too; of a host that was not heard of for long one
@@ -23,7 +23,7 @@
 from typing import TYPE_CHECKING
 
 from quillroad.balancing.actions import LogMessage
-from quillroad.balancing.load_shedding import adjust_admitted_share
+from quillroad.balancing.load_shedding import adjust_admitted_ratio
 from quillroad.balancing.rejection import DecisionCounter, count
 from quillroad.balancing.state import UNKNOWN_PAYOFF
 
@@ -57,18 +57,18 @@
     return state.mean_payoff + (host.payoff - state.mean_payoff) * freshness(state, host)
 
 
-def credit(state: BalancerState, host: HostState, worth: float, sheds: bool = True) -> None:
-    """Learn one outcome: worth 1 if it met the objective, 0 if not.
+def credit(state: BalancerState, host: HostState, reward: float, sheds: bool = True) -> None:
+    """Learn one outcome: reward 1 if it met the objective, 0 if not.
 
     `sheds`: it may also make load shedding reject more.
     """
-    adjust_admitted_share(state, worth, sheds)
+    adjust_admitted_ratio(state, reward, sheds)
     fresh = freshness(state, host)
     known = state.mean_payoff + (host.payoff - state.mean_payoff) * fresh
     weight = max(PAYOFF_SMOOTHING, 1.0 - fresh)
-    host.payoff = known + (worth - known) * weight
+    host.payoff = known + (reward - known) * weight
     host.heard_us = state.now_us
-    state.mean_payoff += (worth - state.mean_payoff) * PAYOFF_SMOOTHING
+    state.mean_payoff += (reward - state.mean_payoff) * PAYOFF_SMOOTHING
 
 
 def blame(state: BalancerState, host: HostState, sheds: bool = True) -> None:
--- a/quillroad/balancing/platform_settings.py
+++ b/quillroad/balancing/platform_settings.py
@@ -132,30 +132,30 @@
     return ValueError(f"{path}.{name}{colon}{why}" if path else f"{name}{colon}{why}")
 
 
-def _read_route(lane: SettingsObject) -> Route:
-    deadline_us = lane.optional_whole("deadline")
+def _read_route(entry: SettingsObject) -> Route:
+    deadline_us = entry.optional_whole("deadline")
     if deadline_us is None:
-        raise ValueError(f"{lane.path_of('deadline')}: missing")
-    idempotency = lane.choice("semantics", Idempotency, None)
+        raise ValueError(f"{entry.path_of('deadline')}: missing")
+    idempotency = entry.choice("semantics", Idempotency, None)
     values: dict[str, Any] = {
-        "name": lane.text("name"),
+        "name": entry.text("name"),
         "idempotency": idempotency,
-        "latency_objective_us": lane.optional_whole("goal_time"),
+        "latency_objective_us": entry.optional_whole("goal_time"),
         "deadline_us": deadline_us,
-        "priority_weight": lane.number("importance", 1.0),
-        "late_weight": lane.number("late_worth", 0.0),
-        "deduplication_scope": lane.choice("group", DeduplicationScope, DeduplicationScope.ALL),
-        "deduplication_window_us": lane.whole("memory_span", 0),
-        "objective_stretch": lane.number("aim_stretch", 0.0),
+        "priority_weight": entry.number("importance", 1.0),
+        "late_weight": entry.number("late_worth", 0.0),
+        "deduplication_scope": entry.choice("group", DeduplicationScope, DeduplicationScope.ALL),
+        "deduplication_window_us": entry.whole("memory_span", 0),
+        "objective_stretch": entry.number("aim_stretch", 0.0),
     }
     try:
         return Route(**values)
     except ValueError as error:
-        raise _by_platform_name(error, lane.path) from None
+        raise _by_platform_name(error, entry.path) from None
 
 
-def _read_routes(told: SettingsObject) -> tuple[Route, ...]:
-    routes = tuple(_read_route(lane) for lane in told.objects("lanes"))
+def _read_routes(root: SettingsObject) -> tuple[Route, ...]:
+    routes = tuple(_read_route(entry) for entry in root.objects("lanes"))
     names = [route.name for route in routes]
     for index, name in enumerate(names):
         if name and name in names[:index]:
@@ -163,31 +163,31 @@
     return routes
 
 
-def _check_unread(told: SettingsObject) -> None:
+def _check_unread(root: SettingsObject) -> None:
     """Check the fields that no decision reads. Flags of that sort cannot be wrong."""
-    told.object("guarantees").whole("answer_slack", 0)
-    told.object("specifics")
-    told.text("weight_kind")
-    mix = told.object("objective_mix")
+    root.object("guarantees").whole("answer_slack", 0)
+    root.object("specifics")
+    root.text("weight_kind")
+    mix = root.object("objective_mix")
     mix.number("whole", 1.0)
     mix.number("worst_class", 0.0)
 
 
 def read_settings(data: Any) -> Settings:
     """Settings from the platform's object. Raises `ValueError` that names the field."""
-    told = SettingsObject(data)
-    limits = told.object("limits")
-    guarantees = told.object("guarantees")
+    root = SettingsObject(data)
+    limits = root.object("limits")
+    guarantees = root.object("guarantees")
     values: dict[str, Any] = {
-        "routes": _read_routes(told),
-        "gateway_count": told.whole("balancers", 1),
-        "gateway_index": told.whole("my_number", 0),
-        "zone": told.whole("zone", 0),
-        "discovery_is_polled": told.text("discovery") == "ask",
+        "routes": _read_routes(root),
+        "gateway_count": root.whole("balancers", 1),
+        "gateway_index": root.whole("my_number", 0),
+        "zone": root.whole("zone", 0),
+        "discovery_is_polled": root.text("discovery") == "ask",
         "tenant_quotas_per_s": tuple(
-            tenant.number("quota_per_s", 0.0) for tenant in told.objects("orgs")
+            tenant.number("quota_per_s", 0.0) for tenant in root.objects("orgs")
         ),
-        "over_quota_weight": told.number("over_share_worth", 1.0),
+        "over_quota_weight": root.number("over_share_worth", 1.0),
         "max_attempts": limits.whole("attempts_cap", 3),
         "hedging_allowed": limits.flag("parallel_tries"),
         "cancellation_allowed": limits.flag("cancelling"),
@@ -199,10 +199,10 @@
         "initial_capacity": guarantees.number("cold_from", 1.0),
         "overload_multiple": guarantees.number("fall_multiple", 1.0),
         "overload_window_us": guarantees.whole("tip_after", 1_000_000),
-        "cross_zone_cost": told.object("prices").number("cross_zone", 0.0),
-        "clients_mark_retries": told.object("clients").flag("marks_retry"),
+        "cross_zone_cost": root.object("prices").number("cross_zone", 0.0),
+        "clients_mark_retries": root.object("clients").flag("marks_retry"),
     }
-    _check_unread(told)
+    _check_unread(root)
     try:
         return Settings(**values)
     except ValueError as error:
--- a/quillroad/balancing/retry.py
+++ b/quillroad/balancing/retry.py
@@ -32,7 +32,7 @@
 
 from quillroad.balancing.events import NEVER_RAN, Outcome
 from quillroad.balancing.rejection import RejectionReason
-from quillroad.balancing.settings import DeduplicationScope, Idempotency
+from quillroad.balancing.settings import DeduplicationScope, Idempotency, Route
 from quillroad.balancing.timers import TimerPurpose, set_timer
 
 if TYPE_CHECKING:
@@ -60,20 +60,31 @@
     return outcome in NEVER_RAN or idempotency is not Idempotency.NON_IDEMPOTENT
 
 
-def may_run_again(state: BalancerState, request: Request, ran: Attempt, host: HostState) -> bool:
-    """Whether a request that may have run may be sent to `host` now: its repeat must be dropped.
+def may_try_again(state: BalancerState, request: Request, host: HostState) -> bool:
+    """Whether a request that has had an attempt may have another, at this host, now."""
+    if len(request.attempts) >= state.settings.max_attempts:
+        return False
+    if request.in_flight and not request.route.hedging_allowed:
+        return False
+    if request.route.settings.idempotency is Idempotency.IDEMPOTENT:
+        return True
+    ran = request.may_have_run()
+    return not ran or _is_repeat_dropped(state, request.route.settings, ran[0], host)
 
-    The request is not idempotent; `ran` is its first attempt that may have run.
-    """
-    settings = request.route.settings
+
+def _is_repeat_dropped(
+    state: BalancerState, settings: Route, first: Attempt, host: HostState
+) -> bool:
+    """Whether a host drops a repeat; `first` is the first attempt that may have run."""
     if settings.idempotency is Idempotency.NON_IDEMPOTENT:
         return False
-    there, here = ran.host.endpoint, host.endpoint
+    there = first.host.endpoint
+    here = host.endpoint
     if settings.deduplication_scope is DeduplicationScope.ZONE and there.zone != here.zone:
         return False
     if settings.deduplication_scope is DeduplicationScope.CELL and there.cell != here.cell:
         return False
-    return state.now_us < ran.sent_us + settings.deduplication_window_us
+    return state.now_us < first.sent_us + settings.deduplication_window_us
 
 
 def is_retry_harmless(request: Request) -> bool:
--- a/quillroad/balancing/selection.py
+++ b/quillroad/balancing/selection.py
@@ -45,27 +45,52 @@
     if state.warming and (warming := _pick_warming(state, request)) is not None:
         return warming
     subset = update_subset(state)
-    if subset and is_out_of_permits(state):
+    if not subset:
+        hosts = hosts_of_route(state, request.route)
+        # With a budget a crossing is dearer than a wait at a local host with room.
+        fill = LOCAL_FILL if budget is None else 1.0
+        return _pick_better(state, request, hosts, hosts, fill)
+    if is_out_of_permits(state):
         return None
-    # In a subset too little is seen to tell long requests' part of the work: all hosts are drawn.
-    wide = state.candidates if subset else hosts_of_route(state, request.route)
-    narrow = subset or wide
-    # With a budget a crossing is dearer than a wait at a local host with room.
-    fill = 1.0 if subset or budget is not None else LOCAL_FILL
+    # In a subset too little is seen to tell the work of long requests: no hosts are kept for them.
+    return _pick_better(state, request, subset, state.candidates, 1.0)
+
+
+def _pick_better(
+    state: BalancerState,
+    request: Request,
+    narrow: list[HostState],
+    wide: list[HostState],
+    fill: float,
+) -> HostState | None:
+    """The better of two hosts of `narrow`, local ones first, up to `fill` of their permits.
+
+    Where none has room: of two that have all of their permits to fill, the first of `wide`.
+    """
+    in_subset = narrow is not wide
     local = narrow if state.all_local else [h for h in narrow if not is_remote(state, h)]
-    pool = subset or local
+    pool = narrow if in_subset else local
     first = _draw(state, request, local, fill)
-    if first is None and subset:
+    if first is None and in_subset:
         first = _draw(state, request, pool, fill)
     if first is None:
-        pool, fill = narrow, 1.0
-        panic = not any(host.is_healthy(state.now_us) for host in pool)
-        first = _draw(state, request, wide, panic=panic)
+        pool = narrow
+        fill = 1.0
+        first = _draw(state, request, wide, panic=_none_is_healthy(state, narrow))
         if first is None:
             return None
-    elif budget is not None and not is_remote(state, first):
+    elif state.cross_zone is not None and not is_remote(state, first):
         pool = local  # the second draw must not cross where the first need not
-    second = _draw(state, request, pool, fill, first) or first
+    return _explore(state, first, _draw(state, request, pool, fill, first))
+
+
+def _none_is_healthy(state: BalancerState, hosts: list[HostState]) -> bool:
+    return not any(host.is_healthy(state.now_us) for host in hosts)
+
+
+def _explore(state: BalancerState, first: HostState, second: HostState | None) -> HostState:
+    """The one with the higher score, or by chance, seldom, the other. None: there is no other."""
+    second = second or first
     if score(state, first) >= score(state, second):
         better, worse = first, second
     else:
@@ -116,27 +141,36 @@
     is no other host at all. `panic`: unhealthy hosts count as healthy.
     """
     count = len(pool)
-    tried = [attempt.host for attempt in request.attempts]
-    start = int(state.random.random() * count)
-    if len(state.machine_slowness) > 1 and 0 < count < len(state.candidates):
-        start = _draw_by_speed(state, pool)
-    room = max(1.0, fill * state.permits_per_host)
+    start = _first_place(state, pool)
+    most = max(1.0, fill * state.permits_per_host)
     for place in range(start, start + count):
         host = pool[place % count]
-        if host is other or host.permits_taken() + 1 > room:
+        if host is other or host.permits_taken() + 1 > most:
             continue
         if not (panic or host.is_healthy(state.now_us)):
             continue
-        fresh = host not in tried or (len(state.candidates) == 1 and not request.in_flight)
-        if fresh and may_send(state, request, host):
+        if request.attempts and _was_tried(state, request, host):
+            continue
+        if may_send(state, request, host):
             return host
     return None
 
 
-def _draw_by_speed(state: BalancerState, pool: list[HostState]) -> int:
-    """A random place in the pool, by the speed of each host's machine type.
+def _was_tried(state: BalancerState, request: Request, host: HostState) -> bool:
+    """Whether the request was tried at the host before, and may be tried elsewhere or is still."""
+    if host not in [attempt.host for attempt in request.attempts]:
+        return False
+    return len(state.candidates) > 1 or request.in_flight > 0
+
+
+def _first_place(state: BalancerState, pool: list[HostState]) -> int:
+    """A random place in the pool, in a part of all hosts by the speed of their machine types.
 
     In a subset too few attempts are in flight for the discount to tell slow types from fast ones.
     """
+    count = len(pool)
+    start = int(state.random.random() * count)
+    if len(state.machine_slowness) <= 1 or not 0 < count < len(state.candidates):
+        return start
     weights = [2.0 ** -state.machine_slowness[host.endpoint.machine_type] for host in pool]
-    return state.random.choices(range(len(pool)), weights)[0]
+    return state.random.choices(range(count), weights)[0]
--- a/quillroad/balancing/simulator.py
+++ b/quillroad/balancing/simulator.py
@@ -214,11 +214,11 @@
 
     def _check(self, number: int, event: Event) -> None:
         """A balancer must have started; route and tenant must lie within its settings (0 does)."""
-        told = self._started(number).settings
+        settings = self._started(number).settings
         if isinstance(event, RequestArrived):
-            if not 0 <= event.route < max(1, len(told.routes)):
+            if not 0 <= event.route < max(1, len(settings.routes)):
                 raise BatchError(f"class {event.route} is not in the settings")
-            if not 0 <= event.tenant < max(1, len(told.tenant_quotas_per_s)):
+            if not 0 <= event.tenant < max(1, len(settings.tenant_quotas_per_s)):
                 raise BatchError(f"tenant {event.tenant} is not in the settings")
 
     def _run(self, now_us: int, number: int, events: list[Event], decisions: list[Any]) -> None:
--- a/quillroad/balancing/state.py
+++ b/quillroad/balancing/state.py
@@ -26,7 +26,7 @@
 
 UNKNOWN_PAYOFF = 0.5
 """Payoff (0 to 1) of a host nothing is known of: neither preferred nor passed over."""
-LATENCIES_KEPT = 128
+LATENCY_SAMPLES = 128
 """Latencies of a route that percentiles are taken from: enough for a 95th, soon forgotten."""
 INITIAL_LATENCY_PART = 0.25
 """Guess of a route's uncrowded latency, as a part of its attempt timeout: a cautious one, since
@@ -53,7 +53,7 @@
             hedging_allowed and settings.idempotency is not Idempotency.NON_IDEMPOTENT
         )
         self.retry_budget = TokenBucket(1.0)
-        self.latency = LatencyTracker(LATENCIES_KEPT)
+        self.latency = LatencyTracker(LATENCY_SAMPLES)
         self.attempt_timeout_us = settings.latency_objective_us or settings.deadline_us
         self.uncrowded_latency_us = self.attempt_timeout_us * INITIAL_LATENCY_PART
         self.samples = 0
@@ -206,7 +206,7 @@
     def _set_admission(self) -> None:
         latencies = [route.uncrowded_latency_us for route in self.routes]
         # admission, load_shedding
-        self.admitted_share = 1.0  # share of arrivals not shed
+        self.admitted_ratio = 1.0  # share of arrivals not shed
         self.recent_requests = 0.0  # arrivals within `memory_us`, fading
         self.recent_counted_us = 0  # when they were counted last
         self.mean_work_us = min(latencies)  # of one request
@@ -215,7 +215,7 @@
         self.tenant_buckets = [TokenBucket(quota) for quota in self.settings.tenant_quotas_per_s]
         # workload_isolation
         self.shortest_timeout_us = min(route.attempt_timeout_us for route in self.routes)
-        self.long_work_share = 0.0  # part of the work asked for that comes in long requests
+        self.long_work_ratio = 0.0  # part of the work asked for that comes in long requests
         # request_queue
         self.queued = 0  # requests that wait
         self.queue_sent_us = 0  # the last send from the queue
--- a/quillroad/balancing/subsetting.py
+++ b/quillroad/balancing/subsetting.py
@@ -49,7 +49,7 @@
 MOST_LOCAL = 0.5
 """Part of the subset that local hosts take at most, however dear cross-zone traffic is: all local,
 the zone's hosts would carry all gateways of a zone that has more of them."""
-INDEX_SPREAD = 0.618
+GOLDEN_SECTION = 0.618
 """Golden section: fractions of its multiples lie evenly, so that consecutive gateway indexes round
 their permits up and down in turn. All rounded up they are a tenth more than hosts bear."""
 MOST_PAUSE_DOUBLINGS = 3
@@ -61,19 +61,13 @@
     if state.concurrency_limit >= 1.0:
         state.permits_per_host = state.concurrency_limit
         return None
-    # Warming hosts are for the owner of their slot. Without this subsets hold little else after a
-    # deploy. Where none is warm they are all there is.
-    warm = (
-        [host for host in state.candidates if not is_warming(state, host)]
-        if state.warming
-        else state.candidates
-    )
-    warm = warm or state.candidates
-    _update_permits(state, len(warm))
-    if state.subset_size >= len(warm):
-        return None
-    ring = (warm * 2)[len(warm) * state.gateway_index // state.gateway_count :][: len(warm)]
+    hosts = _warm_hosts(state)
+    _update_permits(state, len(hosts))
     width = state.subset_size
+    if width >= len(hosts):
+        return None
+    start = len(hosts) * state.gateway_index // state.gateway_count
+    ring = (hosts * 2)[start:][: len(hosts)]
     if state.all_local:
         healthy = (host for host in ring if host.is_healthy(state.now_us))
         return list(islice(healthy, width)) or ring[:width]
@@ -81,6 +75,16 @@
     return _prefer_local(state, ring, width)
 
 
+def _warm_hosts(state: BalancerState) -> list[HostState]:
+    """The candidates that are not warming up; all of them where none is warm.
+
+    Warming hosts are for the owner of their slot: after a deploy subsets would hold little else.
+    """
+    if not state.warming:
+        return state.candidates
+    return [host for host in state.candidates if not is_warming(state, host)] or state.candidates
+
+
 def _prefer_local(state: BalancerState, ring: list[HostState], width: int) -> list[HostState]:
     """`width` hosts of the ring, with local ones in proportion to the price of crossing zones.
 
@@ -100,7 +104,7 @@
     )
     permits = max(hosts * limit, own_traffic)
     state.permits_per_host = max(1.0, permits / max(1, hosts))
-    part = state.gateway_index * INDEX_SPREAD % 1.0
+    part = state.gateway_index * GOLDEN_SECTION % 1.0
     state.subset_size = min(hosts, max(SMALLEST_SUBSET, int(permits + part)))
     # Under one permit for each gateway the others are certainly there, however busy this one is
     # with retries of the same requests.
@@ -136,12 +140,19 @@
         state.congestion_window = min(1.0, state.congestion_window + WINDOW_GAINED)
 
 
-def pause(state: BalancerState, wait_us: float) -> None:
+def suspend_attempts(state: BalancerState, wait_us: float) -> None:
     """Start no attempt for `wait_us`; the queue goes on with the event that ends the pause."""
     state.paused_until_us = max(state.paused_until_us, state.now_us + int(wait_us))
     set_timer(state, wait_us, TimerPurpose.RESUME_QUEUE)
 
 
+def pause_after_attempt(state: BalancerState, used_us: int) -> None:
+    """With less than one permit, pause in proportion to the time that an attempt has used it."""
+    own = permits(state)
+    if own < 1.0:
+        suspend_attempts(state, used_us * (1.0 / own - 1.0))
+
+
 def on_rejected_by_host(state: BalancerState) -> None:
     """A host of the subset was full: less in flight, and from the second in a row on a pause."""
     note_congestion(state, True)
@@ -149,4 +160,4 @@
     if state.consecutive_rejections > 1:
         doubled = 2.0 ** min(state.consecutive_rejections - 2, MOST_PAUSE_DOUBLINGS)
         work_us = min(state.mean_work_us, state.initial_work_us)
-        pause(state, work_us * doubled * (0.5 + state.random.random()))
+        suspend_attempts(state, work_us * doubled * (0.5 + state.random.random()))
--- a/quillroad/balancing/workload_isolation.py
+++ b/quillroad/balancing/workload_isolation.py
@@ -24,9 +24,9 @@
 def hosts_of_route(state: BalancerState, route: RouteState) -> list[HostState]:
     """The candidates that are the route's to draw from."""
     hosts = len(state.candidates)
-    if hosts <= 1 or state.long_work_share <= 0.0:
+    if hosts <= 1 or state.long_work_ratio <= 0.0:
         return state.candidates
-    for_long = min(hosts - 1, max(1, round(hosts * state.long_work_share)))
+    for_long = min(hosts - 1, max(1, round(hosts * state.long_work_ratio)))
     if is_long(state, route):
         return state.candidates[:for_long]
     return state.candidates[for_long:]
--- a/quillroad/balancing/zone_awareness.py
+++ b/quillroad/balancing/zone_awareness.py
@@ -25,15 +25,17 @@
     return not state.all_local and host.endpoint.zone != state.settings.zone
 
 
-def may_cross(state: BalancerState, request: Request, budget: Crossing) -> bool:
-    """Whether a request may go to a remote host now; a refusal is kept at its route."""
-    if budget.allows(state.now_us, request.route_index, crossing_reason(request, budget)):
+def may_cross(state: BalancerState, request: Request, host: HostState, budget: Crossing) -> bool:
+    """Whether the budget lets a request go to a host now; a refusal is noted at its route."""
+    if not is_remote(state, host):
+        return True
+    if budget.allows(state.now_us, request.route_index, cross_zone_reason(request, budget)):
         return True
     request.route.cross_zone_denied = True
     return False
 
 
-def crossing_reason(request: Request, budget: Crossing) -> Reason:
+def cross_zone_reason(request: Request, budget: Crossing) -> Reason:
     """Why a request would leave the zone.
 
     One that may have run where only that zone or cell drops its repeat must go there or nowhere.
@@ -52,7 +54,7 @@
     if not request.attempts:
         budget.first(state.now_us)
     if is_remote(state, host):
-        reason = crossing_reason(request, budget)
+        reason = cross_zone_reason(request, budget)
         _log(state, budget.spend(state.now_us, request.route_index, reason))
 
 
--- a/quillroad/balancing/zone_routing.py
+++ b/quillroad/balancing/zone_routing.py
@@ -171,10 +171,10 @@
 
     def allows(self, now: int, route: int, reason: Reason) -> bool:
         """Whether a request of this route may be sent to a remote zone now, for this reason."""
-        told = self.budget.classes[route]
-        if reason is Reason.BOUND or (reason is not Reason.COPY and self.lost and told.spends):
+        allowance = self.budget.classes[route]
+        if reason is Reason.BOUND or (reason is not Reason.COPY and self.lost and allowance.spends):
             return True
-        keep = max(told.keep, COPIES_KEEP) if reason is Reason.COPY else told.keep
+        keep = max(allowance.keep, COPIES_KEEP) if reason is Reason.COPY else allowance.keep
         return self._within(now, keep)
 
     def why(self, bound: bool, again: bool) -> Reason:
@@ -214,12 +214,14 @@
         """About how long (us) until one more of this route is allowed, at the same traffic."""
         if self.allows(now, route, Reason.LOST):
             return 0.0
-        told = self.budget
-        part = 1.0 - told.classes[route].keep
-        waits = [self._fades_us(self._crossed, part * self._room() - 1.0)]
-        if told.bytes_per_s:
+        budget = self.budget
+        part = 1.0 - budget.classes[route].keep
+        waits = [self._fades_us(self._crossed, part * self._most_crossings() - 1.0)]
+        if budget.bytes_per_s:
             waits.append(
-                self._fades_us(self._bytes, part * told.bytes_per_s * told.window_us / MICROSECONDS)
+                self._fades_us(
+                    self._bytes, part * budget.bytes_per_s * budget.window_us / MICROSECONDS
+                )
             )
         return max(waits)
 
@@ -232,9 +234,9 @@
     def used(self, now: int) -> float:
         """Part of the budget that is used now: 1 is all of it."""
         self._fade(now)
-        room = self._room()
+        most = self._most_crossings()
         parts = [0.0]
-        parts.append(self._crossed / room if room > 0 else float(self._crossed > 0))
+        parts.append(self._crossed / most if most > 0 else float(self._crossed > 0))
         if self.budget.bytes_per_s:
             parts.append(
                 self._bytes / (self.budget.bytes_per_s * self.budget.window_us / MICROSECONDS)
@@ -265,18 +267,18 @@
             self._bytes *= part
             self._now = now
 
-    def _room(self) -> float:
+    def _most_crossings(self) -> float:
         """Crossings that the window holds."""
-        told = self.budget
-        window_s = told.window_us / MICROSECONDS
-        most = told.per_s * window_s if told.per_s else math.inf
-        return min(told.share * self._firsts + FREE, most) if told.share else 0.0
+        budget = self.budget
+        window_s = budget.window_us / MICROSECONDS
+        most = budget.per_s * window_s if budget.per_s else math.inf
+        return min(budget.share * self._firsts + FREE, most) if budget.share else 0.0
 
     def _within(self, now: int, keep: float) -> bool:
         self._fade(now)
-        told = self.budget
+        budget = self.budget
         full = (
-            told.bytes_per_s
-            and self._bytes > (1.0 - keep) * told.bytes_per_s * told.window_us / MICROSECONDS
+            budget.bytes_per_s
+            and self._bytes > (1.0 - keep) * budget.bytes_per_s * budget.window_us / MICROSECONDS
         )
-        return not full and self._crossed + 1.0 <= (1.0 - keep) * self._room()
+        return not full and self._crossed + 1.0 <= (1.0 - keep) * self._most_crossings()
--- a/quillroad/upgrade/state_snapshot.py
+++ b/quillroad/upgrade/state_snapshot.py
@@ -79,9 +79,9 @@
         mean_payoff=balancer.mean_payoff,
         recent=balancer.recent_requests,
         counted_us=balancer.recent_counted_us,
-        admitted=balancer.admitted_share,
+        admitted=balancer.admitted_ratio,
         mean_cost_us=balancer.mean_work_us,
-        blocking_share=balancer.long_work_share,
+        blocking_share=balancer.long_work_ratio,
         limit=balancer.concurrency_limit,
         crowding=balancer.latency_inflation,
         failed_calls=balancer.failed_polls,
@@ -101,16 +101,7 @@
     left = []
     if told.version > VERSION:
         left.append(f"knowledge of version {told.version}: read as version {VERSION}")
-    fresh = not balancer.hosts
-    hosts = [_host(balancer, one, fresh, bool(told.work)) for one in told.servers]
-    unknown = sum(
-        1 for one, host in zip(told.servers, hosts, strict=True) if one.listed and host is None
-    )
-    if unknown:
-        left.append(f"{unknown} servers: not in the list held")
-    balancer.now_us = max(balancer.now_us, told.now_us)
-    if fresh:
-        refresh_candidates(balancer)
+    hosts = _adopt_hosts(balancer, told, left)
     left += _adopt_routes(balancer, told)
     left += _adopt_tenants(balancer, told, names)
     kinds = {_kind(names, kind): kind for kind in [-1, *range(len(names.kinds))]}
@@ -123,6 +114,21 @@
     return left
 
 
+def _adopt_hosts(balancer: Balancer, told: Knowledge, left: list[str]) -> list[HostState | None]:
+    """The hosts here, in the document's order; None where the list held does not have one."""
+    fresh = not balancer.hosts
+    hosts = [_host(balancer, one, fresh, bool(told.work)) for one in told.servers]
+    unknown = sum(
+        1 for one, host in zip(told.servers, hosts, strict=True) if one.listed and host is None
+    )
+    if unknown:
+        left.append(f"{unknown} servers: not in the list held")
+    balancer.now_us = max(balancer.now_us, told.now_us)
+    if fresh:
+        refresh_candidates(balancer)
+    return hosts
+
+
 def _adopt_routes(balancer: Balancer, told: Knowledge) -> list[str]:
     left = []
     routes = {route.settings.name: route for route in balancer.routes}
@@ -175,8 +181,8 @@
 def _adopt_means(balancer: Balancer, told: Knowledge) -> None:
     balancer.recent_requests = told.recent
     balancer.recent_counted_us = told.counted_us
-    balancer.admitted_share = min(1.0, max(0.0, told.admitted))
-    balancer.long_work_share = told.blocking_share
+    balancer.admitted_ratio = min(1.0, max(0.0, told.admitted))
+    balancer.long_work_ratio = told.blocking_share
     balancer.latency_inflation = told.crowding
     balancer.failed_polls = told.failed_calls
     if told.mean_payoff is not None:
@@ -256,19 +262,12 @@
 def _host(balancer: Balancer, told: ServerKnown, fresh: bool, work: bool) -> HostState | None:
     """The state that a told host has here; None where the list held does not have it."""
     host = balancer.hosts.get(told.id) if told.listed else None
-    if host is not None and (host.endpoint.started_us or 0) != (told.started_us or 0):
-        return None  # it has restarted since: nothing that was learned holds
+    if host is not None and _has_restarted(host, told):
+        return None  # nothing that was learned holds
     if host is None:
         if not (fresh and told.listed) and not work:
             return None
-        status = EndpointStatus(told.state)
-        endpoint = Endpoint(
-            told.id, status, told.zone, told.cell, told.kind, told.hint, told.started_us
-        )
-        host = HostState(endpoint)
-        if told.listed:
-            balancer.hosts[told.id] = host
-            balancer.machine_slowness.setdefault(told.kind, 0.0)
+        host = _new_host(balancer, told)
     host.payoff = told.payoff
     host.heard_us = told.heard_us
     host.newest_overdue_sent_us = told.missed_us
@@ -285,6 +284,21 @@
     return host
 
 
+def _has_restarted(host: HostState, told: ServerKnown) -> bool:
+    return (host.endpoint.started_us or 0) != (told.started_us or 0)
+
+
+def _new_host(balancer: Balancer, told: ServerKnown) -> HostState:
+    status = EndpointStatus(told.state)
+    host = HostState(
+        Endpoint(told.id, status, told.zone, told.cell, told.kind, told.hint, told.started_us)
+    )
+    if told.listed:
+        balancer.hosts[told.id] = host
+        balancer.machine_slowness.setdefault(told.kind, 0.0)
+    return host
+
+
 class _Requests:
     """The open requests of a document, each at its place."""
 
@@ -338,15 +352,7 @@
         ([requests.of(r) for r in route.queues[0]], [requests.of(r) for r in route.queues[1]])
         for route in balancer.routes
     ]
-    # An attempt that has its outcome is passed over when it is overdue: it need not go along.
-    due = [
-        [
-            (at_us, *owners[id(attempt)])
-            for at_us, attempt in route.overdue_schedule
-            if attempt.outcome is None and id(attempt) in owners
-        ]
-        for route in balancer.routes
-    ]
+    due = [_due(route, owners) for route in balancer.routes]
     alarms = [
         (number, timer.purpose.value, -1 if timer.request is None else requests.of(timer.request))
         for number, timer in balancer.timers.items()
@@ -354,6 +360,18 @@
     return Work(requests.known, queues, due, alarms, balancer.last_timer_id, balancer.queued)
 
 
+def _due(route: RouteState, owners: dict[int, tuple[int, int]]) -> list[tuple[int, int, int]]:
+    """When each attempt is overdue, its request's place and its number.
+
+    An attempt that has its outcome is passed over when it is overdue: it need not go along.
+    """
+    return [
+        (at_us, *owners[id(attempt)])
+        for at_us, attempt in route.overdue_schedule
+        if attempt.outcome is None and id(attempt) in owners
+    ]
+
+
 def _open(balancer: Balancer, work: Work, hosts: Sequence[HostState]) -> None:
     requests = []
     for told in work.requests:
--- a/tests/balancing/test_learning.py
+++ b/tests/balancing/test_learning.py
@@ -32,7 +32,7 @@
         driver.pass_time(1000)
         assert len(driver.sends[request]) == 1
         driver.done(request, Outcome.SUCCESS, 1000 + 37 * (number * 61 % 100))
-    assert driver.balancer.admitted_share == 1.0
+    assert driver.balancer.admitted_ratio == 1.0
     assert not any(server.ejections for server in driver.balancer.hosts.values())
 
 
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -24,7 +24,7 @@
     """churn+huge, seed 5: with errors at most hosts 430 of 520 requests a second were refused while 30 of 200
     places were taken."""
     driver = BalancerDriver(one_of_many(gateway_count=40, gateway_index=3), three_zones())
-    driver.balancer.admitted_share = 0.1
+    driver.balancer.admitted_ratio = 0.1
     for _ in range(50):
         request = driver.arrive()
         assert request in driver.sends
@@ -38,14 +38,14 @@
     server = balancer.candidates[0]
     for _ in range(20):
         credit(balancer, server, 0.0)
-    assert balancer.admitted_share == LEAST_ADMITTED
+    assert balancer.admitted_ratio == LEAST_ADMITTED
     for _ in range(20):
         credit(balancer, server, 1.0)
-    assert balancer.admitted_share == 1.0
+    assert balancer.admitted_ratio == 1.0
 
 
 def test_shed_requests_are_rejected_before_they_cost_work() -> None:
     driver = BalancerDriver(settings(), 3)
-    driver.balancer.admitted_share = 0.0
+    driver.balancer.admitted_ratio = 0.0
     request = driver.arrive()
     assert request not in driver.sends and driver.log[-1] == Reject(request)
--- a/tests/balancing/test_retry.py
+++ b/tests/balancing/test_retry.py
@@ -95,7 +95,7 @@
     driver = BalancerDriver(settings(), 9)
     driver.warm_up(200)
     for number in range(1000):
-        driver.balancer.admitted_share = 1.0  # load shedding is not what is tested
+        driver.balancer.admitted_ratio = 1.0  # load shedding is not what is tested
         request = driver.arrive()
         if number % 4 == 0:
             assert not any(
--- a/tests/balancing/test_workload_isolation.py
+++ b/tests/balancing/test_workload_isolation.py
@@ -42,7 +42,7 @@
     driver = BalancerDriver(
         Settings(routes=(short, long), gateway_count=400, gateway_index=100), three_zones()
     )
-    driver.balancer.long_work_share = 0.01
+    driver.balancer.long_work_ratio = 0.01
     driver.balancer.routes[1].uncrowded_latency_us, driver.balancer.routes[1].samples = 300_000.0, 9
     for _ in range(40):
         request = driver.arrive(1)
--- a/tests/upgrade/test_state_snapshot.py
+++ b/tests/upgrade/test_state_snapshot.py
@@ -100,9 +100,9 @@
     }
     assert before.hosts[bad].ejections > 0
     assert after.routes[0].latency.ordered == before.routes[0].latency.ordered
-    assert (after.concurrency_limit, after.admitted_share, after.recent_requests) == (
+    assert (after.concurrency_limit, after.admitted_ratio, after.recent_requests) == (
         before.concurrency_limit,
-        before.admitted_share,
+        before.admitted_ratio,
         before.recent_requests,
     )
 
