--- a/quillroad/upgrade/state_document.py
+++ b/quillroad/upgrade/state_document.py
@@ -151,3 +151,7 @@
 
     tenants: Sequence[str] = ()
     kinds: Sequence[str] = ()
+
+    def kind(self, number: int) -> str:
+        """The name of a machine type by its number; an empty one where it has none."""
+        return self.kinds[number] if 0 <= number < len(self.kinds) else ""
