--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -1,4 +1,4 @@
-"""A small driver for the balancer: settings, servers and a clock, no network and no bench."""
+"""A small driver for the balancer: settings, hosts and a clock, no network and no bench."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 
 
 class BalancerDriver:
-    """Feeds one balancer, keeps its alarms and remembers what it did."""
+    """Feeds one balancer events, keeps its timers and remembers its actions."""
 
     def __init__(
         self,
         told: Settings,
-        servers: int | list[Endpoint] = 4,
+        hosts: int | list[Endpoint] = 4,
         seed: int = 7,
         crossing: Crossing | None = None,
     ) -> None:
@@ -56,9 +56,7 @@
         self.timers: list[tuple[int, int]] = []
         self.sends: dict[int, list[int]] = {}
         self.next = 0
-        listed = (
-            [Endpoint(100 + i) for i in range(servers)] if isinstance(servers, int) else servers
-        )
+        listed = [Endpoint(100 + i) for i in range(hosts)] if isinstance(hosts, int) else hosts
         self.feed(EndpointUpdate(UpdateKind.CACHED, tuple(listed)))
 
     def feed(self, *events: Event) -> list[Action]:
@@ -72,7 +70,7 @@
         return actions
 
     def pass_time(self, us: int) -> list[Action]:
-        """Let time pass and deliver the alarms that fall due, each at its time."""
+        """Let time pass and deliver the timers that fall due, each at its time."""
         end, seen = self.now + us, len(self.log)
         while True:
             due = min((t for t in self.timers if t[0] <= end), default=None)
@@ -109,7 +107,7 @@
 
 
 def one_of_many(**changes: Any) -> Settings:
-    """One balancer of many on a large three_zones, with a little of the traffic."""
+    """Settings of one gateway of many on a large fleet, with a little of the traffic."""
     return settings(**{"gateway_count": 400, "gateway_index": 100, **changes})
 
 
@@ -117,9 +115,9 @@
     return [Endpoint(100 + i, zone=i % 3, cell=i // 4, **changes) for i in range(count)]
 
 
-def warm_gateway_of_200(servers: int = 100) -> BalancerDriver:
-    """One balancer of 200 that share these servers, warmed up: its part of their places is 2.5 / 200 each."""
-    driver = BalancerDriver(one_of_many(gateway_count=200, gateway_index=0), three_zones(servers))
+def warm_gateway_of_200(hosts: int = 100) -> BalancerDriver:
+    """One gateway of 200 that share these hosts, warmed up: it has 2.5 / 200 permits at each."""
+    driver = BalancerDriver(one_of_many(gateway_count=200, gateway_index=0), three_zones(hosts))
     driver.warm_up(60)
     driver.pass_time(3_000_000)
     return driver
@@ -138,10 +136,10 @@
     return count
 
 
-def gateway_of_40(number: int, servers: tuple[Endpoint, ...]) -> Balancer:
-    """One of forty balancers, as the cold ones among its servers start."""
-    cold = {"warm_up_us": 10_000_000, "initial_capacity": 0.5, "overload_multiple": 3.0}
-    balancer = Balancer(settings(gateway_count=40, gateway_index=number, **cold), number)
+def gateway_of_40(number: int, hosts: tuple[Endpoint, ...]) -> Balancer:
+    """One of forty balancers, as the warming ones among its hosts start."""
+    warming = {"warm_up_us": 10_000_000, "initial_capacity": 0.5, "overload_multiple": 3.0}
+    balancer = Balancer(settings(gateway_count=40, gateway_index=number, **warming), number)
     balancer.routes[0].uncrowded_latency_us = 10_000.0
-    balancer.handle(STARTED, [EndpointUpdate(UpdateKind.CACHED, servers)])
+    balancer.handle(STARTED, [EndpointUpdate(UpdateKind.CACHED, hosts)])
     return balancer
--- a/tests/balancing/rulecheck.py
+++ b/tests/balancing/rulecheck.py
@@ -1,4 +1,8 @@
-"""An independent checker of the four rules. It sees settings, events and actions only."""
+"""An independent checker of what the decisions promise. It sees settings, events and actions only.
+
+Each request has one final answer in time; no request takes effect twice; drains are honoured; hosts
+that warm up are not overloaded.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
 @dataclass
 class Sent:
     at_us: int
-    server: Endpoint
+    host: Endpoint
     outcome: Outcome | None = None
 
     @property
@@ -49,12 +53,12 @@
     def __init__(self, told: Settings, work_us: int, answer_slack_us: int) -> None:
         self.told = told
         self.answer_slack_us = answer_slack_us  # time that a final answer may come after a deadline
-        self.work_us = work_us  # true work of a request, on a core of a cold server's kind
+        self.work_us = work_us  # true work of a request, on a core of a warming host's kind
         self.cases: dict[int, Case] = {}
         self.told_ended: list[int] = []  # in this batch; a send in its reply is no breach yet
         self.known: dict[int, Endpoint] = {}
         self.told_off: dict[int, int] = {}
-        self.cold_sends: dict[tuple[int, int], list[int]] = {}
+        self.warming_sends: dict[tuple[int, int], list[int]] = {}
 
     def before(self, now_us: int, events: list[Event]) -> None:
         for event in events:
@@ -97,7 +101,7 @@
         self.told_ended = []
         for number, case in self.cases.items():
             if not case.ended and now_us > case.give_up_us + self.answer_slack_us:
-                raise RuleBroken(f"1: request {number} has no final answer in time")
+                raise RuleBroken(f"one final answer: request {number} has no final answer in time")
 
     def _end(self, now_us: int, action: Reject | Fail) -> None:
         case = self.cases[action.request]
@@ -109,42 +113,45 @@
                 spec.idempotency is Idempotency.KEYED
                 and spec.deduplication_scope is not DeduplicationScope.ALL
             ):
-                raise RuleBroken(f"2: request {action.request} refused though it may have run")
+                raise RuleBroken(
+                    f"no effect twice: request {action.request} refused though it may have run"
+                )
         case.ended = True
 
     def _send(self, now_us: int, action: SendAttempt) -> None:
         case, spec = self.cases[action.request], self.cases[action.request].route
-        server = self.known[action.endpoint]
+        host = self.known[action.endpoint]
         if case.ended:
-            raise RuleBroken(f"1: request {action.request} sent after its end")
+            raise RuleBroken(f"one final answer: request {action.request} sent after its end")
         if len(case.sent) >= self.told.max_attempts:
             raise RuleBroken(f"attempts: request {action.request}")
         if any(s.outcome is None for s in case.sent) and not self.told.hedging_allowed:
-            raise RuleBroken(f"2: request {action.request} out twice")
+            raise RuleBroken(f"no effect twice: request {action.request} out twice")
         for earlier in [s for s in case.sent if s.may_have_run]:
             if spec.idempotency is Idempotency.NON_IDEMPOTENT:
-                raise RuleBroken(f"2: unsafe request {action.request} sent again")
+                raise RuleBroken(f"no effect twice: unsafe request {action.request} sent again")
             if spec.idempotency is Idempotency.KEYED:
                 same = {
                     DeduplicationScope.ALL: True,
-                    DeduplicationScope.ZONE: earlier.server.zone == server.zone,
-                    DeduplicationScope.CELL: earlier.server.cell == server.cell,
+                    DeduplicationScope.ZONE: earlier.host.zone == host.zone,
+                    DeduplicationScope.CELL: earlier.host.cell == host.cell,
                 }[spec.deduplication_scope]
                 if not same or now_us >= earlier.at_us + spec.deduplication_window_us:
                     raise RuleBroken(
-                        f"2: keyed request {action.request} sent outside its group or time"
+                        f"no effect twice: keyed request {action.request} sent outside its scope "
+                        "or window"
                     )
         told_off = self.told_off.get(action.endpoint)
         if told_off is not None and now_us > told_off + self.told.drain_grace_us:
-            raise RuleBroken(f"3: server {action.endpoint} sent to after its drain")
-        case.sent.append(Sent(now_us, server))
-        self._cold(now_us, server)
+            raise RuleBroken(f"drain honoured: host {action.endpoint} sent to after its drain")
+        case.sent.append(Sent(now_us, host))
+        self._warming(now_us, host)
 
-    def _cold(self, now_us: int, server: Endpoint) -> None:
-        started = server.started_us
+    def _warming(self, now_us: int, host: Endpoint) -> None:
+        started = host.started_us
         if not started or now_us >= started + self.told.warm_up_us:
             return
-        sends = self.cold_sends.setdefault((server.id, started), [])
+        sends = self.warming_sends.setdefault((host.id, started), [])
         sends.append(now_us)
         window = self.told.overload_window_us
         work = self.work_us * sum(1 for t in sends if t > now_us - window)
@@ -156,5 +163,5 @@
         )
         if work > self.told.overload_multiple * warmth * window:
             raise RuleBroken(
-                f"4: cold server {server.id} sent more than its budget by one balancer alone"
+                f"warm-up budget: host {host.id} sent more than it bears by one balancer alone"
             )
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -27,7 +27,8 @@
 
 
 def test_a_few_clients_that_wait_long_do_not_make_retries_of_all_others() -> None:
-    """Duluth rough-2: one try of the full deadline had every shorter first try refused as a late repeat."""
+    """One client that waited for its full deadline had every shorter first request taken for a late
+    retry, and rejected."""
     driver = BalancerDriver(settings(), 3)
     driver.warm_up(20)
     for long in (True, False, False):
--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -18,7 +18,8 @@
 
 
 def test_the_deploy_file_lists_the_modules_that_decide() -> None:
-    """Operators are told which files hold the decisions, and read them when one has to be explained."""
+    """Operators are told which files hold the decisions, and read them when one has to be
+    explained."""
     modules = {path.name for path in PACKAGE.glob("*.py")}
     assert modules >= NOT_DECIDING
     told = tomllib.loads((PACKAGE.parent.parent / "deploy" / "balancer.toml").read_text())
--- a/tests/balancing/test_concurrency_limit.py
+++ b/tests/balancing/test_concurrency_limit.py
@@ -19,8 +19,9 @@
 
 
 def test_the_limit_follows_the_requests_that_wait_in_a_full_host() -> None:
-    """A churn day refused 4 of 100: the limit grew while nearly all were in time, and hosts of two cores held
-    six requests each. It grows only while requests wait here and a full server is as quick as an idle one."""
+    """The limit used to grow with every answer in time: hosts of two cores held six requests each,
+    and four of a hundred were rejected. It grows only while requests are queued here and a full
+    host is as quick as an idle one."""
     balancer = BalancerDriver(settings(), 3).balancer
     start = balancer.concurrency_limit
     for _ in range(500):
@@ -37,10 +38,11 @@
 
 
 def test_a_cancelled_attempt_keeps_its_permit_while_its_host_may_work_on() -> None:
-    """join+mass: 150 clients a second gave up early, and hosts may work on for them, out of all sight."""
+    """150 clients a second gave up early, and hosts went on working for them where no gateway saw
+    it."""
     driver = warm_gateway_of_200(60)
-    for nerve, places in ((1.0, 0), (0.0, 1)):  # in a crowd only
-        driver.balancer.congestion_window = nerve
+    for congestion_window, places in ((1.0, 0), (0.0, 1)):  # in a crowd only
+        driver.balancer.congestion_window = congestion_window
         request = driver.arrive()
         driver.feed(
             ClientDisconnected(request), AttemptFinished(request, 0, Outcome.CANCELLED, 1000, True)
@@ -52,17 +54,17 @@
 
 
 def test_in_a_crowd_an_overdue_attempt_keeps_its_permit() -> None:
-    """join+mass: 250 attempts a second at 48 servers ended past their deadline, and held no place from
-    their aim on."""
+    """250 attempts a second at 48 hosts ended past their deadline, and held no permit from their
+    objective on, so that gateways sent more."""
     driver = warm_gateway_of_200(60)
-    for nerve, places in ((1.0, 0), (0.0, 1)):
-        driver.balancer.congestion_window = nerve
+    for congestion_window, places in ((1.0, 0), (0.0, 1)):
+        driver.balancer.congestion_window = congestion_window
         request = driver.arrive()
-        server = driver.balancer.hosts[driver.sends[request][0]]
-        server.newest_answered_sent_us = driver.now + 1  # what was sent later was answered
+        host = driver.balancer.hosts[driver.sends[request][0]]
+        host.newest_answered_sent_us = driver.now + 1  # what was sent later was answered
         driver.pass_time(AIM_US + 1000)
         driver.feed()
-        assert (driver.balancer.in_flight, server.overdue) == (places, 1)
+        assert (driver.balancer.in_flight, host.overdue) == (places, 1)
         driver.done(request, Outcome.TIMEOUT, AIM_US + 1000)
         driver.pass_time(2_000_000)
-        assert (driver.balancer.in_flight, server.overdue, server.in_flight) == (0, 0, 0)
+        assert (driver.balancer.in_flight, host.overdue, host.in_flight) == (0, 0, 0)
--- a/tests/balancing/test_endpoints.py
+++ b/tests/balancing/test_endpoints.py
@@ -31,7 +31,7 @@
     )
     for _ in range(20):
         driver.done(driver.arrive(), Outcome.SUCCESS)
-    assert {s for servers in driver.sends.values() for s in servers} == {102}
+    assert {s for hosts in driver.sends.values() for s in hosts} == {102}
 
 
 def test_discovery_is_polled_again_with_growing_jittered_waits() -> None:
--- a/tests/balancing/test_gateways.py
+++ b/tests/balancing/test_gateways.py
@@ -33,15 +33,15 @@
         assert module.concurrency_limit * balancers == pytest.approx(whole)
     assert (
         module.settings.gateway_count == told
-    )  # quotas and turns at cold servers stay by the told number
+    )  # quotas and turns at warming hosts stay by the told number
 
 
 def test_subsets_follow_the_live_number_and_slow_start_slots_the_told_one() -> None:
-    servers = tuple(Endpoint(n, started_us=1) for n in range(60))
+    hosts = tuple(Endpoint(n, started_us=1) for n in range(60))
     module = Balancer(
         settings(route(), gateway_count=40, gateway_index=39, warm_up_us=8_000_000), 1
     )
-    module.handle(20_000_000, [EndpointUpdate(UpdateKind.FULL, servers)])
+    module.handle(20_000_000, [EndpointUpdate(UpdateKind.FULL, hosts)])
     before = update_subset(module)
     assert before is not None and len(before) <= 4
     module.handle(20_000_000, [GatewayCountChanged(3, 4)])
--- a/tests/balancing/test_learning.py
+++ b/tests/balancing/test_learning.py
@@ -15,7 +15,8 @@
 
 
 def test_a_jam_does_not_become_the_uncrowded_latency() -> None:
-    """Incidents i46ffc5 and id5e42c: limits grew to many times the start as the jam itself was learned."""
+    """Limits grew to many times the start, because the latency of the jam itself became the
+    yardstick."""
     driver = BalancerDriver(settings(), 3)
     driver.warm_up(300, 10_000)
     route_state = driver.balancer.routes[0]
@@ -25,7 +26,7 @@
 
 
 def test_without_an_objective_slow_answers_neither_shed_load_nor_eject() -> None:
-    """Half of all answers are slower than the median: they used to eject new servers and to shed."""
+    """Half of all answers are slower than the median: they used to eject new hosts and to shed."""
     driver = BalancerDriver(settings(route(latency_objective_us=None)), 3)
     for number in range(400):
         request = driver.arrive()
@@ -33,11 +34,11 @@
         assert len(driver.sends[request]) == 1
         driver.done(request, Outcome.SUCCESS, 1000 + 37 * (number * 61 % 100))
     assert driver.balancer.admitted_ratio == 1.0
-    assert not any(server.ejections for server in driver.balancer.hosts.values())
+    assert not any(host.ejections for host in driver.balancer.hosts.values())
 
 
 def test_a_long_body_says_nothing_of_silence_or_crowding_and_is_not_hedged() -> None:
-    driver = BalancerDriver(settings(), servers=2)
+    driver = BalancerDriver(settings(), hosts=2)
     driver.warm_up()
     costs, limit = (
         [r.uncrowded_latency_us for r in driver.balancer.routes],
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -21,8 +21,8 @@
 
 
 def test_in_a_subset_failing_hosts_do_not_make_it_shed_load() -> None:
-    """churn+huge, seed 5: with errors at most hosts 430 of 520 requests a second were refused while 30 of 200
-    places were taken."""
+    """With errors at most hosts 430 of 520 requests a second were rejected while 30 of 200 permits
+    were taken."""
     driver = BalancerDriver(one_of_many(gateway_count=40, gateway_index=3), three_zones())
     driver.balancer.admitted_ratio = 0.1
     for _ in range(50):
@@ -33,14 +33,14 @@
 
 
 def test_a_gateway_whose_attempts_fail_sheds_load_and_recovers() -> None:
-    """Duluth big-1, b4c271b7: under a shared slow-down all requests were sent and none answered in time."""
+    """When all hosts slowed down, all requests were sent and none was answered in time."""
     balancer = BalancerDriver(settings(), 3).balancer
-    server = balancer.candidates[0]
+    host = balancer.candidates[0]
     for _ in range(20):
-        credit(balancer, server, 0.0)
+        credit(balancer, host, 0.0)
     assert balancer.admitted_ratio == LEAST_ADMITTED
     for _ in range(20):
-        credit(balancer, server, 1.0)
+        credit(balancer, host, 1.0)
     assert balancer.admitted_ratio == 1.0
 
 
--- a/tests/balancing/test_platform_settings.py
+++ b/tests/balancing/test_platform_settings.py
@@ -1,5 +1,5 @@
-"""Whole settings objects, of any customer: what can't work is named, what can is played and keeps the
-rules."""
+"""Whole settings objects, of any customer: what can't work is named, what can is played and keeps
+the rules."""
 
 from __future__ import annotations
 
@@ -156,8 +156,9 @@
 def test_a_value_that_cannot_work_is_named_in_one_line(
     path: tuple[Any, ...], tmp_path: Path
 ) -> None:
-    """Of the wrong kind, no number at all, or beyond any clock: the gateway does not come up with it, and
-    says which field it is. Compared with a number, it was an error of the interpreter's that named none."""
+    """Of the wrong kind, no number at all, or beyond any clock: the gateway does not come up with
+    it, and says which field it is. Compared with a number, it was an error of the interpreter's
+    that named none."""
     file = tmp_path / "config.json"
     refused = 0
     for junk in JUNK:
@@ -224,7 +225,8 @@
 
 @on_loop
 async def test_classes_with_little_told_are_served_and_refused_in_time() -> None:
-    """No tenants, no zones, no kinds; deadlines under the gateway's own margins; a window of nothing."""
+    """No tenants, no zones, no kinds; deadlines under the gateway's own margins; a window of
+    nothing."""
     told = {"lanes": LANES}
     async with world(serve_ok, settings=told) as w, w.client() as client:
         for path in ("/bare", "/bare/k/", "/brief/k"):
--- a/tests/balancing/test_property.py
+++ b/tests/balancing/test_property.py
@@ -60,7 +60,8 @@
 
 
 class World:
-    """Plays a legal, troubled history: servers that err, hang, die, drain, restart; clients that leave."""
+    """Plays a legal, troubled history: hosts that err, hang, die, drain, restart; clients that
+    leave."""
 
     def __init__(
         self, seed: int, parallel: bool, memory_us: int, bad: float, told: Settings | None = None
@@ -94,18 +95,18 @@
         self.give_up: dict[int, int] = {}
         self.ended: set[int] = set()
         self.out: set[tuple[int, int]] = set()
-        self.servers = [
+        self.hosts = [
             Endpoint(50 + i, zone=i % 2, cell=i % 4, machine_type=i % 2) for i in range(7)
         ]
         started = self.now - 500_000
-        self.servers[0] = self.servers[0]._replace(started_us=started)
+        self.hosts[0] = self.hosts[0]._replace(started_us=started)
 
     def later(self, delay_us: int, event: Event) -> None:
         self.count += 1
         self.due.append((self.now + max(delay_us, TICK_US), self.count, event))
 
     def play(self, ticks: int) -> None:
-        self.step([EndpointUpdate(UpdateKind.CACHED, tuple(self.servers))])
+        self.step([EndpointUpdate(UpdateKind.CACHED, tuple(self.hosts))])
         for tick in range(ticks):
             self.now += TICK_US
             events: list[Event] = []
@@ -127,21 +128,21 @@
 
     def trouble(self) -> list[Event]:
         roll = self.rng.random()
-        index = self.rng.randrange(len(self.servers))
-        line = self.servers[index]
+        index = self.rng.randrange(len(self.hosts))
+        line = self.hosts[index]
         if roll < 0.01:
             state = self.rng.choice(
                 [EndpointStatus.DRAINING, EndpointStatus.REMOVED, EndpointStatus.READY]
             )
             fresh = line.status is not EndpointStatus.READY and state is EndpointStatus.READY
             line = line._replace(status=state, started_us=self.now if fresh else line.started_us)
-            self.servers[index] = line
+            self.hosts[index] = line
             return [EndpointUpdate(UpdateKind.INCREMENTAL, (line,))]
         if roll < 0.015:
             return [
                 EndpointUpdate(
                     UpdateKind.FULL,
-                    tuple(s for s in self.servers if s.status is not EndpointStatus.REMOVED),
+                    tuple(s for s in self.hosts if s.status is not EndpointStatus.REMOVED),
                 )
             ]
         return [EndpointUpdate(UpdateKind.FAILED)] if roll < 0.02 else []
@@ -259,12 +260,12 @@
 @pytest.mark.parametrize(
     ("breaking", "rule"),
     [
-        (break_final_answer, "1: .* no final answer"),
-        (break_send_after_end, "1: .* after its end"),
-        (break_idempotency, "2: "),
-        (break_rejection, "2: .* refused"),
-        (break_drain, "3: "),
-        (break_slow_start, "4: "),
+        (break_final_answer, "one final answer: .* no final answer"),
+        (break_send_after_end, "one final answer: .* after its end"),
+        (break_idempotency, "no effect twice: "),
+        (break_rejection, "no effect twice: .* refused"),
+        (break_drain, "drain honoured: "),
+        (break_slow_start, "warm-up budget: "),
     ],
 )
 def test_the_checker_sees_each_broken_rule(
--- a/tests/balancing/test_request_queue.py
+++ b/tests/balancing/test_request_queue.py
@@ -35,7 +35,7 @@
 
 
 def test_marked_retries_wait_behind_first_requests() -> None:
-    """In an overload most repeats have lost their aim already; they must not take room from first tries."""
+    """In an overload most retries have lost their objective, and took the room of first requests."""
     driver = BalancerDriver(settings(), 1)
     while not driver.balancer.queued:
         blocking = driver.arrive()
@@ -51,8 +51,8 @@
 def test_a_request_that_would_wait_in_vain_is_rejected_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """join+mass: 2,764 requests a second were held for half a second and then refused. Nobody is served less
-    for it."""
+    """2,764 requests a second were held for half a second and then rejected. Rejected at once,
+    nobody is served less for it."""
     served = []
     for foresight in (True, False):
         driver = warm_gateway_of_200(60)
--- a/tests/balancing/test_retry.py
+++ b/tests/balancing/test_retry.py
@@ -70,14 +70,14 @@
 
 
 def test_a_keyed_request_stays_in_its_deduplication_scope_and_window() -> None:
-    servers = [Endpoint(100 + i, cell=i % 2) for i in range(6)]
+    hosts = [Endpoint(100 + i, cell=i % 2) for i in range(6)]
     keyed = route(
         Idempotency.KEYED,
         deduplication_scope=DeduplicationScope.CELL,
         latency_objective_us=900_000,
         deduplication_window_us=300_000,
     )
-    driver = BalancerDriver(settings(keyed), servers)
+    driver = BalancerDriver(settings(keyed), hosts)
     request = driver.arrive()
     driver.balancer.routes[0].retry_budget.tokens = 9.0
     driver.done(request, Outcome.ERROR, 1000)
@@ -91,7 +91,8 @@
 
 
 def test_lost_answers_do_not_use_up_the_retry_budget_of_idle_hosts() -> None:
-    """While a quarter of the answers got lost, 26 requests a second were refused for want of tokens."""
+    """While a quarter of the answers got lost, 26 requests a second were refused for want of
+    tokens."""
     driver = BalancerDriver(settings(), 9)
     driver.warm_up(200)
     for number in range(1000):
@@ -107,7 +108,7 @@
 
 
 def test_many_small_retry_budgets_hold_no_storm() -> None:
-    """Ljubljana big-2, first 5 s: 441 full buckets sent 981 attempts at one full server of a pod of two."""
+    """441 gateways with full retry budgets sent 981 attempts at one full host of two within 5 s."""
     driver = BalancerDriver(one_of_many(), three_zones())
     for _ in range(50):
         request = driver.arrive()
--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -28,12 +28,13 @@
         request = driver.arrive()
         bad.payoff = 0.4
         driver.done(request, Outcome.SUCCESS)
-    counts = Counter(servers[0] for servers in list(driver.sends.values())[-300:])
+    counts = Counter(hosts[0] for hosts in list(driver.sends.values())[-300:])
     assert 3 <= counts[bad.endpoint.id] <= 40
 
 
 def test_in_a_subset_hosts_of_a_slow_machine_type_are_drawn_less() -> None:
-    """Estado big-2: at even shares a slow kind choked while the fast one idled."""
+    """At even parts the hosts of a slow machine type were overloaded while those of a fast one
+    idled."""
     driver = BalancerDriver(
         one_of_many(), [s._replace(machine_type=s.id % 2) for s in three_zones()]
     )
@@ -59,6 +60,8 @@
 
 
 def test_no_host_of_a_zone_in_which_all_are_ejected_is_picked() -> None:
+    """Where one zone is ejected as a whole its hosts are not taken for healthy: the other zone
+    serves."""
     here = [Endpoint(i, zone=0) for i in range(1, 4)]
     there = [Endpoint(i, zone=1) for i in range(11, 14)]
     driver = BalancerDriver(settings(route(Idempotency.NON_IDEMPOTENT)), here + there)
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -1,6 +1,8 @@
-"""Rule 4 under the sum of all gateways: what reaches a cold host stays within its budget N and chance, 2
-roots of N and 2, with any number of processes, connections that come up late, processes that restart, and
-retries."""
+"""The warm-up budget under the sum of all gateways.
+
+What reaches a warming host stays within its budget N and chance, 2 roots of N and 2, with any
+number of gateways, connections that come up late, gateways that restart, and retries.
+"""
 
 from __future__ import annotations
 
@@ -47,9 +49,12 @@
 }
 
 
-class Fleet:
-    """Balancers of one fleet before one cold server and a clock of microseconds. A send takes up to `late_us`
-    to come up, and does not where that is after its `latest_us`; one in ten fails, at once."""
+class Gateways:
+    """The balancers of `count` gateways before one warming host, and a clock of microseconds.
+
+    A connection takes up to `late_us` to come up; where that is after the attempt's `send_by_us`
+    the attempt is not sent. One attempt in ten fails, at once.
+    """
 
     def __init__(self, count: int, seed: int, late_us: int) -> None:
         self.rng, self.late_us = random.Random(seed), late_us
@@ -57,7 +62,7 @@
             settings(route(), gateway_count=count, gateway_index=n, **TOLD) for n in range(count)
         ]
         self.queue: list[tuple[int, int, int, tuple[int, object]]] = []
-        self.arrivals: list[int] = []  # at the cold server, and by whom
+        self.arrivals: list[int] = []  # at the warming host, and by whom
         self.by: list[int] = []
         self.started: list[int] = []  # when their process had started
         self.ids = 0
@@ -123,13 +128,14 @@
                 self.feed(now, number, RequestArrived(self.ids, 0, now + DEADLINE_US))
 
     def turn(self, now: int) -> int:
-        """Whose turn at the cold server it is."""
+        """Whose turn at the warming host it is."""
         one = self.group[0]
         turn = (now - START_US) // one.slot_us + one.hosts[7].ring_position
         return int(turn % len(self.group))
 
     def most_over(self) -> Iterator[tuple[int, float]]:
-        """For each window that begins with an arrival: what came in it, and what may by budget and chance."""
+        """For each window that begins with an arrival: what came in it, and what may by budget and
+        chance."""
         arrivals, last = sorted(self.arrivals), 0
         for first, at in enumerate(arrivals):
             while last < len(arrivals) and arrivals[last] < at + WINDOW_US:
@@ -142,8 +148,8 @@
 COUNTS = [1, 3, 20, 30, 200]
 
 
-def played(count: int, seed: int) -> Fleet:
-    fleet = Fleet(count, seed, late_us=400_000)
+def played(count: int, seed: int) -> Gateways:
+    fleet = Gateways(count, seed, late_us=400_000)
     fleet.play(START_US + COLD_US, requests_each_s=2000, restarts_each_s=1.0 if count > 1 else 0.0)
     assert len(fleet.arrivals) > 5  # it is warmed
     return fleet
@@ -157,16 +163,16 @@
 
 @pytest.mark.plain
 def test_the_bound_is_one_that_can_be_broken(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With no turns 200 processes push a cold host over: the test above would say so."""
+    """With no turns 200 processes push a warming host over: the test above would say so."""
     for module in (slow_start, selection, subsetting, endpoints, attempts, learning, overdue):
         monkeypatch.setattr(module, "is_warming", lambda *_: False)
     assert any(came > most for came, most in played(200, 1).most_over())
 
 
 @pytest.mark.parametrize("count", COUNTS)
-def test_nothing_reaches_a_cold_host_outside_its_senders_turn(count: int) -> None:
-    """Neither on a connection that comes up late, when it is another's turn, nor from a process that started
-    inside its turn, which the one before it may have used up."""
+def test_nothing_reaches_a_cold_host_outside_its_senders_slot(count: int) -> None:
+    """Neither on a connection that comes up late, in another's slot, nor from a process that
+    started inside its slot, which the one before it may have used up."""
     fleet = played(count, 3)
     width, warm_us = fleet.group[0].slot_us, START_US + COLD_US
     came = [
@@ -182,8 +188,8 @@
 def test_a_further_send_of_a_keyed_request_ends_with_its_window(
     effect: Idempotency, bounded: bool
 ) -> None:
-    """Counted from the first attempt that may have run. The module's gate keeps sends within it, and a
-    connection that comes up late must not carry one out of it."""
+    """Counted from the first attempt that may have run. The module's gate keeps sends within it,
+    and a connection that comes up late must not carry one out of it."""
     driver = BalancerDriver(settings(route(effect, deduplication_window_us=300_000)), 3)
     request, first_us = driver.arrive(), driver.now
     driver.balancer.routes[0].retry_budget.tokens = 9.0
--- a/tests/balancing/test_slow_start_budget.py
+++ b/tests/balancing/test_slow_start_budget.py
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("balancers", [1, 7, 400])
 def test_all_gateways_together_keep_a_warming_host_within_its_budget(balancers: int) -> None:
-    """Rule 4 at its worst: every balancer knows of one cold server only and has requests without end."""
+    """At its worst every gateway knows of one warming host only and has requests without end."""
     window_us, cold_us, work_us = 1_000_000, 10_000_000, 20_000
     told = {
         "gateway_count": balancers,
@@ -72,13 +72,13 @@
         "overload_multiple": 2.5,
     }
     start = 50_000_000
-    cold = [Endpoint(7, started_us=start)]
+    warming = [Endpoint(7, started_us=start)]
     group = [
         Balancer(settings(route(), gateway_index=n, overload_window_us=window_us, **told), n)
         for n in range(balancers)
     ]
     for balancer in group:
-        balancer.handle(start, [EndpointUpdate(UpdateKind.CACHED, tuple(cold))])
+        balancer.handle(start, [EndpointUpdate(UpdateKind.CACHED, tuple(warming))])
         balancer.routes[0].uncrowded_latency_us = float(work_us)
     sent: list[int] = []
     number = 0
@@ -102,9 +102,9 @@
 
 
 def test_in_a_subset_the_owner_of_a_slot_takes_all_permits_of_the_warming_host() -> None:
-    """churn+huge, seed 5: 15 of 55 hosts were cold and had one request at a time while others jammed."""
-    servers = (Endpoint(7, started_us=STARTED), *(Endpoint(100 + i) for i in range(59)))
-    group = [gateway_of_40(number, servers) for number in range(40)]
+    """15 of 55 hosts were warming up and had one request at a time each, while the others jammed."""
+    hosts = (Endpoint(7, started_us=STARTED), *(Endpoint(100 + i) for i in range(59)))
+    group = [gateway_of_40(number, hosts) for number in range(40)]
     for balancer in group:
         balancer.handle(
             STARTED, [RequestArrived(request, 0, STARTED + DEADLINE_US) for request in range(6)]
@@ -133,4 +133,4 @@
         else:
             balancer.handle(now, [ClientDisconnected(number)])
     most = max(sent.values()) / balancer.slot_us
-    assert 1.0 * 0.6 < most <= 0.5 * 3.0 * 0.6  # cold from 0.5, and 0.6 after 2 s
+    assert 1.0 * 0.6 < most <= 0.5 * 3.0 * 0.6  # warming from 0.5, and 0.6 after 2 s
--- a/tests/balancing/test_slow_start_fleet.py
+++ b/tests/balancing/test_slow_start_fleet.py
@@ -1,5 +1,5 @@
-"""Several processes before one host that has just started, two of them killed and back inside its ramp: what
-it receives from all together stays within the budget of the settings and chance."""
+"""Several processes before one host that has just started, two of them killed and back inside its
+ramp: what it receives from all together stays within the budget of the settings and chance."""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_subsetting.py
+++ b/tests/balancing/test_subsetting.py
@@ -37,7 +37,7 @@
 
 
 def test_with_little_traffic_a_gateway_keeps_to_its_subset() -> None:
-    """Ljubljana quiet, d6d89745: 66 balancers that know nothing of most servers choked three of them."""
+    """66 gateways that knew nothing of most hosts overloaded three of them."""
     used: list[set[int]] = []
     for number in (0, 200):
         driver = BalancerDriver(one_of_many(gateway_index=number), three_zones())
@@ -46,7 +46,7 @@
             driver.pass_time(150_000)
             driver.done(request, Outcome.SUCCESS, 10_000)
         used.append({s for sent in driver.sends.values() for s in sent})
-    assert all(len(servers) <= 16 for servers in used)
+    assert all(len(hosts) <= 16 for hosts in used)
     assert not used[0] & used[1]
 
 
@@ -66,22 +66,22 @@
         driver.arrive()
         driver.pass_time(250)
     assert update_subset(driver.balancer) is None
-    assert driver.balancer.permits_per_host > 1.0  # and has more than one place at each server
+    assert driver.balancer.permits_per_host > 1.0  # and has more than one place at each host
 
 
 @given(st.integers(4, 80), st.integers(3, 60), st.data())
 def test_subsets_of_many_gateways_fill_no_host_beyond_its_limit(
-    servers: int, balancers: int, data: st.DataObject
+    hosts: int, balancers: int, data: st.DataObject
 ) -> None:
     """Forty gateways with one request each at every host put 600 on sixty hosts that bear 180."""
-    bad = data.draw(st.sets(st.integers(0, servers - 1), max_size=servers // 4))
+    bad = data.draw(st.sets(st.integers(0, hosts - 1), max_size=hosts // 4))
     together: Counter[int] = Counter()
     for number in range(balancers):
-        driver = BalancerDriver(settings(gateway_count=balancers, gateway_index=number), servers)
+        driver = BalancerDriver(settings(gateway_count=balancers, gateway_index=number), hosts)
         for s in driver.balancer.candidates:
             if s.endpoint.id - 100 in bad:
                 s.ejected_until_us = 10**9
-        for _ in range(servers):  # nothing is answered
+        for _ in range(hosts):  # nothing is answered
             driver.arrive()
         out = [s for sent in driver.sends.values() for s in sent]
         assert out and not {s - 100 for s in out} & bad
@@ -90,7 +90,7 @@
             or update_subset(driver.balancer) is None
         )
         together.update(out)
-    most = max(servers * MANY_GATEWAYS_LIMIT + balancers, balancers * SMALLEST_SUBSET)
+    most = max(hosts * MANY_GATEWAYS_LIMIT + balancers, balancers * SMALLEST_SUBSET)
     assert balancers <= FEW_GATEWAYS_LIMIT or sum(together.values()) <= most
 
 
@@ -104,8 +104,8 @@
 
 
 def test_a_subset_that_passes_over_unhealthy_hosts_does_not_fill_one_after_another() -> None:
-    """Large fleet: every gateway passed over what it took for bad, and 14 requests each were out where 5 may
-    be."""
+    """Large fleet: every gateway passed over what it took for bad, and 14 requests each were out
+    where 5 may be."""
     driver = BalancerDriver(one_of_many(gateway_count=40, gateway_index=3), three_zones())
     for _ in range(60):
         driver.arrive()
@@ -116,22 +116,20 @@
 
 
 def test_a_subset_holds_no_warming_hosts_while_others_are_warm() -> None:
-    """churn+huge, seed 31: 16 of 55 hosts were cold, and some windows held little else."""
-    servers = tuple(
-        Endpoint(100 + i, started_us=STARTED if i % 3 == 0 else None) for i in range(60)
-    )
+    """16 of 55 hosts were warming up, and some subsets held little else."""
+    hosts = tuple(Endpoint(100 + i, started_us=STARTED if i % 3 == 0 else None) for i in range(60))
     covered: Counter[int] = Counter()
     for number in range(40):
-        covered.update(s.endpoint.id for s in update_subset(gateway_of_40(number, servers)) or [])
-    assert set(covered) == {s.id for s in servers if not s.started_us}
+        covered.update(s.endpoint.id for s in update_subset(gateway_of_40(number, hosts)) or [])
+    assert set(covered) == {s.id for s in hosts if not s.started_us}
     assert max(covered.values()) <= 4  # and no warm one has more gateways than it bears
     assert (
-        len(update_subset(gateway_of_40(3, servers[::3])) or []) >= SMALLEST_SUBSET
+        len(update_subset(gateway_of_40(3, hosts[::3])) or []) >= SMALLEST_SUBSET
     )  # where none is warm
 
 
 def test_a_subset_keeps_to_its_local_hosts_while_they_serve_as_well() -> None:
-    """Estado quiet: eight points of the result went to crossings no server's state called for."""
+    """Eight points of the result were lost to crossings that no state of a host called for."""
     driver = BalancerDriver(one_of_many(cross_zone_cost=0.1), three_zones())
     for _ in range(80):
         request = driver.arrive()
@@ -143,7 +141,7 @@
 
 
 def test_dear_crossings_bring_local_hosts_into_the_subset_and_cheap_ones_do_not() -> None:
-    """Estado quiet: windows with no local server paid for five points of crossings."""
+    """Subsets with no local host paid five points of the result for crossings."""
     dear, cheap = (
         BalancerDriver(one_of_many(cross_zone_cost=p), three_zones()).balancer for p in (0.3, 0.01)
     )
@@ -158,8 +156,8 @@
 
 
 def test_a_subset_of_three_hosts_is_no_right_to_three_permits_in_a_crowd() -> None:
-    """zone+mass, seed 3: 182 balancers with three places each held 9 requests at each of the 83 servers left,
-    answers went from 77 to 448 ms, and 2,000 requests a second were served as 700."""
+    """When a zone was lost, 182 gateways with three permits each held 9 requests at each of the 83
+    hosts left: answers went from 77 to 448 ms, and of 2,000 requests a second 700 were served."""
     driver = warm_gateway_of_200(150)
     assert burst_in_flight(driver) == 2
     driver.warm_up(12, 60_000)
@@ -169,27 +167,27 @@
     assert burst_in_flight(driver) == 2
 
 
-@pytest.mark.parametrize(("balancers", "servers"), [(32, 12), (200, 119), (200, 48), (40, 60)])
+@pytest.mark.parametrize(("balancers", "hosts"), [(32, 12), (200, 119), (200, 48), (40, 60)])
 def test_quick_answers_give_no_right_to_more_than_hosts_bear_from_all(
-    balancers: int, servers: int
+    balancers: int, hosts: int
 ) -> None:
-    """throng+brink: 32 balancers with a choice of three servers each held 8 requests at each of 12, before
-    any answer told of a crowd."""
+    """32 gateways with a subset of three hosts each held 8 requests at each of 12 hosts, before any
+    answer told of a crowd."""
     together = 0
     for number in range(balancers):
         driver = BalancerDriver(
-            one_of_many(gateway_count=balancers, gateway_index=number), three_zones(servers)
+            one_of_many(gateway_count=balancers, gateway_index=number), three_zones(hosts)
         )
         driver.warm_up(20)
         driver.pass_time(3_000_000)
         assert driver.balancer.congestion_window == 1.0
         together += burst_in_flight(driver)
     # Who has under one place has one for a part of the time: `max(1.0, ...)` in `pick`.
-    assert together <= max(balancers, (MOST_PERMITS_PER_HOST + 0.5) * servers)
+    assert together <= max(balancers, (MOST_PERMITS_PER_HOST + 0.5) * hosts)
 
 
 def test_a_gateway_with_the_traffic_of_others_has_their_permits_too() -> None:
-    """herd+mass: seven in ten are gone, and nobody tells of it."""
+    """Seven gateways in ten had gone, nobody told of it, and the others kept to their own part."""
     driver = BalancerDriver(one_of_many(gateway_count=32, gateway_index=0), three_zones(12))
     for _ in range(4000):  # 500 a second of 10 ms each are nearly five at work at once
         driver.arrive()
@@ -218,7 +216,7 @@
 
 
 def test_half_a_permit_is_used_half_of_the_time() -> None:
-    """join+mass: at one place each, 182 balancers held 4 requests at each of 48 servers that bore 2.5."""
+    """With a permit each, 182 gateways held 4 requests at each of 48 hosts that bore 2.5."""
     driver = BalancerDriver(
         one_of_many(gateway_count=200, gateway_index=0), three_zones(40)
     )  # 40 times 2.5 / 200 of a place
--- a/tests/balancing/test_subsetting_pauses.py
+++ b/tests/balancing/test_subsetting_pauses.py
@@ -35,15 +35,15 @@
         initial_capacity=0.5,
         overload_multiple=3.0,
     )
-    cold = [s._replace(started_us=900_000) for s in three_zones(30)]
-    driver = BalancerDriver(told, cold + three_zones(60)[30:])
+    warming = [s._replace(started_us=900_000) for s in three_zones(30)]
+    driver = BalancerDriver(told, warming + three_zones(60)[30:])
     driver.balancer.congestion_window = 0.5
     for _ in range(400):
         request = driver.arrive()
         if driver.sends.get(request, [200])[0] < 130:
-            nerve = driver.balancer.congestion_window
+            congestion_window = driver.balancer.congestion_window
             driver.done(request, Outcome.SUCCESS, 5_000)
-            assert driver.balancer.congestion_window == nerve
+            assert driver.balancer.congestion_window == congestion_window
         elif request in driver.sends:
             driver.done(request, Outcome.SUCCESS, 5_000)
         driver.pass_time(20_000)
@@ -51,7 +51,7 @@
 
 
 def test_one_full_host_after_another_brings_a_pause_that_grows_and_ends() -> None:
-    """join+mass, seed 3: 182 balancers were turned away 7,300 times a second by servers that served 500."""
+    """182 gateways were rejected 7,300 times a second by hosts that served 500."""
     driver = warm_gateway_of_200()
     before = len(driver.sends)
     for tick in range(1500):  # 25 requests a second for 3 s, and nobody takes one
--- a/tests/balancing/test_workload_isolation.py
+++ b/tests/balancing/test_workload_isolation.py
@@ -34,7 +34,8 @@
 
 
 def test_in_a_subset_no_hosts_are_kept_for_long_requests() -> None:
-    """Estado big-2: a blocking lane of one server, the same at all, drew 150 of 363 balancers in 3 s."""
+    """One host kept for long requests, the same at all gateways, drew 150 of 363 of them within 3
+    s."""
     short, long = (
         route(latency_objective_us=100_000),
         route(latency_objective_us=2_000_000, deadline_us=4_000_000),
--- a/tests/upgrade/test_state_snapshot.py
+++ b/tests/upgrade/test_state_snapshot.py
@@ -130,7 +130,7 @@
 
 
 def test_a_window_stays_one_after_the_move_and_is_full_for_both() -> None:
-    driver = BalancerDriver(told_settings(route(), gateway_count=40, gateway_index=3), servers=60)
+    driver = BalancerDriver(told_settings(route(), gateway_count=40, gateway_index=3), hosts=60)
     while driver.arrive() in driver.sends:
         pass
     before = driver.balancer
@@ -148,7 +148,7 @@
 
 
 def test_a_full_server_is_full_for_both() -> None:
-    driver = BalancerDriver(told_settings(route()), servers=1)
+    driver = BalancerDriver(told_settings(route()), hosts=1)
     limit = int(driver.balancer.concurrency_limit)
     driver.feed(SiblingAttempts({100: (limit, 0)}))
     assert driver.arrive() not in driver.sends
