--- a/quillroad/balancing/selection.py
+++ b/quillroad/balancing/selection.py
@@ -65,7 +65,8 @@
 ) -> HostState | None:
     """The better of two hosts of `narrow`, local ones first, up to `fill` of their permits.
 
-    Where none has room: of two that have all of their permits to fill, the first of `wide`.
+    Where none has room the first is drawn from `wide` and the second from `narrow`, up to all of
+    their permits. `wide` is `narrow` itself where no subset is drawn from.
     """
     in_subset = narrow is not wide
     local = narrow if state.all_local else [h for h in narrow if not is_remote(state, h)]
