--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -1,4 +1,4 @@
-"""A small stage for the balancer: settings, servers and a clock, no network and no bench."""
+"""A small driver for the balancer: settings, hosts and a clock, no network and no bench."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
     return Settings(routes=routes or (route(),), **values)
 
 
-class Stage:
-    """Feeds one balancer, keeps its alarms and remembers what it did."""
+class BalancerDriver:
+    """Feeds one balancer events, keeps its timers and remembers its actions."""
 
     def __init__(
         self,
         told: Settings,
-        servers: int | list[Endpoint] = 4,
+        hosts: int | list[Endpoint] = 4,
         seed: int = 7,
         crossing: Crossing | None = None,
     ) -> None:
@@ -56,9 +56,7 @@
         self.timers: list[tuple[int, int]] = []
         self.sends: dict[int, list[int]] = {}
         self.next = 0
-        listed = (
-            [Endpoint(100 + i) for i in range(servers)] if isinstance(servers, int) else servers
-        )
+        listed = [Endpoint(100 + i) for i in range(hosts)] if isinstance(hosts, int) else hosts
         self.feed(EndpointUpdate(UpdateKind.CACHED, tuple(listed)))
 
     def feed(self, *events: Event) -> list[Action]:
@@ -72,7 +70,7 @@
         return actions
 
     def pass_time(self, us: int) -> list[Action]:
-        """Let time pass and deliver the alarms that fall due, each at its time."""
+        """Let time pass and deliver the timers that fall due, each at its time."""
         end, seen = self.now + us, len(self.log)
         while True:
             due = min((t for t in self.timers if t[0] <= end), default=None)
@@ -103,3 +101,45 @@
             self.pass_time(elapsed_us)
             if request in self.sends:
                 self.done(request, Outcome.SUCCESS, elapsed_us)
+
+
+STARTED = 50_000_000
+
+
+def one_of_many(**changes: Any) -> Settings:
+    """Settings of one gateway of many on a large fleet, with a little of the traffic."""
+    return settings(**{"gateway_count": 400, "gateway_index": 100, **changes})
+
+
+def three_zones(count: int = 60, **changes: Any) -> list[Endpoint]:
+    return [Endpoint(100 + i, zone=i % 3, cell=i // 4, **changes) for i in range(count)]
+
+
+def warm_gateway_of_200(hosts: int = 100) -> BalancerDriver:
+    """One gateway of 200 that share these hosts, warmed up: it has 2.5 / 200 permits at each."""
+    driver = BalancerDriver(one_of_many(gateway_count=200, gateway_index=0), three_zones(hosts))
+    driver.warm_up(60)
+    driver.pass_time(3_000_000)
+    return driver
+
+
+def burst_in_flight(driver: BalancerDriver) -> int:
+    """How many requests of a burst go out; they end after that."""
+    before = len(driver.sends)
+    burst = [driver.arrive() for _ in range(8)]
+    count = len(driver.sends) - before
+    driver.pass_time(20_000)
+    for request in burst:
+        if request in driver.sends:
+            driver.done(request, Outcome.SUCCESS)
+    driver.pass_time(2_000_000)
+    return count
+
+
+def gateway_of_40(number: int, hosts: tuple[Endpoint, ...]) -> Balancer:
+    """One of forty balancers, as the warming ones among its hosts start."""
+    warming = {"warm_up_us": 10_000_000, "initial_capacity": 0.5, "overload_multiple": 3.0}
+    balancer = Balancer(settings(gateway_count=40, gateway_index=number, **warming), number)
+    balancer.routes[0].uncrowded_latency_us = 10_000.0
+    balancer.handle(STARTED, [EndpointUpdate(UpdateKind.CACHED, hosts)])
+    return balancer
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -1,6 +1,8 @@
-"""Rule 4 under the sum of all gateways: what reaches a cold host stays within its budget N and chance, 2
-roots of N and 2, with any number of processes, connections that come up late, processes that restart, and
-retries."""
+"""The warm-up budget under the sum of all gateways.
+
+What reaches a warming host stays within its budget N and chance, 2 roots of N and 2, with any
+number of gateways, connections that come up late, gateways that restart, and retries.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +13,15 @@
 
 import pytest
 
+from quillroad.balancing import (
+    attempts,
+    endpoints,
+    learning,
+    overdue,
+    selection,
+    slow_start,
+    subsetting,
+)
 from quillroad.balancing.actions import SendAttempt, SetTimer
 from quillroad.balancing.balancer import Balancer
 from quillroad.balancing.endpoint import Endpoint
@@ -23,7 +34,7 @@
     UpdateKind,
 )
 from quillroad.balancing.settings import Idempotency, Settings
-from tests.balancing.helpers import DEADLINE_US, Stage, route, settings
+from tests.balancing.helpers import DEADLINE_US, BalancerDriver, route, settings
 from tests.net import hang, on_loop, world
 
 WINDOW_US, COLD_US, WORK_US = 1_000_000, 6_000_000, 20_000
@@ -38,9 +49,12 @@
 }
 
 
-class Fleet:
-    """Balancers of one fleet before one cold server and a clock of microseconds. A send takes up to `late_us`
-    to come up, and does not where that is after its `latest_us`; one in ten fails, at once."""
+class Gateways:
+    """The balancers of `count` gateways before one warming host, and a clock of microseconds.
+
+    A connection takes up to `late_us` to come up; where that is after the attempt's `send_by_us`
+    the attempt is not sent. One attempt in ten fails, at once.
+    """
 
     def __init__(self, count: int, seed: int, late_us: int) -> None:
         self.rng, self.late_us = random.Random(seed), late_us
@@ -48,7 +62,7 @@
             settings(route(), gateway_count=count, gateway_index=n, **TOLD) for n in range(count)
         ]
         self.queue: list[tuple[int, int, int, tuple[int, object]]] = []
-        self.arrivals: list[int] = []  # at the cold server, and by whom
+        self.arrivals: list[int] = []  # at the warming host, and by whom
         self.by: list[int] = []
         self.started: list[int] = []  # when their process had started
         self.ids = 0
@@ -59,7 +73,7 @@
 
     def born(self, number: int, now: int) -> Balancer:
         balancer = Balancer(self.told[number], self.rng.getrandbits(32))
-        balancer.routes[0].cost_us = float(WORK_US)
+        balancer.routes[0].uncrowded_latency_us = float(WORK_US)
         balancer.handle(
             now, [EndpointUpdate(UpdateKind.CACHED, (Endpoint(7, started_us=START_US),))]
         )
@@ -88,7 +102,7 @@
                 else:
                     self.arrivals.append(up)
                     self.by.append(number)
-                    self.started.append(self.group[number].born_us or 0)
+                    self.started.append(self.group[number].started_us or 0)
                     outcome = Outcome.ERROR if self.rng.random() < 0.1 else Outcome.SUCCESS
                 served = outcome is Outcome.SUCCESS
                 done = AttemptFinished(action.request, attempt, outcome, up - now + WORK_US, served)
@@ -114,13 +128,14 @@
                 self.feed(now, number, RequestArrived(self.ids, 0, now + DEADLINE_US))
 
     def turn(self, now: int) -> int:
-        """Whose turn at the cold server it is."""
+        """Whose turn at the warming host it is."""
         one = self.group[0]
-        turn = (now - START_US) // one.turn_us + one.servers[7].order
+        turn = (now - START_US) // one.slot_us + one.hosts[7].ring_position
         return int(turn % len(self.group))
 
     def most_over(self) -> Iterator[tuple[int, float]]:
-        """For each window that begins with an arrival: what came in it, and what may by budget and chance."""
+        """For each window that begins with an arrival: what came in it, and what may by budget and
+        chance."""
         arrivals, last = sorted(self.arrivals), 0
         for first, at in enumerate(arrivals):
             while last < len(arrivals) and arrivals[last] < at + WINDOW_US:
@@ -133,8 +148,8 @@
 COUNTS = [1, 3, 20, 30, 200]
 
 
-def played(count: int, seed: int) -> Fleet:
-    fleet = Fleet(count, seed, late_us=400_000)
+def played(count: int, seed: int) -> Gateways:
+    fleet = Gateways(count, seed, late_us=400_000)
     fleet.play(START_US + COLD_US, requests_each_s=2000, restarts_each_s=1.0 if count > 1 else 0.0)
     assert len(fleet.arrivals) > 5  # it is warmed
     return fleet
@@ -148,17 +163,18 @@
 
 @pytest.mark.plain
 def test_the_bound_is_one_that_can_be_broken(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With no turns 200 processes push a cold host over: the test above would say so."""
-    monkeypatch.setattr(Balancer, "is_cold", lambda *_: False)
+    """With no turns 200 processes push a warming host over: the test above would say so."""
+    for module in (slow_start, selection, subsetting, endpoints, attempts, learning, overdue):
+        monkeypatch.setattr(module, "is_warming", lambda *_: False)
     assert any(came > most for came, most in played(200, 1).most_over())
 
 
 @pytest.mark.parametrize("count", COUNTS)
-def test_nothing_reaches_a_cold_host_outside_its_senders_turn(count: int) -> None:
-    """Neither on a connection that comes up late, when it is another's turn, nor from a process that started
-    inside its turn, which the one before it may have used up."""
+def test_nothing_reaches_a_cold_host_outside_its_senders_slot(count: int) -> None:
+    """Neither on a connection that comes up late, in another's slot, nor from a process that
+    started inside its slot, which the one before it may have used up."""
     fleet = played(count, 3)
-    width, warm_us = fleet.group[0].turn_us, START_US + COLD_US
+    width, warm_us = fleet.group[0].slot_us, START_US + COLD_US
     came = [
         one for one in zip(fleet.arrivals, fleet.by, fleet.started, strict=True) if one[0] < warm_us
     ]
@@ -172,24 +188,24 @@
 def test_a_further_send_of_a_keyed_request_ends_with_its_window(
     effect: Idempotency, bounded: bool
 ) -> None:
-    """Counted from the first attempt that may have run. The module's gate keeps sends within it, and a
-    connection that comes up late must not carry one out of it."""
-    stage = Stage(settings(route(effect, deduplication_window_us=300_000)), 3)
-    request, first_us = stage.arrive(), stage.now
-    stage.balancer.routes[0].budget.tokens = 9.0
-    stage.done(request, Outcome.ERROR, 1000)
-    stage.pass_time(60_000)
-    first, second = (action for action in stage.log if isinstance(action, SendAttempt))
+    """Counted from the first attempt that may have run. The module's gate keeps sends within it,
+    and a connection that comes up late must not carry one out of it."""
+    driver = BalancerDriver(settings(route(effect, deduplication_window_us=300_000)), 3)
+    request, first_us = driver.arrive(), driver.now
+    driver.balancer.routes[0].retry_budget.tokens = 9.0
+    driver.done(request, Outcome.ERROR, 1000)
+    driver.pass_time(60_000)
+    first, second = (action for action in driver.log if isinstance(action, SendAttempt))
     assert (first.send_by_us, second.send_by_us) == (0, first_us + 300_000 if bounded else 0)
 
 
 def test_what_surely_never_ran_opens_no_window() -> None:
-    stage = Stage(settings(route(Idempotency.KEYED, deduplication_window_us=300_000)), 3)
-    request = stage.arrive()
-    stage.balancer.routes[0].budget.tokens = 9.0
-    stage.done(request, Outcome.REJECTED, 1000)
-    stage.pass_time(60_000)
-    assert [action.send_by_us for action in stage.log if isinstance(action, SendAttempt)] == [0, 0]
+    driver = BalancerDriver(settings(route(Idempotency.KEYED, deduplication_window_us=300_000)), 3)
+    request = driver.arrive()
+    driver.balancer.routes[0].retry_budget.tokens = 9.0
+    driver.done(request, Outcome.REJECTED, 1000)
+    driver.pass_time(60_000)
+    assert [action.send_by_us for action in driver.log if isinstance(action, SendAttempt)] == [0, 0]
 
 
 @on_loop
