--- a/bench/zones.py
+++ b/bench/zones.py
@@ -31,7 +31,7 @@
     UpdateKind,
 )
 from quillroad.balancing.settings import Idempotency, Route, Settings
-from quillroad.balancing.zone_routing import Allowance, Budget, Crossing
+from quillroad.balancing.zone_routing import CrossZoneBudget, CrossZoneLimits, RouteAllowance
 from quillroad.zones.report import Report, read_report
 from testbed.account import Record, Work, percentile, tally, total
 from testbed.schedule import steady
@@ -208,7 +208,9 @@
         hedging_allowed=True,
         cancellation_allowed=True,
     )
-    module = Balancer(told, 1, Crossing(Budget(0.05, (Allowance(),))) if on else None)
+    module = Balancer(
+        told, 1, CrossZoneBudget(CrossZoneLimits(0.05, (RouteAllowance(),))) if on else None
+    )
     servers = tuple(Endpoint(i, zone=i % 2) for i in range(hosts))
     module.handle(1, [EndpointUpdate(UpdateKind.FULL, servers)])
     began = time.process_time()
--- a/quillroad/balancing/final_answer.py
+++ b/quillroad/balancing/final_answer.py
@@ -25,7 +25,7 @@
     settings = state.settings
     retry_after_us = settings.max_retry_after_us if settings.retry_after_allowed else 0
     if request.route.cross_zone_denied and state.cross_zone is not None and not request.attempts:
-        state.cross_zone.refuse(request.route_index)
+        state.cross_zone.note_rejection(request.route_index)
     state.actions.append(
         Reject(request.id, retry_after_us) if is_retry_harmless(request) else Fail(request.id)
     )
--- a/quillroad/balancing/platform_settings.py
+++ b/quillroad/balancing/platform_settings.py
@@ -19,6 +19,7 @@
 MOST = 2**53
 """Largest number that is taken: whole ones up to it are exact in JSON, and fit every clock."""
 PLATFORM_NAMES = {
+    "gateway_count": "balancers",
     "gateway_index": "my_number",
     "max_attempts": "limits.attempts_cap",
     "initial_capacity": "guarantees.cold_from",
--- a/quillroad/balancing/selection.py
+++ b/quillroad/balancing/selection.py
@@ -40,7 +40,7 @@
 def pick(state: BalancerState, request: Request) -> HostState | None:
     """The host for the next attempt of a request; None where none has room."""
     budget = state.cross_zone
-    if budget is not None and budget.due(state.now_us):
+    if budget is not None and budget.is_check_due(state.now_us):
         check_local_zone(state, budget)
     if state.warming and (warming := _pick_warming(state, request)) is not None:
         return warming
@@ -116,7 +116,7 @@
     if state.concurrency_limit < 1.0:
         permits = max(permits, MANY_GATEWAYS_LIMIT)
     for host in state.warming:
-        if budget is not None and is_remote(state, host) and not budget.lost:
+        if budget is not None and is_remote(state, host) and not budget.local_zone_lost:
             continue
         if (
             is_warming(state, host)
--- a/quillroad/balancing/state.py
+++ b/quillroad/balancing/state.py
@@ -22,7 +22,7 @@
 from quillroad.balancing.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
-    from quillroad.balancing.zone_routing import Crossing
+    from quillroad.balancing.zone_routing import CrossZoneBudget
 
 UNKNOWN_PAYOFF = 0.5
 """Payoff (0 to 1) of a host nothing is known of: neither preferred nor passed over."""
@@ -168,7 +168,9 @@
     The groups below are named by the rule that owns them. Nothing is shared between balancers.
     """
 
-    def __init__(self, settings: Settings, seed: int, crossing: Crossing | None = None) -> None:
+    def __init__(
+        self, settings: Settings, seed: int, crossing: CrossZoneBudget | None = None
+    ) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.now_us = 0  # time of the events being handled
--- a/quillroad/balancing/zone_awareness.py
+++ b/quillroad/balancing/zone_awareness.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from quillroad.balancing.state import BalancerState, HostState, Request
-    from quillroad.balancing.zone_routing import Crossing, Reason
+    from quillroad.balancing.zone_routing import CrossZoneBudget, CrossZoneReason
 
 
 def is_remote(state: BalancerState, host: HostState) -> bool:
@@ -25,7 +25,9 @@
     return not state.all_local and host.endpoint.zone != state.settings.zone
 
 
-def may_cross(state: BalancerState, request: Request, host: HostState, budget: Crossing) -> bool:
+def may_cross(
+    state: BalancerState, request: Request, host: HostState, budget: CrossZoneBudget
+) -> bool:
     """Whether the budget lets a request go to a host now; a refusal is noted at its route."""
     if not is_remote(state, host):
         return True
@@ -35,7 +37,7 @@
     return False
 
 
-def cross_zone_reason(request: Request, budget: Crossing) -> Reason:
+def cross_zone_reason(request: Request, budget: CrossZoneBudget) -> CrossZoneReason:
     """Why a request would leave the zone.
 
     One that may have run where only that zone or cell drops its repeat must go there or nowhere.
@@ -46,19 +48,19 @@
         and settings.deduplication_scope is not DeduplicationScope.ALL
         and bool(request.may_have_run())
     )
-    return budget.why(bound, bool(request.in_flight))
+    return budget.reason_for(bound, bool(request.in_flight))
 
 
-def spend(state: BalancerState, request: Request, host: HostState, budget: Crossing) -> None:
+def spend(state: BalancerState, request: Request, host: HostState, budget: CrossZoneBudget) -> None:
     """Account for an attempt that is about to start, local or remote."""
     if not request.attempts:
-        budget.first(state.now_us)
+        budget.note_first_attempt(state.now_us)
     if is_remote(state, host):
         reason = cross_zone_reason(request, budget)
         _log(state, budget.spend(state.now_us, request.route_index, reason))
 
 
-def check_local_zone(state: BalancerState, budget: Crossing) -> None:
+def check_local_zone(state: BalancerState, budget: CrossZoneBudget) -> None:
     """Tell the budget how many hosts of the local zone are healthy.
 
     All that are listed count as known, drained or not, so that a zone that is drained away is lost
@@ -69,7 +71,7 @@
         host.endpoint.status is EndpointStatus.READY and host.is_healthy(state.now_us)
         for host in local
     )
-    _log(state, budget.look(state.now_us, healthy, len(local)))
+    _log(state, budget.update_local_zone(state.now_us, healthy, len(local)))
 
 
 def is_out_of_reach(state: BalancerState, request: Request) -> bool:
@@ -78,7 +80,7 @@
     Such a request is rejected at once. Without this it holds a place in the queue for nothing.
     """
     budget = state.cross_zone
-    if not request.route.cross_zone_denied or budget is None or not budget.all_lost:
+    if not request.route.cross_zone_denied or budget is None or not budget.no_local_host_healthy:
         return False
     wait_us = budget.wait_us(state.now_us, request.route_index)
     return state.now_us + wait_us > request.useful_until_us
@@ -87,7 +89,7 @@
 def on_cross_zone_bytes(state: BalancerState, event: CrossZoneBytes) -> None:
     """Count the bytes of attempts at remote zones against the budget."""
     if state.cross_zone is not None:
-        state.cross_zone.carried(state.now_us, event.size)
+        state.cross_zone.note_bytes(state.now_us, event.size)
 
 
 def _log(state: BalancerState, line: str) -> None:
--- a/quillroad/balancing/zone_routing.py
+++ b/quillroad/balancing/zone_routing.py
@@ -31,7 +31,7 @@
 """In a second: limits are told by the second, the clock counts microseconds."""
 
 
-class Reason(IntEnum):
+class CrossZoneReason(IntEnum):
     """Why an attempt leaves the zone."""
 
     SPILL = 0
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allowance:
+class RouteAllowance:
     """What a route may do.
 
     `keep` (0 to 1): part of the budget that it leaves to the others. `spends`: while the local zone
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
+class CrossZoneLimits:
     """The limits of one gateway, as means over `window_us`.
 
     `share` (0 to 1) of first attempts, `per_s` attempts and `bytes_per_s` bytes both ways (0: no
@@ -71,7 +71,7 @@
     """
 
     share: float
-    classes: tuple[Allowance, ...]
+    classes: tuple[RouteAllowance, ...]
     window_us: int = 60_000_000
     per_s: float = 0.0
     bytes_per_s: float = 0.0
@@ -90,36 +90,36 @@
 
 
 @dataclass(slots=True)
-class Sent:
+class CrossZoneCounts:
     """Counts of one route since the start.
 
     `by_reason` has the attempts that left the zone, `past` those of them that went past the budget,
     `refused` requests that were rejected because no budget was left for them.
     """
 
-    by_reason: list[int] = field(default_factory=lambda: [0] * len(Reason))
-    past: int = 0
-    refused: int = 0
+    by_reason: list[int] = field(default_factory=lambda: [0] * len(CrossZoneReason))
+    over_budget: int = 0
+    rejected: int = 0
 
     @property
-    def crossed(self) -> int:
+    def total(self) -> int:
         """Attempts that left the zone."""
         return sum(self.by_reason)
 
 
-class Crossing:
+class CrossZoneBudget:
     """The budget of one balancer.
 
     `lost`: too few hosts of the local zone are healthy; `all_lost`: none is. `past`: attempts went
     past the budget of late. `sent` has the counts of each route since the start.
     """
 
-    def __init__(self, budget: Budget) -> None:
+    def __init__(self, budget: CrossZoneLimits) -> None:
         self.budget = budget
-        self.sent = [Sent() for _ in budget.classes]
-        self.lost = False
-        self.all_lost = False
-        self.past = False
+        self.counts = [CrossZoneCounts() for _ in budget.classes]
+        self.local_zone_lost = False
+        self.no_local_host_healthy = False
+        self.is_exceeded = False
         # In the window, fading:
         self._firsts = 0.0
         self._crossed = 0.0
@@ -131,88 +131,94 @@
 
     # What is told.
 
-    def first(self, now: int) -> None:
+    def note_first_attempt(self, now: int) -> None:
         """A request has its first attempt, wherever to."""
         self._fade(now)
         self._firsts += 1.0
 
-    def carried(self, now: int, size: int) -> None:
+    def note_bytes(self, now: int, size: int) -> None:
         """So many bytes went to or came from remote zones."""
         self._fade(now)
         self._bytes += size
 
-    def due(self, now: int) -> bool:
+    def is_check_due(self, now: int) -> bool:
         """Whether it is time to look at the local zone again."""
         return now - self._looked >= LOOK_US or not self._looked
 
-    def look(self, now: int, well: int, known: int) -> str:
+    def update_local_zone(self, now: int, well: int, known: int) -> str:
         """Take in that `well` of the `known` local hosts are healthy; with none the zone is lost.
 
         Returns a line for people where something has changed, else an empty text.
         """
         self._looked = max(1, now)
-        before = self.lost
+        before = self.local_zone_lost
         lines = []
         bad = well < self.budget.lost_below * known or not well
         if bad:
             self._lost_until = now + self.budget.hold_us
-        self.lost = bad or now < self._lost_until
-        self.all_lost = not well
-        if self.lost is not before:
-            lines.append(f"zone {'lost' if self.lost else 'regained'}: well={well} of={known}")
-        if self.past and now >= self._past_until:
-            self.past = False
+        self.local_zone_lost = bad or now < self._lost_until
+        self.no_local_host_healthy = not well
+        if self.local_zone_lost is not before:
             lines.append(
-                f"zone budget kept again: past={sum(s.past for s in self.sent)} since the start"
+                f"zone {'lost' if self.local_zone_lost else 'regained'}: well={well} of={known}"
+            )
+        if self.is_exceeded and now >= self._past_until:
+            self.is_exceeded = False
+            lines.append(
+                f"zone budget kept again: past={sum(s.over_budget for s in self.counts)} since the start"
             )
         return "; ".join(lines)
 
     # What is decided.
 
-    def allows(self, now: int, route: int, reason: Reason) -> bool:
+    def allows(self, now: int, route: int, reason: CrossZoneReason) -> bool:
         """Whether a request of this route may be sent to a remote zone now, for this reason."""
         allowance = self.budget.classes[route]
-        if reason is Reason.BOUND or (reason is not Reason.COPY and self.lost and allowance.spends):
+        if reason is CrossZoneReason.BOUND or (
+            reason is not CrossZoneReason.COPY and self.local_zone_lost and allowance.spends
+        ):
             return True
-        keep = max(allowance.keep, COPIES_KEEP) if reason is Reason.COPY else allowance.keep
+        keep = (
+            max(allowance.keep, COPIES_KEEP) if reason is CrossZoneReason.COPY else allowance.keep
+        )
         return self._within(now, keep)
 
-    def why(self, bound: bool, again: bool) -> Reason:
+    def reason_for(self, bound: bool, again: bool) -> CrossZoneReason:
         """Why a request would leave the zone.
 
         `bound`: it may have run there and must go there again. `again`: an attempt is in flight.
         """
         if bound:
-            return Reason.BOUND
+            return CrossZoneReason.BOUND
         if again:
-            return Reason.COPY
-        return Reason.LOST if self.lost else Reason.SPILL
+            return CrossZoneReason.COPY
+        return CrossZoneReason.LOST if self.local_zone_lost else CrossZoneReason.SPILL
 
-    def spend(self, now: int, route: int, reason: Reason) -> str:
+    def spend(self, now: int, route: int, reason: CrossZoneReason) -> str:
         """An attempt leaves the zone.
 
         Returns a line for people where it is the first past the budget for a while.
         """
-        sent = self.sent[route]
-        before = self.past
+        sent = self.counts[route]
+        before = self.is_exceeded
         sent.by_reason[reason] += 1
         if self._within(now, 0.0):
             self._crossed += 1.0
             return ""
-        sent.past += 1
-        self.past = True
+        sent.over_budget += 1
+        self.is_exceeded = True
         self._past_until = now + max(LOOK_US, self.budget.hold_us)
         if before:
             return ""
         return f"zone budget passed: {reason.name.lower()}, used={self.used(now):.2f}"
 
-    def refuse(self, route: int) -> None:
+    def note_rejection(self, route: int) -> None:
         """A request was rejected because no budget was left for it."""
-        self.sent[route].refused += 1
+        self.counts[route].rejected += 1
 
     def wait_us(self, now: int, route: int) -> float:
         """About how long (us) until one more of this route is allowed, at the same traffic."""
-        if self.allows(now, route, Reason.LOST):
+        if self.allows(now, route, CrossZoneReason.LOST):
             return 0.0
         budget = self.budget
         part = 1.0 - budget.classes[route].keep
@@ -245,7 +251,7 @@
 
     # The counts.
 
-    def state(self) -> tuple[float, float, float, int]:
+    def window_state(self) -> tuple[float, float, float, int]:
         """What the window holds: first attempts, crossings, bytes, and when they were counted.
 
         `resume` takes it. What was sent since the start is a process's own.
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -105,7 +105,7 @@
     if (done := by_hand(gateway)) is not None:
         sections["by-hand"] = done
     if (zones := gateway.zones) is not None:
-        sections["zones"] = ZoneWindow(*zones.crossing.state())
+        sections["zones"] = ZoneWindow(*zones.crossing.window_state())
     return {name: msgspec.msgpack.encode(section) for name, section in sections.items()}
 
 
--- a/quillroad/upgrade/shared.py
+++ b/quillroad/upgrade/shared.py
@@ -29,7 +29,7 @@
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
 from quillroad.upgrade.canary import RequestCounts
 from quillroad.upgrade.messages import AttemptsInFlight
-from quillroad.upgrade.state_snapshot import out_at
+from quillroad.upgrade.state_snapshot import attempts_in_flight
 from quillroad.upstream.pool import Upstream
 
 log = logging.getLogger("quillroad.upgrade")
@@ -91,7 +91,7 @@
 
     def out(self) -> AttemptsInFlight | None:
         """What has changed since this was asked last; None for nothing."""
-        at = out_at(self._balancer)
+        at = attempts_in_flight(self._balancer)
         opened, ended = self._ids - self._known, self._known - self._ids
         if at == self._told and not opened and not ended:
             return None
--- a/quillroad/upgrade/state_adoption.py
+++ b/quillroad/upgrade/state_adoption.py
@@ -19,7 +19,7 @@
     Work,
 )
 
-ALARMS = (
+ADOPTED_TIMERS = (
     TimerPurpose.HEDGE.value,
     TimerPurpose.QUEUE_TIMEOUT.value,
     TimerPurpose.RETRY.value,
@@ -184,7 +184,7 @@
             (at_us, requests[index].attempts[number]) for at_us, index, number in due
         )
     for timer_id, purpose, index in work.alarms:
-        if purpose in ALARMS:
+        if purpose in ADOPTED_TIMERS:
             request_of_timer = requests[index] if index >= 0 else None
             balancer.timers[timer_id] = Timer(TimerPurpose(purpose), request_of_timer)
     balancer.last_timer_id = work.tags
--- a/quillroad/upgrade/state_snapshot.py
+++ b/quillroad/upgrade/state_snapshot.py
@@ -15,7 +15,7 @@
 
 from quillroad.balancing.balancer import Balancer
 from quillroad.balancing.state import Attempt, HostState, Request, RouteState
-from quillroad.upgrade.state_adoption import ALARMS, adopt
+from quillroad.upgrade.state_adoption import ADOPTED_TIMERS, adopt
 from quillroad.upgrade.state_document import (
     VERSION,
     AttemptKnown,
@@ -28,7 +28,7 @@
 )
 
 __all__ = [
-    "ALARMS",
+    "ADOPTED_TIMERS",
     "VERSION",
     "AttemptKnown",
     "Knowledge",
@@ -38,9 +38,9 @@
     "ServerKnown",
     "Work",
     "adopt",
+    "attempts_in_flight",
     "export",
-    "out_at",
-    "share_budgets",
+    "halve_retry_budgets",
 ]
 
 
@@ -75,13 +75,13 @@
     )
 
 
-def share_budgets(balancer: Balancer) -> None:
+def halve_retry_budgets(balancer: Balancer) -> None:
     """Halve the retry budgets before they are told: two processes would spend each twice."""
     for route in balancer.routes:
         route.retry_budget.tokens /= 2
 
 
-def out_at(balancer: Balancer) -> dict[int, tuple[int, int]]:
+def attempts_in_flight(balancer: Balancer) -> dict[int, tuple[int, int]]:
     """A balancer's own attempts in flight, and the overdue ones of them, by host.
 
     `SiblingAttempts` tells another process of them.
--- a/quillroad/upgrade/worker_process.py
+++ b/quillroad/upgrade/worker_process.py
@@ -22,7 +22,7 @@
 from quillroad.upgrade.messages import Connections, Message, OperatorActions, State, batch_of
 from quillroad.upgrade.sections import by_hand, read, write
 from quillroad.upgrade.shared import Moves, MovingServer, SharedEngine, settled
-from quillroad.upgrade.state_snapshot import share_budgets
+from quillroad.upgrade.state_snapshot import halve_retry_budgets
 from quillroad.upgrade.worker_state import (
     AdoptState,
     DropBatches,
@@ -298,7 +298,7 @@
 
     def _export_state(self, is_final: bool) -> None:
         if is_final:
-            share_budgets(self.engine.balancer)
+            halve_retry_budgets(self.engine.balancer)
         self._send_to_sibling(State(write(self.gateway), is_final))
 
     def _adopt_state(self, state: State) -> None:
--- a/quillroad/zones/report.py
+++ b/quillroad/zones/report.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Struct
 
-from quillroad.balancing.zone_routing import Crossing, Reason, Sent
+from quillroad.balancing.zone_routing import CrossZoneBudget, CrossZoneCounts, CrossZoneReason
 from quillroad.zones.ledger import Cell, Ledger
 
 MINUTES = 60  # that a report looks back
@@ -82,14 +82,14 @@
         self._before = [(0, 0, 0)] * classes
         self._minutes: deque[Minute] = deque(maxlen=MINUTES)
 
-    def told(self, unix_s: float, sent: Sequence[Sent]) -> None:
+    def told(self, unix_s: float, sent: Sequence[CrossZoneCounts]) -> None:
         at = int(unix_s) // 60 * 60
         if not self._minutes or self._minutes[-1].at != at:
             zeros = [0] * len(self._before)
             self._minutes.append(Minute(at, zeros, zeros.copy(), zeros.copy()))
         minute = self._minutes[-1]
         for i, one in enumerate(sent):
-            now, before = (one.crossed, one.past, one.refused), self._before[i]
+            now, before = (one.total, one.over_budget, one.rejected), self._before[i]
             rows = (minute.crossed, minute.past, minute.refused)
             for counts, new, old in zip(rows, now, before, strict=True):
                 counts[i] += new - old
@@ -100,7 +100,7 @@
 
 
 def make_report(
-    crossing: Crossing,
+    crossing: CrossZoneBudget,
     ledger: Ledger,
     minutes: Minutes,
     names: Sequence[str],
@@ -119,8 +119,8 @@
         at=round(at, 3),
         since=round(since, 3),
         home=zones[home],
-        lost=crossing.lost,
-        past=crossing.past,
+        lost=crossing.local_zone_lost,
+        past=crossing.is_exceeded,
         used=round(crossing.used(now_us), 4),
         share=told.share,
         per_second=told.per_s,
@@ -130,10 +130,10 @@
         classes=[
             ClassLine(
                 name,
-                sent.crossed,
-                {reason.name.lower(): sent.by_reason[reason] for reason in Reason},
-                sent.past,
-                sent.refused,
+                sent.total,
+                {reason.name.lower(): sent.by_reason[reason] for reason in CrossZoneReason},
+                sent.over_budget,
+                sent.rejected,
                 "spend" if told.classes[route].spends else "refuse",
                 told.classes[route].keep,
                 [
@@ -146,7 +146,7 @@
                     if zone >= 0 or ledger.cell(route, zone).sent
                 ],
             )
-            for route, (name, sent) in enumerate(zip(names, crossing.sent, strict=True))
+            for route, (name, sent) in enumerate(zip(names, crossing.counts, strict=True))
         ],
         minutes=minutes.lines(),
     )
--- a/quillroad/zones/settings.py
+++ b/quillroad/zones/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from quillroad.balancing.zone_routing import Allowance, Budget
+from quillroad.balancing.zone_routing import CrossZoneLimits, RouteAllowance
 from quillroad.config import Config, ConfigError
 from quillroad.config.file import Duration, output_file, read_toml, within
 
@@ -51,7 +51,7 @@
 class ZoneSettings:
     """`report` is written every `every_s` seconds; None: nowhere."""
 
-    budget: Budget
+    budget: CrossZoneLimits
     report: Path | None
     every_s: float
 
@@ -75,9 +75,9 @@
         )
     classes = [by_name.get(name, _Class(name)) for name in names]
     gateways = config.settings.gateway_count
-    budget = Budget(
+    budget = CrossZoneLimits(
         share=told.budget.share,
-        classes=tuple(Allowance(one.when_lost == "spend", one.keep) for one in classes),
+        classes=tuple(RouteAllowance(one.when_lost == "spend", one.keep) for one in classes),
         window_us=round(1e6 * within(told.budget.window, "budget.window", 1.0, 3600.0)),
         per_s=told.budget.per_second / gateways,
         bytes_per_s=told.budget.bytes_per_second / gateways,
--- a/quillroad/zones/zones.py
+++ b/quillroad/zones/zones.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from quillroad.balancing.events import CrossZoneBytes, Outcome
-from quillroad.balancing.zone_routing import Crossing
+from quillroad.balancing.zone_routing import CrossZoneBudget
 from quillroad.config import Config, ConfigError
 from quillroad.engine.engine import Engine
 from quillroad.files import put
@@ -31,7 +31,7 @@
         self._path, self._config, self._loop = path, config, loop
         self._told = _load(path, config)
         self.names = [route.name for route in config.settings.routes]
-        self.crossing = Crossing(self._told.budget)
+        self.crossing = CrossZoneBudget(self._told.budget)
         self.ledger = Ledger(len(self.names), len(config.zones))
         self._minutes = Minutes(len(self.names))
         self._since = time.time()
@@ -73,7 +73,7 @@
         """As things are now."""
         assert self._engine is not None
         now = time.time()
-        self._minutes.told(now, self.crossing.sent)
+        self._minutes.told(now, self.crossing.counts)
         return make_report(
             self.crossing,
             self.ledger,
@@ -125,9 +125,13 @@
             return
         self._writer.cancel()
         self._writer = None
-        for name, sent in zip(self.names, self.crossing.sent, strict=True):
+        for name, sent in zip(self.names, self.crossing.counts, strict=True):
             log.info(
-                "%s: crossed=%d past=%d refused=%d", name, sent.crossed, sent.past, sent.refused
+                "%s: crossed=%d past=%d refused=%d",
+                name,
+                sent.total,
+                sent.over_budget,
+                sent.rejected,
             )
         if self._told.report is not None and not self._writing and self.serves():
             try:
--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -17,7 +17,7 @@
     UpdateKind,
 )
 from quillroad.balancing.settings import Idempotency, Route, Settings
-from quillroad.balancing.zone_routing import Crossing
+from quillroad.balancing.zone_routing import CrossZoneBudget
 
 AIM_US = 200_000
 DEADLINE_US = 1_000_000
@@ -47,7 +47,7 @@
         told: Settings,
         hosts: int | list[Endpoint] = 4,
         seed: int = 7,
-        crossing: Crossing | None = None,
+        crossing: CrossZoneBudget | None = None,
     ) -> None:
         self.now = 1_000_000
         self.balancer = Balancer(told, seed, crossing)
--- a/tests/recordings/adapter.py
+++ b/tests/recordings/adapter.py
@@ -26,7 +26,7 @@
 )
 from quillroad.balancing.platform_settings import read_settings
 from quillroad.balancing.simulator import LIST_KINDS, READERS, STATES
-from quillroad.balancing.zone_routing import Allowance, Budget, Crossing
+from quillroad.balancing.zone_routing import CrossZoneBudget, CrossZoneLimits, RouteAllowance
 from quillroad.upgrade import state_snapshot
 
 __all__ = [
@@ -64,8 +64,8 @@
     told = read_settings(settings)
     if budget is None:
         return Balancer(told, seed)
-    classes = tuple(Allowance(spends, keep) for spends, keep in budget["classes"])
-    return Balancer(told, seed, Crossing(Budget(**{**budget, "classes": classes})))
+    classes = tuple(RouteAllowance(spends, keep) for spends, keep in budget["classes"])
+    return Balancer(told, seed, CrossZoneBudget(CrossZoneLimits(**{**budget, "classes": classes})))
 
 
 def handle(balancer: Balancer, now_us: int, events: Sequence[Event]) -> list[Action]:
@@ -122,7 +122,7 @@
 
 def attempts_out(balancer: Balancer) -> dict[int, tuple[int, int]]:
     """What `other_process` tells the other process."""
-    return state_snapshot.out_at(balancer)
+    return state_snapshot.attempts_in_flight(balancer)
 
 
 def gateways_changed(number: int, balancers: int) -> Event:
@@ -137,7 +137,7 @@
     """What a balancer knows, as the document that a new process gets; without `work` the retry
     budgets are halved, as in an upgrade."""
     if not work:
-        state_snapshot.share_budgets(balancer)
+        state_snapshot.halve_retry_budgets(balancer)
     return msgspec.json.encode(state_snapshot.export(balancer, NAMES, work=work))
 
 
--- a/tests/recordings/upgrade.py
+++ b/tests/recordings/upgrade.py
@@ -63,7 +63,7 @@
 )
 from quillroad.upgrade.shared import MovingServer, SharedEngine
 from quillroad.upgrade.state_snapshot import (
-    ALARMS,
+    ADOPTED_TIMERS,
     AttemptKnown,
     Knowledge,
     Names,
@@ -278,7 +278,7 @@
         "seeded, with work, JSON": msgspec.json.encode(known).decode(),
         "seeded, without work": learned,
         "adopted without work": adopt_and_export(learned, work=False),
-        "alarms": ", ".join(ALARMS),
+        "alarms": ", ".join(ADOPTED_TIMERS),
     }
 
 
@@ -311,7 +311,7 @@
 
 def alarms_after_adoption() -> tuple[list[str], list[str]]:
     """The meanings of alarms that a document tells, and those that a balancer takes over."""
-    alarms = [(100 + place, meaning, -1) for place, meaning in enumerate(ALARMS)]
+    alarms = [(100 + place, meaning, -1) for place, meaning in enumerate(ADOPTED_TIMERS)]
     stage = _seeded_stage()
     queues: list[tuple[list[int], list[int]]] = [([], []) for _ in stage.told.routes]
     work = Work([], queues, [[] for _ in stage.told.routes], alarms, 200, 0)
@@ -319,7 +319,7 @@
     adopt(balancer, Knowledge(0, [], [], work=work), NAMES)
     told = export(balancer, NAMES, work=True).work
     assert told is not None
-    return list(ALARMS), [meaning for _, meaning, _ in told.alarms]
+    return list(ADOPTED_TIMERS), [meaning for _, meaning, _ in told.alarms]
 
 
 def _without_defaults(struct: Struct) -> Any:
--- a/tests/recordings/zones.py
+++ b/tests/recordings/zones.py
@@ -5,7 +5,12 @@
 import msgspec
 
 from quillroad.balancing.events import Outcome
-from quillroad.balancing.zone_routing import Allowance, Budget, Crossing, Reason
+from quillroad.balancing.zone_routing import (
+    CrossZoneBudget,
+    CrossZoneLimits,
+    CrossZoneReason,
+    RouteAllowance,
+)
 from quillroad.zones.ledger import Ledger
 from quillroad.zones.report import (
     ClassLine,
@@ -54,20 +59,22 @@
 
 def _made() -> Report:
     """A report of a zone that is lost, with every reason to cross and every end of an attempt."""
-    classes = (Allowance(False, 0.5), Allowance(True, 0.25))
-    crossing = Crossing(Budget(0.05, classes, 2_000_000, 40.0, 5_000.0, 0.6, 3_000_000))
-    crossing.look(NOW_US, 1, 4)
+    classes = (RouteAllowance(False, 0.5), RouteAllowance(True, 0.25))
+    crossing = CrossZoneBudget(
+        CrossZoneLimits(0.05, classes, 2_000_000, 40.0, 5_000.0, 0.6, 3_000_000)
+    )
+    crossing.update_local_zone(NOW_US, 1, 4)
     ledger, minutes = Ledger(len(NAMES), len(ZONES)), Minutes(len(NAMES))
     for number in range(60):
-        crossing.first(NOW_US)
-        crossing.carried(NOW_US, number)
-    for reason in Reason:
+        crossing.note_first_attempt(NOW_US)
+        crossing.note_bytes(NOW_US, number)
+    for reason in CrossZoneReason:
         for _ in range(1 + reason):
             crossing.spend(NOW_US, reason % 2, reason)
-    crossing.refuse(0)
-    minutes.told(MINUTE_S, crossing.sent)
-    crossing.refuse(1)
-    minutes.told(MINUTE_S + 60.0, crossing.sent)
+    crossing.note_rejection(0)
+    minutes.told(MINUTE_S, crossing.counts)
+    crossing.note_rejection(1)
+    minutes.told(MINUTE_S + 60.0, crossing.counts)
     for place, outcome in enumerate(Outcome):
         zone = (0, 1, -1)[place % 3]
         for _ in range(1 + place):
--- a/tests/upgrade/test_state_snapshot.py
+++ b/tests/upgrade/test_state_snapshot.py
@@ -23,9 +23,9 @@
     Knowledge,
     Names,
     adopt,
+    attempts_in_flight,
     export,
-    out_at,
-    share_budgets,
+    halve_retry_budgets,
 )
 from tests.balancing.helpers import BalancerDriver, route
 from tests.balancing.helpers import settings as told_settings
@@ -112,20 +112,20 @@
     requests = [driver.arrive() for _ in range(3)]
     before = driver.balancer
     tokens = before.routes[0].retry_budget.tokens
-    share_budgets(before)
+    halve_retry_budgets(before)
     after = moved(before, 1, work=False)
     assert not after.requests and all(s.in_flight == 0 for s in after.hosts.values())
     assert after.routes[0].retry_budget.tokens == tokens / 2 == before.routes[0].retry_budget.tokens
-    told = out_at(before)
+    told = attempts_in_flight(before)
     assert sum(out for out, _ in told.values()) == 3
     after.handle(driver.now, [SiblingAttempts(told)])
     assert {n: s.in_flight for n, s in after.hosts.items() if s.in_flight} == {
         n: out for n, (out, _) in told.items()
     }
-    assert out_at(after) == {}  # the other's are not told back
+    assert attempts_in_flight(after) == {}  # the other's are not told back
     for request in requests:
         driver.done(request, Outcome.SUCCESS)
-    after.handle(driver.now, [SiblingAttempts(out_at(before))])
+    after.handle(driver.now, [SiblingAttempts(attempts_in_flight(before))])
     assert all(s.in_flight == s.overdue == 0 for s in after.hosts.values())
 
 
@@ -142,7 +142,10 @@
     after = moved(before, 1, work=False)
     actions = after.handle(
         driver.now,
-        [SiblingAttempts(out_at(before)), RequestArrived(10**6, 0, driver.now + 900_000)],
+        [
+            SiblingAttempts(attempts_in_flight(before)),
+            RequestArrived(10**6, 0, driver.now + 900_000),
+        ],
     )
     assert not any(isinstance(a, SendAttempt) for a in actions)
 
--- a/tests/zones/test_crossing.py
+++ b/tests/zones/test_crossing.py
@@ -12,17 +12,23 @@
 from quillroad.balancing.endpoint import Endpoint, EndpointStatus
 from quillroad.balancing.events import EndpointUpdate, Outcome, UpdateKind
 from quillroad.balancing.settings import DeduplicationScope, Idempotency
-from quillroad.balancing.zone_routing import FREE, Allowance, Budget, Crossing, Reason
+from quillroad.balancing.zone_routing import (
+    FREE,
+    CrossZoneBudget,
+    CrossZoneLimits,
+    CrossZoneReason,
+    RouteAllowance,
+)
 from quillroad.zones.ledger import ENDS, Ledger
 from quillroad.zones.report import MINUTES, Minutes
 from tests.balancing.helpers import BalancerDriver, route, settings
 
-SPENDS, REFUSES = Allowance(), Allowance(spends=False, keep=0.5)
+SPENDS, REFUSES = RouteAllowance(), RouteAllowance(spends=False, keep=0.5)
 HOME, AWAY = 0, 1
 
 
-def budget(share: float = 0.1, *classes: Allowance, **changes: float) -> Budget:
-    return Budget(
+def budget(share: float = 0.1, *classes: RouteAllowance, **changes: float) -> CrossZoneLimits:
+    return CrossZoneLimits(
         share, classes or (SPENDS, REFUSES), window_us=1_000_000, hold_us=100_000, **changes
     )
 
@@ -32,7 +38,7 @@
         st.integers(0, 30_000),  # microseconds since the step before
         st.sampled_from(["first", "cross", "cross", "look"]),
         st.integers(0, 1),
-        st.sampled_from(list(Reason)),
+        st.sampled_from(list(CrossZoneReason)),
         st.integers(0, 4),
     ),
     max_size=300,
@@ -41,42 +47,48 @@
 
 @given(steps, st.floats(0.0, 1.0), st.sampled_from([0.0, 5.0]))
 def test_what_is_within_the_budget_never_passes_it(
-    told: list[tuple[int, str, int, Reason, int]], share: float, per_s: float
+    told: list[tuple[int, str, int, CrossZoneReason, int]], share: float, per_s: float
 ) -> None:
-    crossing = Crossing(budget(share, per_s=per_s))
+    crossing = CrossZoneBudget(budget(share, per_s=per_s))
     now, firsts, within, told_past, lost = 1, [], [], 0, False
     for after, what, number, why, well in told:
         now += after
         if what == "first":
-            crossing.first(now)
+            crossing.note_first_attempt(now)
             firsts.append(now)
         elif what == "look":
-            crossing.look(now, well, 4)
-            lost = crossing.lost
+            crossing.update_local_zone(now, well, 4)
+            lost = crossing.local_zone_lost
             assert lost or well >= 2
         elif crossing.allows(now, number, why):
-            past = crossing.sent[number].past
+            past = crossing.counts[number].over_budget
             crossing.spend(now, number, why)
-            if crossing.sent[number].past == past:
+            if crossing.counts[number].over_budget == past:
                 within.append(now)
             else:  # only those whose zone is lost and who were told to spend, and those bound elsewhere
                 told_past += 1
-                assert why is Reason.BOUND or (lost and number == 0 and why is not Reason.COPY)
+                assert why is CrossZoneReason.BOUND or (
+                    lost and number == 0 and why is not CrossZoneReason.COPY
+                )
         fade = [sum(math.exp((at - now) / 1e6) for at in times) for times in (firsts, within)]
         most = share * fade[0] + FREE if share else 0.0
         # First sends and crossings fade as fast, so what was within stays within.
         assert fade[1] <= (min(most, per_s) if per_s else most) + 1e-6
-    assert sum(s.past for s in crossing.sent) == told_past
-    assert sum(s.crossed for s in crossing.sent) == told_past + len(within)
+    assert sum(s.over_budget for s in crossing.counts) == told_past
+    assert sum(s.total for s in crossing.counts) == told_past + len(within)
     assert crossing.used(now + 60_000_000) < 1e-6  # all of it comes back
 
 
 def test_a_class_leaves_its_part_and_copies_half() -> None:
-    crossing = Crossing(budget(0.1))
+    crossing = CrossZoneBudget(budget(0.1))
     for _ in range(1000):
-        crossing.first(1)
+        crossing.note_first_attempt(1)
     taken = {}
-    for number, why in ((1, Reason.SPILL), (0, Reason.COPY), (0, Reason.SPILL)):
+    for number, why in (
+        (1, CrossZoneReason.SPILL),
+        (0, CrossZoneReason.COPY),
+        (0, CrossZoneReason.SPILL),
+    ):
         taken[number, why] = 0
         while crossing.allows(1, number, why):
             crossing.spend(1, number, why)
@@ -86,42 +98,47 @@
 
 
 def test_the_wait_told_is_when_the_next_one_is_allowed() -> None:
-    crossing = Crossing(budget(0.0, REFUSES, per_s=10.0))
+    crossing = CrossZoneBudget(budget(0.0, REFUSES, per_s=10.0))
     assert crossing.wait_us(1, 0) == math.inf  # no share at all
-    crossing = Crossing(Budget(1.0, (REFUSES,), window_us=1_000_000, per_s=20.0))
+    crossing = CrossZoneBudget(CrossZoneLimits(1.0, (REFUSES,), window_us=1_000_000, per_s=20.0))
     for _ in range(100):
-        crossing.first(1)
-    while crossing.allows(1, 0, Reason.SPILL):
-        crossing.spend(1, 0, Reason.SPILL)
+        crossing.note_first_attempt(1)
+    while crossing.allows(1, 0, CrossZoneReason.SPILL):
+        crossing.spend(1, 0, CrossZoneReason.SPILL)
     wait = int(crossing.wait_us(1, 0))
-    assert not crossing.allows(wait - 1000, 0, Reason.SPILL)
-    assert crossing.allows(wait + 10, 0, Reason.SPILL)
+    assert not crossing.allows(wait - 1000, 0, CrossZoneReason.SPILL)
+    assert crossing.allows(wait + 10, 0, CrossZoneReason.SPILL)
 
 
 def test_bytes_are_held_to_their_rate() -> None:
-    crossing = Crossing(budget(1.0, SPENDS, bytes_per_s=1000.0))
-    crossing.first(1)
-    assert crossing.allows(1, 0, Reason.SPILL)
-    crossing.carried(1, 5000)
-    assert not crossing.allows(1, 0, Reason.SPILL) and crossing.allows(1, 0, Reason.BOUND)
+    crossing = CrossZoneBudget(budget(1.0, SPENDS, bytes_per_s=1000.0))
+    crossing.note_first_attempt(1)
+    assert crossing.allows(1, 0, CrossZoneReason.SPILL)
+    crossing.note_bytes(1, 5000)
+    assert not crossing.allows(1, 0, CrossZoneReason.SPILL) and crossing.allows(
+        1, 0, CrossZoneReason.BOUND
+    )
     assert crossing.used(1) == pytest.approx(5.0)
-    assert not crossing.allows(1_500_000, 0, Reason.SPILL) and crossing.allows(
-        1_700_000, 0, Reason.SPILL
+    assert not crossing.allows(1_500_000, 0, CrossZoneReason.SPILL) and crossing.allows(
+        1_700_000, 0, CrossZoneReason.SPILL
     )
 
 
 def test_a_lost_zone_is_held_lost_for_a_while_and_both_are_told_once() -> None:
-    crossing = Crossing(budget())
+    crossing = CrossZoneBudget(budget())
     lines = [
-        crossing.look(at * 50_000, well, 4) for at, well in enumerate((4, 2, 1, 0, 4, 4, 4), 1)
+        crossing.update_local_zone(at * 50_000, well, 4)
+        for at, well in enumerate((4, 2, 1, 0, 4, 4, 4), 1)
     ]
     assert lines == ["", "", "zone lost: well=1 of=4", "", "", "zone regained: well=4 of=4", ""]
-    assert crossing.look(1_000_000, 0, 0).startswith("zone lost")  # no host at all is lost, too
+    assert crossing.update_local_zone(1_000_000, 0, 0).startswith(
+        "zone lost"
+    )  # no host at all is lost, too
 
 
-def work(*classes: Allowance, share: float = 0.05) -> tuple[BalancerDriver, Crossing]:
+def work(*classes: RouteAllowance, share: float = 0.05) -> tuple[BalancerDriver, CrossZoneBudget]:
     """Four servers at home, four away; a route a class."""
-    crossing = Crossing(budget(share, *classes))
+    crossing = CrossZoneBudget(budget(share, *classes))
     routes = [route(priority_weight=1.0 + i) for i in range(len(classes))]
     listed = [Endpoint(100 + i, zone=i % 2) for i in range(8)]
     return BalancerDriver(settings(*routes, max_attempts=4), listed, crossing=crossing), crossing
@@ -137,7 +154,7 @@
         number = stage.arrive()
         stage.pass_time(2_000)
         stage.done(number, Outcome.SUCCESS)
-    assert set(zones_of(stage)) == {HOME} and crossing.sent[0].crossed == 0
+    assert set(zones_of(stage)) == {HOME} and crossing.counts[0].total == 0
 
 
 def test_a_full_zone_spills_within_the_budget_and_the_rest_waits_at_home() -> None:
@@ -148,15 +165,15 @@
     stage, crossing = work(REFUSES, share=0.5)
     for _ in range(100):
         stage.arrive()
-    assert 0 < zones_of(stage).count(AWAY) == crossing.sent[0].by_reason[Reason.SPILL]
-    assert crossing.sent[0].past == 0
+    assert 0 < zones_of(stage).count(AWAY) == crossing.counts[0].by_reason[CrossZoneReason.SPILL]
+    assert crossing.counts[0].over_budget == 0
 
 
 @pytest.mark.parametrize("how", ["drained", "gone"])
 def test_a_lost_zone_spends_or_refuses_as_its_classes_were_told(how: str) -> None:
     """The hard case: only the other zone is well. One class goes past the budget, the other is refused at
     once."""
-    stage, crossing = work(SPENDS, Allowance(spends=False), share=0.0)
+    stage, crossing = work(SPENDS, RouteAllowance(spends=False), share=0.0)
     state = EndpointStatus.DRAINING if how == "drained" else EndpointStatus.REMOVED
     stage.feed(
         EndpointUpdate(
@@ -170,7 +187,7 @@
         stage.done(number, Outcome.SUCCESS)
     refusals = [action for action in stage.log if isinstance(action, Reject)]
     assert (zones_of(stage).count(AWAY), len(refusals)) == (20, 20)
-    assert (crossing.sent[0].past, crossing.sent[1].refused) == (20, 20)
+    assert (crossing.counts[0].over_budget, crossing.counts[1].rejected) == (20, 20)
     assert stage.balancer.queued == 0
     told = [action.text for action in stage.log if isinstance(action, LogMessage)]
     assert told[0].startswith("zone lost: well=0") and told[1].startswith(
@@ -179,7 +196,7 @@
 
 
 def test_a_repeat_bound_to_the_other_zone_goes_there_whatever_the_budget() -> None:
-    crossing = Crossing(budget(0.0, SPENDS))
+    crossing = CrossZoneBudget(budget(0.0, SPENDS))
     told = settings(
         route(Idempotency.KEYED, deduplication_scope=DeduplicationScope.ZONE), max_attempts=4
     )
@@ -197,7 +214,7 @@
     stage.done(number, Outcome.ERROR)
     stage.pass_time(100_000)
     assert [server % 2 for server in stage.sends[number]] == [AWAY, AWAY]
-    assert crossing.sent[0].by_reason[Reason.BOUND] == 1
+    assert crossing.counts[0].by_reason[CrossZoneReason.BOUND] == 1
 
 
 def test_the_ledger_knows_every_end_and_charges_what_left() -> None:
@@ -215,10 +232,10 @@
 
 
 def test_minutes_add_up_and_are_bounded() -> None:
-    crossing, minutes = Crossing(budget(1.0, SPENDS)), Minutes(1)
+    crossing, minutes = CrossZoneBudget(budget(1.0, SPENDS)), Minutes(1)
     for minute in range(3 * MINUTES):
         for _ in range(minute % 3):
-            crossing.spend(1, 0, Reason.BOUND)
-        minutes.told(1000.0 + 60 * minute, crossing.sent)
+            crossing.spend(1, 0, CrossZoneReason.BOUND)
+        minutes.told(1000.0 + 60 * minute, crossing.counts)
     lines = minutes.lines()
     assert len(lines) == MINUTES and [line.crossed[0] for line in lines[:4]] == [0, 1, 2, 0]
