--- a/scripts/compile.py
+++ b/scripts/compile.py
@@ -35,6 +35,12 @@
     "quillroad/framing.py",
     "quillroad/engine/engine.py",
     "quillroad/downstream/server.py",
+    "quillroad/http_answer.py",
+    "quillroad/upstream/outcome.py",
+    "quillroad/upstream/response_parser.py",
+    "quillroad/upstream/host.py",
+    "quillroad/upstream/attempt.py",
+    "quillroad/upstream/connection.py",
     "quillroad/upstream/pool.py",
     "quillroad/upgrade/shared.py",  # it extends engine and server, which only compiled classes can
 )
--- a/tests/downstream/test_gateway.py
+++ b/tests/downstream/test_gateway.py
@@ -10,6 +10,8 @@
 import pytest
 
 import quillroad.engine.engine
+import quillroad.upstream.attempt
+import quillroad.upstream.connection
 import quillroad.upstream.pool
 from quillroad.balancing.events import ClientDisconnected, Event, RequestArrived, TimerFired
 from quillroad.discovery.reducer import server_number
@@ -201,7 +203,12 @@
 
     async with world(serve_ok) as w, w.client() as client:
         now = time.monotonic()
-        for module in (quillroad.engine.engine, quillroad.upstream.pool):
+        for module in (
+            quillroad.engine.engine,
+            quillroad.upstream.attempt,
+            quillroad.upstream.connection,
+            quillroad.upstream.pool,
+        ):
             monkeypatch.setattr(module, "monotonic", frozen)
         monkeypatch.setattr(quillroad.upstream.pool, "SETTLE_S", 0.0)
         for _ in range(3):
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -136,7 +136,7 @@
         await until(lambda number=number: len(host.seen) == number + 1)  # type: ignore[misc]
     host.writers[0].write(answer())
     await until(lambda: len(bench.results) == 1)
-    bench.host.heard -= 1.0
+    bench.host.last_heard_at -= 1.0
     attempt = bench.start(timeout_s=0.05)
     await until(lambda: attempt.over)
     assert not bench.host.idle or all(c.closing() for c in bench.host.idle)
