--- a/quillroad/counts.py
+++ b/quillroad/counts.py
@@ -20,41 +20,54 @@
     import asyncio
 
     from quillroad.engine.engine import Engine
-    from quillroad.upstream.pool import Answer, Done, Host, Upstream
+    from quillroad.http_answer import Answer
+    from quillroad.upstream.pool import Done, Host, Upstream
 
 log = logging.getLogger("quillroad.counts")
 
-EVERY_S = 1.0
-WORST = 8  # hosts named in a line
+INTERVAL_S = 1.0  # between two lines: `bench.fleet` adds up the lines of one second
+MAX_FAILING_HOSTS = 8  # named in a line: those that fail most; a line stays short in a large outage
 
 
 class Counts:
-    """Counts attempts by outcome and reads the module's and the pool's own figures, from `start` on."""
+    """Counts attempts by outcome, and reads the balancer's and the pool's own figures, from `start` on.
+
+    A line has what was counted since the line before (`sent`, `to_cold`, each `Outcome` value, `answer_ms`
+    in sum, `connects`, `no_connect`, the balancer's counters), how things stand (the balancer's gauges,
+    `idle` connections), and in `bad` the failed attempts of the hosts that failed most, by name.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, engine: Engine, upstream: Upstream) -> None:
-        self._loop, self._engine, self._upstream = loop, engine, upstream
-        self._now: Counter[str] = Counter()
-        self._before: Counter[str] = Counter()  # of what only grows
-        self._bad: Counter[str] = Counter()  # failed attempts by host
+        self._loop = loop
+        self._engine = engine
+        self._upstream = upstream
+        self._counted: Counter[str] = Counter()  # since the last line
+        self._totals: Counter[str] = (
+            Counter()
+        )  # at the last line, of what others count from their start
+        self._failed_by_host: Counter[str] = Counter()  # attempts since the last line
         self._timer: asyncio.TimerHandle | None = None
-        self._next, engine.attempt_observer = engine.attempt_observer, self._sent
+        self._next_observer = engine.attempt_observer
+        engine.attempt_observer = self._on_sent
 
     def start(self) -> None:
-        self._timer = self._loop.call_at(monotonic() + EVERY_S, self._tell)
+        """Write the next line after `INTERVAL_S`."""
+        self._timer = self._loop.call_at(monotonic() + INTERVAL_S, self._tell)
 
     def stop(self) -> None:
+        """Write no more lines."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _sent(self, route: int, host: Host, size: int, done: Done) -> Done:
-        self._now["sent"] += 1
+    def _on_sent(self, route: int, host: Host, size: int, done: Done) -> Done:
+        self._counted["sent"] += 1
         if host.started_us and self._engine.now_us() < host.started_us + self._engine.cold_us:
-            self._now["to_cold"] += 1
-        if self._next is not None:
-            done = self._next(route, host, size, done)
-        return partial(self._ended, host, monotonic(), done)
+            self._counted["to_cold"] += 1
+        if self._next_observer is not None:
+            done = self._next_observer(route, host, size, done)
+        return partial(self._on_ended, host, monotonic(), done)
 
-    def _ended(
+    def _on_ended(
         self,
         host: Host,
         began: float,
@@ -63,23 +76,22 @@
         answer: Answer | None,
         at: float,
     ) -> None:
-        self._now[outcome.value] += 1
+        self._counted[outcome.value] += 1
         if outcome is Outcome.SUCCESS:
-            self._now["answer_ms"] += int((at - began) * 1000)
+            self._counted["answer_ms"] += int((at - began) * 1000)
         elif outcome is not Outcome.CANCELLED:
-            self._bad[host.name] += 1
+            self._failed_by_host[host.name] += 1
         done(outcome, answer, at)
 
     def _tell(self) -> None:
         self.start()
-        grown = Counter(self._engine.counters)
-        grown["connects"], grown["no_connect"] = (
-            self._upstream.connects,
-            self._upstream.failed_connects,
-        )
-        line: dict[str, Any] = dict(self._now + (grown - self._before)) | self._engine.gauges
+        totals = Counter(self._engine.counters)
+        totals["connects"] = self._upstream.connects
+        totals["no_connect"] = self._upstream.failed_connects
+        line: dict[str, Any] = dict(self._counted + (totals - self._totals)) | self._engine.gauges
         line["idle"] = self._upstream.resting
-        line["bad"] = dict(self._bad.most_common(WORST))
-        self._bad.clear()
-        self._before, self._now = grown, Counter()
+        line["bad"] = dict(self._failed_by_host.most_common(MAX_FAILING_HOSTS))
+        self._failed_by_host.clear()
+        self._totals = totals
+        self._counted = Counter()
         log.info("%s", json.dumps(line))
--- a/quillroad/engine/__init__.py
+++ b/quillroad/engine/__init__.py
@@ -0,0 +1,1 @@
+"""Drives the balancing decisions: events in, actions out, and the open requests."""
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -53,18 +53,7 @@
 from quillroad.upstream.host import Host
 from quillroad.upstream.pool import Upstream
 
-__all__ = [
-    "FAILED",
-    "REFUSED",
-    "REJECTED",
-    "SERVED",
-    "TIMED_OUT",
-    "ClientRequest",
-    "Engine",
-    "OpenRequest",
-    "Reply",
-    "Requester",
-]
+__all__ = ["REFUSED", "SERVED", "ClientRequest", "Engine", "OpenRequest", "Reply", "Requester"]
 
 log = logging.getLogger("quillroad.engine.engine")
 
@@ -78,10 +67,9 @@
         self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream
     ) -> None:
         self.hosts: dict[int, Host] = {}  # by endpoint id
-        # Told when less waits in the balancer than there are hosts.
+        # Called when no more requests wait in the balancer than there are hosts.
         self.on_capacity: Callable[[], None] | None = None
-        # Asked with each attempt: its route, its host, its size in bytes and whom to tell its outcome;
-        # returns whom to tell in place of that.
+        # Called with each attempt's route, host, size in bytes and `done`; returns a `done` in its place.
         self.attempt_observer: Callable[[int, Host, int, Done], Done] | None = None
         self._loop = loop
         self._balancer = balancer
@@ -141,17 +129,13 @@
         reply: Callable[[Reply], None],
         client: Requester | None = None,
     ) -> OpenRequest:
-        """Take a request; `reply` is called once, before the client's deadline, unless it departs. Before
-        each attempt `client` is asked whether it has, where that may have gone unread.
+        """Take a request; `reply` is called once, before the client's deadline, unless it departs.
+
+        Before each attempt `client` is asked whether it has, where that may have gone unread.
         """
         scale = margin_scale(max(0.0, request.expires - monotonic()))
-        opened = OpenRequest(
-            next(self._numbers),
-            request,
-            reply,
-            request.expires - DECISION_MARGIN_S * scale,
-            client,
-        )
+        give_up = request.expires - DECISION_MARGIN_S * scale
+        opened = OpenRequest(next(self._numbers), request, reply, give_up, client)
         self._open[opened.number] = opened
         self._ids.add(request.id)
         opened.overdue_timer = self._loop.call_at(
@@ -193,24 +177,27 @@
             self._forget(opened)
 
     def _on_overdue(self, opened: OpenRequest) -> None:
-        """Answer a request by itself, which the balancer has not answered by its deadline. A timeout
-        promises nothing, so it is always a right answer.
-        """
+        """Time out a request without a decision: that promises nothing, so it is always right."""
         if self._loop_monitor.stalled():
             self._loop_monitor.hold(self._on_overdue, opened)
         elif opened.reply is not None:
             log.error("request %s: no decision by its deadline", opened.request.id)
-            self._answer(opened, Reply(TIMED_OUT))
-            self.feed(ClientDisconnected(opened.number))
-            self._forget(opened)
+            self._answer_undecided(opened, Reply(TIMED_OUT))
+
+    def _answer_undecided(self, opened: OpenRequest, reply: Reply) -> None:
+        """Answer in place of the balancer, which is told that nobody waits any more."""
+        self._answer(opened, reply)
+        self.feed(ClientDisconnected(opened.number))
+        self._forget(opened)
 
     # From discovery.
 
     def update(
         self, servers: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
-        """Take an endpoint update; `names` and `addresses` are those of its endpoints, by id. It takes
-        effect on the sockets first: what it ends must not get a byte more.
+        """Take an endpoint update; `names` and `addresses` are those of its endpoints, by id.
+
+        It takes effect on the sockets first: what it ends must not get a byte more.
         """
         apply_endpoint_update(self.hosts, self._upstream, servers, names, addresses)
         self.feed(servers)
@@ -218,8 +205,9 @@
     # Events in, actions out.
 
     def feed(self, event: Event) -> None:
-        """Give the balancer one event and perform what it decides. What an action brings about at once is
-        fed after it, in order, never from inside the balancer.
+        """Give the balancer one event and perform what it decides.
+
+        What an action brings about at once is fed after it, never from inside the balancer.
         """
         self._events.append(event)
         if self._feeding:
@@ -234,8 +222,9 @@
             self.on_capacity()
 
     def _step(self, event: Event) -> None:
-        """Handle one event. A fault fails the request that it belongs to, and is logged: without this one
-        request could take the gateway down, and what was decided before the fault would be lost.
+        """Handle one event; a fault is logged and fails the request that it belongs to.
+
+        Without this one request could take the gateway down. What was decided before the fault counts.
         """
         try:
             actions = self._balancer.handle(self._clock.now_us(), [event])
@@ -258,13 +247,12 @@
         """Fail a request after a fault of this program."""
         opened = self._open.get(number)
         if opened is not None and opened.reply is not None:
-            self._answer(opened, Reply(FAILED))
-            self._events.append(ClientDisconnected(number))
-            self._forget(opened)
+            self._answer_undecided(opened, Reply(FAILED))
 
     def _perform(self, action: Action) -> None:
-        """Perform one action. `WatchEndpoints` asks for what the gateway always does; for
-        `StartHealthCheck` the balancer of a gateway never asks.
+        """Perform one action.
+
+        `WatchEndpoints` asks for what the gateway always does, `StartHealthCheck` is never asked for.
         """
         if isinstance(action, SendAttempt):
             self._send(action)
@@ -352,8 +340,9 @@
         opened.attempts.append(attempt)
 
     def _depart_if_gone(self, opened: OpenRequest, client: Requester) -> None:
-        """Note that a client has gone whose end may lie unread: it had sent ahead, so nothing is read from
-        it, or the event loop is late. Without this hosts would work for those who left.
+        """Note that a client has gone whose end may lie unread; else hosts would work for nobody.
+
+        It had sent ahead, so that nothing is read from it, or the event loop is late.
         """
         if opened.reply is not None and client.gone():
             self.depart(opened)
--- a/quillroad/upstream/attempt.py
+++ b/quillroad/upstream/attempt.py
@@ -66,8 +66,9 @@
         self._give_up(AttemptEnd.CANCELLED, AttemptEnd.CANCELLED_CONNECTING)
 
     def withdraw(self) -> None:
-        """Call it off before a byte was sent: the host has left service, the client has gone, or there
-        is no connection for it.
+        """Call it off before a byte was sent.
+
+        The host has left service, the client has gone, or there is no connection for it.
         """
         self._give_up(AttemptEnd.WITHDRAWN, AttemptEnd.WITHDRAWN)
 
@@ -82,8 +83,10 @@
         self._give_up(AttemptEnd.TIMED_OUT, AttemptEnd.TIMED_OUT_CONNECTING)
 
     def _give_up(self, end: AttemptEnd, end_connecting: AttemptEnd) -> None:
-        """End it from this side. Its connection is closed: an answer that still comes on it would be
-        taken for that of the next request.
+        """End it from this side.
+
+        Its connection is closed: an answer that still comes on it would be taken for that of the next
+        request.
         """
         if self.over:
             return
--- a/quillroad/upstream/connection.py
+++ b/quillroad/upstream/connection.py
@@ -10,7 +10,6 @@
 import select
 from abc import ABC, abstractmethod
 from collections.abc import Callable
-from enum import IntEnum
 from functools import partial
 from time import monotonic
 from typing import cast
@@ -21,6 +20,11 @@
 from quillroad.overload.heap import steady
 from quillroad.overload.socket_age import data_age
 from quillroad.upstream.attempt import Attempt
+from quillroad.upstream.connection_state import (
+    TRANSITIONS,
+    HostConnectionEvent,
+    HostConnectionState,
+)
 from quillroad.upstream.host import Host
 from quillroad.upstream.outcome import RESULTS, AttemptEnd, outcome_of_answer
 from quillroad.upstream.response_parser import ResponseParser, ResponsePhase
@@ -31,64 +35,6 @@
 UNKNOWN_LENGTH_WAIT_S = 0.025
 
 
-class HostConnectionState(IntEnum):
-    """What a connection is doing."""
-
-    CONNECTING = 0
-    IDLE = 1  # open, carries no request
-    ACTIVE = 2  # carries an attempt whose answer is awaited
-    STREAMING = 3  # the attempt is over; the rest of its long answer passes through
-    CLOSING = 4  # given up by this side; its descriptor is in use until it is CLOSED
-    CLOSED = 5
-
-
-class HostConnectionEvent(IntEnum):
-    """What can happen to a connection."""
-
-    CONNECTED = 0
-    REQUEST_SENT = 1
-    ANSWER_COMPLETE = 2
-    STREAM_STARTED = 3
-    STREAM_ENDED = 4
-    DROPPED = 5
-    LOST = 6
-
-
-# By event, the state that follows each state in which the event is allowed; any other is an error in this
-# program and raises KeyError, so that no request is ever written to a connection that is not idle.
-#
-# A connection carries one request at a time: only an idle one takes a request, and it is idle again when
-# the answer is complete. A long answer is first ACTIVE, then STREAMING until its end. DROPPED, by this
-# side, is allowed in each state in which there is a transport, and LOST, told by the event loop, in all.
-# CLOSED is final; the event loop may still tell CONNECTED then (a connect that was cancelled in the turn
-# in which it came up), and the end of a stream is told after the loss that ended it.
-TRANSITIONS: dict[HostConnectionEvent, dict[HostConnectionState, HostConnectionState]] = {
-    HostConnectionEvent.CONNECTED: {
-        HostConnectionState.CONNECTING: HostConnectionState.IDLE,
-        HostConnectionState.CLOSED: HostConnectionState.CLOSED,
-    },
-    HostConnectionEvent.REQUEST_SENT: {
-        HostConnectionState.IDLE: HostConnectionState.ACTIVE,
-    },
-    HostConnectionEvent.ANSWER_COMPLETE: {
-        HostConnectionState.ACTIVE: HostConnectionState.IDLE,
-    },
-    HostConnectionEvent.STREAM_STARTED: {
-        HostConnectionState.ACTIVE: HostConnectionState.STREAMING,
-    },
-    HostConnectionEvent.STREAM_ENDED: {
-        HostConnectionState.STREAMING: HostConnectionState.IDLE,
-        HostConnectionState.CLOSED: HostConnectionState.CLOSED,
-    },
-    HostConnectionEvent.DROPPED: {
-        HostConnectionState.IDLE: HostConnectionState.CLOSING,
-        HostConnectionState.ACTIVE: HostConnectionState.CLOSING,
-        HostConnectionState.STREAMING: HostConnectionState.CLOSING,
-        HostConnectionState.CLOSING: HostConnectionState.CLOSING,
-        HostConnectionState.CLOSED: HostConnectionState.CLOSED,
-    },
-    HostConnectionEvent.LOST: dict.fromkeys(HostConnectionState, HostConnectionState.CLOSED),
-}
 _AFTER_REQUEST_SENT = TRANSITIONS[HostConnectionEvent.REQUEST_SENT]
 _AFTER_ANSWER_COMPLETE = TRANSITIONS[HostConnectionEvent.ANSWER_COMPLETE]
 
@@ -120,9 +66,7 @@
 
     @abstractmethod
     def call_after(self, delay_s: float, act: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call after so many seconds; later, if this process stood still meanwhile, when it has read
-        what came.
-        """
+        """Call after so many seconds; after a stall of this process when what came has been read."""
 
 
 class HostConnection(asyncio.Protocol):
@@ -188,8 +132,9 @@
         return True
 
     def unread(self) -> bool:
-        """Whether bytes, or the end, have come that this process has not read yet: a close, or surplus of
-        the answer before, which would be taken for the next one's.
+        """Whether bytes, or the end, have come that this process has not read yet.
+
+        That is a close, or surplus of the answer before, which would be taken for the next one's.
         """
         return bool(self._poll.poll(0))
 
@@ -291,9 +236,7 @@
             self.drop()
 
     def _fail_unreadable(self) -> None:
-        """The answer cannot be read, or does not end: the request may have run, and nothing later on this
-        connection can be trusted.
-        """
+        """The answer cannot be read, or does not end: nothing later on here can be trusted."""
         if self._response.phase is ResponsePhase.COMPLETE:
             return  # the rest came after all, while this waited for the event loop to catch up
         self._stop_partial_answer_timer()
@@ -302,8 +245,9 @@
         self.drop()
 
     def eof_received(self) -> bool:
-        """Callback of the transport: the host has ended its side, and the transport then closes. An
-        answer whose head said that it ends so is complete.
+        """Callback of the transport: the host has ended its side, and the transport then closes.
+
+        An answer whose head said that it ends so is complete.
         """
         if self._response.finish_at_close():
             if self._rest is not None:
@@ -363,8 +307,9 @@
             rest.finish(complete)
 
     def end_stream_if_silent(self, oldest: float) -> None:
-        """End a long answer whose host has brought nothing since the monotonic time `oldest`, though it
-        was not held back.
+        """End a long answer whose host has brought nothing since the monotonic time `oldest`.
+
+        Unless it was held back from this side.
         """
         rest = self._rest
         if rest is not None and not rest.paused and rest.moved < oldest:
--- a/quillroad/upstream/pool.py
+++ b/quillroad/upstream/pool.py
@@ -15,7 +15,8 @@
 from quillroad.http_answer import HEAD_LIMIT_BYTES, Answer, StreamedBody
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
 from quillroad.upstream.attempt import Attempt, Done
-from quillroad.upstream.connection import ConnectionOwner, HostConnection, HostConnectionState
+from quillroad.upstream.connection import ConnectionOwner, HostConnection
+from quillroad.upstream.connection_state import HostConnectionState
 from quillroad.upstream.host import Host
 from quillroad.upstream.outcome import AttemptEnd
 
@@ -150,8 +151,10 @@
             connection.send(attempt, request, body)
 
     def _connect_ended(self, connection: HostConnection, task: asyncio.Task[None]) -> None:
-        """Give back the descriptor of a connect that failed. In a callback of the task: one cancelled
-        before its first step runs no line of its own, and its descriptor would count for ever.
+        """Give back the descriptor of a connect that failed.
+
+        In a callback of the task: one cancelled before its first step runs no line of its own, and its
+        descriptor would count for ever.
         """
         self._tasks.discard(task)
         if connection.transport is None:
@@ -165,8 +168,9 @@
     # Descriptors.
 
     def _has_descriptor(self) -> bool:
-        """Whether a connect may begin. It takes its descriptor a turn of the event loop later, when those
-        that are closing have become free.
+        """Whether a connect may begin.
+
+        It takes its descriptor a turn of the event loop later, when those that are closing are free.
         """
         if self.coming() <= 0:
             self.drop_oldest_idle()
@@ -178,8 +182,9 @@
         return self._descriptors.spare() + len(self._closing)
 
     def drop_oldest_idle(self) -> bool:
-        """Begin to free one descriptor for someone who needs it: it is free in the next turn of the event
-        loop. False where no connection is idle.
+        """Begin to free one descriptor for someone who needs it; False where no connection is idle.
+
+        It is free in the next turn of the event loop.
         """
         for connection in self._idle:
             connection.drop()
@@ -191,11 +196,13 @@
     # What connections tell.
 
     def release(self, connection: HostConnection) -> None:
-        """Keep an idle connection for the next attempt, unless its host takes none, or there are more than
-        there may be since their limit was lowered.
+        """Keep an idle connection for the next attempt.
+
+        Unless its host takes none, or there are more than there may be since their limit was lowered.
         """
-        held = self._descriptors
-        if not connection.host.ready or held.used > held.limit + len(self._closing):
+        descriptors = self._descriptors
+        most = descriptors.limit + len(self._closing)
+        if not connection.host.ready or descriptors.used > most:
             connection.drop()
             return
         connection.idle_since = monotonic()
@@ -216,9 +223,7 @@
             connection.host.idle.remove(connection)
 
     def call_after(self, delay_s: float, act: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call after so many seconds; later, if this process stood still meanwhile, when it has read what
-        came.
-        """
+        """Call after so many seconds; after a stall of this process when what came has been read."""
         return self._loop.call_at(monotonic() + delay_s, self._unless_stalled, act)
 
     def _unless_stalled(self, act: Callable[[], None]) -> None:
@@ -242,8 +247,9 @@
         host.drop_idle()
 
     def sweep(self) -> None:
-        """Close what has been idle for long, before the host does, and end long answers that bring nothing
-        any more. To be called again and again.
+        """Close what has been idle for long, and end long answers that bring nothing any more.
+
+        To be called several times a second.
         """
         for connection in list(self.rests):
             connection.end_stream_if_silent(monotonic() - STREAM_SILENCE_S)
--- a/quillroad/upstream/response_parser.py
+++ b/quillroad/upstream/response_parser.py
@@ -85,8 +85,10 @@
         self._interim_answers = 0
 
     def close(self) -> None:
-        """Release the underlying parser. It refers back to this object; without this the two would stay
-        in memory until the garbage collector finds the cycle.
+        """Release the underlying parser.
+
+        It refers back to this object; without this the two would stay in memory until the garbage
+        collector finds the cycle.
         """
         self._parser = None
 
@@ -104,8 +106,10 @@
             self._check_framing()
 
     def _check_framing(self) -> None:
-        """Bytes that reach no callback (chunk extensions) count as well: without this a host could send
-        them for ever, each time just before its attempt is taken for stuck.
+        """Count bytes that reach no callback (chunk extensions), too.
+
+        Without this a host could send them for ever, each time just before its attempt is taken for
+        stuck.
         """
         if self.streamed or self.phase is ResponsePhase.COMPLETE:
             return
--- a/scripts/compile.py
+++ b/scripts/compile.py
@@ -46,6 +46,7 @@
     "quillroad/upstream/response_parser.py",
     "quillroad/upstream/host.py",
     "quillroad/upstream/attempt.py",
+    "quillroad/upstream/connection_state.py",
     "quillroad/upstream/connection.py",
     "quillroad/upstream/pool.py",
     "quillroad/upgrade/shared.py",  # it extends engine and server, which only compiled classes can
