--- a/quillroad/counts.py
+++ b/quillroad/counts.py
@@ -1,8 +1,8 @@
 """What one gateway did in each second, as one JSON line a second in its log.
 
-Forty gateways that each do something harmless can do harm together; that shows only when their lines are
-added up, which `python -m bench.fleet FOLDER` does. On where QUILLROAD_COUNTS is set; else none of this is
-imported.
+Forty gateways that each do something harmless can do harm together; that shows only when their
+lines are added up, which `python -m bench.fleet FOLDER` does. On where QUILLROAD_COUNTS is set;
+else none of this is imported.
 """
 
 from __future__ import annotations
@@ -30,11 +30,12 @@
 
 
 class Counts:
-    """Counts attempts by outcome, and reads the balancer's and the pool's own figures, from `start` on.
+    """Counts attempts by outcome, and reads the figures of balancer and pool.
 
-    A line has what was counted since the line before (`sent`, `to_cold`, each `Outcome` value, `answer_ms`
-    in sum, `connects`, `no_connect`, the balancer's counters), how things stand (the balancer's gauges,
-    `idle` connections), and in `bad` the failed attempts of the hosts that failed most, by name.
+    A line has what was counted since the line before (`sent`, `to_cold`, each `Outcome` value,
+    `answer_ms` in sum, `connects`, `no_connect`, the balancer's counters), how things stand (the
+    balancer's gauges, `idle` connections), and in `bad` the failed attempts of the hosts that
+    failed most, by name.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, engine: Engine, upstream: Upstream) -> None:
--- a/quillroad/engine/client_request.py
+++ b/quillroad/engine/client_request.py
@@ -9,8 +9,9 @@
 class ClientRequest:
     """A request that has passed all checks of its form.
 
-    `since` is when it came, wherever it has waited since, and `expires` when its client stops waiting;
-    both are seconds of the monotonic clock. `work_us` is the client's estimate of its work.
+    `since` is when it came, wherever it has waited since, and `expires` when its client stops
+    waiting; both are seconds of the monotonic clock. `work_us` is the client's estimate of its
+    work.
     """
 
     id: str
@@ -21,5 +22,5 @@
     expires: float
     repeat: bool  # the client says that it has sent this before
     work_us: int | None
-    head: bytes  # what goes on unchanged: request line and headers, but for the deadline and the last line
+    head: bytes  # request line and headers that go on unchanged, without the deadline's
     body: bytes | bytearray  # complete; nobody changes it any more
--- a/quillroad/engine/endpoint_sync.py
+++ b/quillroad/engine/endpoint_sync.py
@@ -16,7 +16,7 @@
     names: dict[int, str],
     addresses: dict[int, Address],
 ) -> None:
-    """Change `hosts` (by endpoint id) to what the update tells; connections to what it ends are closed.
+    """Change `hosts` (by endpoint id) to what the update tells; close what it ends.
 
     `names` and `addresses` hold each endpoint that the update names as present.
     """
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -1,7 +1,8 @@
 """Drives the balancer: feeds it events and performs its actions, until each request has its answer.
 
-Nothing about hosts, retries or rejections is decided here. What the engine adds is what real sockets need:
-an answer in time even if the balancer says nothing, and a fault in one request that stays its own.
+Nothing about hosts, retries or rejections is decided here. What the engine adds is what real
+sockets need: an answer in time even if the balancer says nothing, and a fault in one request that
+stays its own.
 """
 
 from __future__ import annotations
@@ -69,7 +70,8 @@
         self.hosts: dict[int, Host] = {}  # by endpoint id
         # Called when no more requests wait in the balancer than there are hosts.
         self.on_capacity: Callable[[], None] | None = None
-        # Called with each attempt's route, host, size in bytes and `done`; returns a `done` in its place.
+        # Called with each attempt's route, host, size in bytes and `done`; returns a `done` in its
+        # place.
         self.attempt_observer: Callable[[int, Host, int, Done], Done] | None = None
         self._loop = loop
         self._balancer = balancer
@@ -224,7 +226,8 @@
     def _step(self, event: Event) -> None:
         """Handle one event; a fault is logged and fails the request that it belongs to.
 
-        Without this one request could take the gateway down. What was decided before the fault counts.
+        Without this one request could take the gateway down. What was decided before the fault
+        counts.
         """
         try:
             actions = self._balancer.handle(self._clock.now_us(), [event])
@@ -252,7 +255,8 @@
     def _perform(self, action: Action) -> None:
         """Perform one action.
 
-        `WatchEndpoints` asks for what the gateway always does, `StartHealthCheck` is never asked for.
+        `WatchEndpoints` asks for what the gateway always does, `StartHealthCheck` is never asked
+        for.
         """
         if isinstance(action, SendAttempt):
             self._send(action)
@@ -333,7 +337,8 @@
             attempt = self._upstream.start(host, message, timeout_s, done, long_body, latest)
         except Exception:
             log.exception("request %s could not be sent", request.id)
-            # The fault may have come after the first byte: the balancer must not take it for not sent.
+            # The fault may have come after the first byte: the balancer must not take it for not
+            # sent.
             self._attempt_not_started(opened, Outcome.RESET)
             return
         opened.out += 1
--- a/quillroad/engine/open_request.py
+++ b/quillroad/engine/open_request.py
@@ -14,8 +14,8 @@
 class OpenRequest:
     """One request that the engine has open.
 
-    `number` names it in the balancer's events; `give_up` is the moment at which its attempts end, in
-    seconds of the monotonic clock.
+    `number` names it in the balancer's events; `give_up` is the moment at which its attempts end,
+    in seconds of the monotonic clock.
     """
 
     def __init__(
@@ -38,8 +38,8 @@
     def withdraw_connecting(self) -> None:
         """Withdraw attempts of which no byte has gone out: nobody waits for them any more.
 
-        Without this a request could be sent long after its client had its answer. It calls nothing off
-        at a host, so it is right also where the settings forbid that.
+        Without this a request could be sent long after its client had its answer. It calls nothing
+        off at a host, so it is right also where the settings forbid that.
         """
         for attempt in self.attempts:
             if attempt is not None and attempt.connecting:
--- a/quillroad/http_answer.py
+++ b/quillroad/http_answer.py
@@ -1,4 +1,4 @@
-"""A host's answer, as the upstream side hands it to the engine and the engine to the downstream side.
+"""A host's answer, on its way from the upstream side through the engine to downstream.
 
 Upstream and downstream never import each other: both import these types from here. No I/O.
 """
@@ -9,8 +9,8 @@
 from time import monotonic
 from typing import NamedTuple, Protocol
 
-# The longest head of a request or an answer, in bytes. Twice what browsers and proxies send at most in
-# practice; a peer that sends more is cut off, so that heads never fill the memory.
+# The longest head of a request or an answer, in bytes. Twice what browsers and proxies send at most
+# in practice; a peer that sends more is cut off, so that heads never fill the memory.
 HEAD_LIMIT_BYTES = 16 * 1024
 
 
@@ -30,9 +30,9 @@
 class StreamedBody:
     """The part of a long body that has not come yet.
 
-    Whoever takes it sets `on_data` (gets the bytes as they come) and `on_end` (called once, with whether
-    the body is complete), says `pause` while its own side is full, so that the body is never held in
-    this process, and `abandon` when nobody wants it any more.
+    Whoever takes it sets `on_data` (gets the bytes as they come) and `on_end` (called once, with
+    whether the body is complete), says `pause` while its own side is full, so that the body is
+    never held in this process, and `abandon` when nobody wants it any more.
     """
 
     def __init__(self, source: BodySource) -> None:
@@ -69,7 +69,7 @@
             self.on_data(data)
 
     def finish(self, complete: bool) -> None:
-        """Nothing more comes; `complete` says whether that was all of the body. Called by the source."""
+        """Nothing more comes; `complete`: that was all of the body. Called by the source."""
         self._source = None
         on_end = self.on_end
         self.on_data = None
@@ -79,7 +79,7 @@
 
 
 class Answer(NamedTuple):
-    """A host's answer of status 200: complete, or the beginning of a long one and what brings the rest."""
+    """A host's answer of status 200: complete, or the beginning of a long one and its rest."""
 
     body: bytes
     content_type: bytes | None
--- a/quillroad/upstream/attempt.py
+++ b/quillroad/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a copy of a request on its way to one host, from its start until its outcome is known."""
+"""One attempt: a copy of a request on its way to one host, until its outcome is known."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 if TYPE_CHECKING:
     from quillroad.upstream.connection import HostConnection
 
-# Told how an attempt ended: its outcome, the answer of a success, and the moment (seconds of the monotonic
-# clock) at which that came about.
+# Told how an attempt ended: its outcome, the answer of a success, and the moment (seconds of the
+# monotonic clock) at which that came about.
 Done = Callable[[Outcome, Answer | None, float], None]
 
 
 class Attempt:
     """One copy of a request on its way to one host.
 
-    `done` is called exactly once, and never before the caller of `Upstream.start` has the attempt. Times
-    are seconds of the monotonic clock; `timeout_s` counts from now, `latest` is the last moment at which
-    a byte may go out, and `vanished_s` is how long a silent host may take before its idle connections
-    are taken for dead, too.
+    `done` is called exactly once, and never before the caller of `Upstream.start` has the attempt.
+    Times are seconds of the monotonic clock; `timeout_s` counts from now, `latest` is the last
+    moment at which a byte may go out, and `vanished_s` is how long a silent host may take before
+    its idle connections are taken for dead, too.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self._give_up(AttemptEnd.WITHDRAWN, AttemptEnd.WITHDRAWN)
 
     def _expire(self) -> None:
-        """Time it out, unless this process stood still and the answer may lie unread in the kernel."""
+        """Time it out; after a stall of this process only when what came has been read."""
         if self._loop_monitor.stalled():
             self._loop_monitor.hold(self._time_out)
         else:
@@ -85,8 +85,8 @@
     def _give_up(self, end: AttemptEnd, end_connecting: AttemptEnd) -> None:
         """End it from this side.
 
-        Its connection is closed: an answer that still comes on it would be taken for that of the next
-        request.
+        Its connection is closed: an answer that still comes on it would be taken for that of the
+        next request.
         """
         if self.over:
             return
@@ -100,12 +100,12 @@
             task.cancel()
 
     def _drop_idle_if_vanished(self, end: AttemptEnd) -> None:
-        """Close the host's idle connections where not a byte came from it in all the attempt's time.
+        """Close the host's idle connections where it was silent in all the attempt's time.
 
         The machine may have vanished, and then each request on a kept connection would hang as long
-        again; a new connection tells within the connect timeout. Only after a timeout or a long wait:
-        a hedged request that soon lost to a quicker one says nothing of the kind, and would cost a busy
-        host all its connections.
+        again; a new connection tells within the connect timeout. Only after a timeout or a long
+        wait: a hedged request that soon lost to a quicker one says nothing of the kind, and would
+        cost a busy host all its connections.
         """
         long_wait = end is AttemptEnd.TIMED_OUT or self.began < monotonic() - self._vanished_s
         if long_wait and self.host.last_heard_at < self.began:
--- a/quillroad/upstream/connection.py
+++ b/quillroad/upstream/connection.py
@@ -1,7 +1,7 @@
 """One connection to a host: carries one request at a time, or is idle.
 
-An HTTP client library would resend on a broken kept-alive connection by itself and hide whether the last
-byte was written. Either could run a request twice, so the upstream side speaks HTTP itself.
+An HTTP client library would resend on a broken kept-alive connection by itself and hide whether the
+last byte was written. Either could run a request twice, so the upstream side speaks HTTP itself.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
 from quillroad.upstream.outcome import RESULTS, AttemptEnd, outcome_of_answer
 from quillroad.upstream.response_parser import ResponseParser, ResponsePhase
 
-# An answer that does not tell its length is passed on as it comes if it is not complete this long, in
-# seconds, after its first bytes: a client must not wait for a slow stream's end, and short answers, which
-# can still be retried while they are held here, are nearly always complete by then.
+# An answer that does not tell its length is passed on as it comes if it is not complete this long,
+# in seconds, after its first bytes: a client must not wait for a slow stream's end, and short
+# answers, which can still be retried while they are held here, are nearly always complete by then.
 UNKNOWN_LENGTH_WAIT_S = 0.025
 
 
@@ -42,8 +42,9 @@
 class ConnectionOwner(ABC):
     """What a connection needs of the pool that owns it.
 
-    `connect_timeout_s` is the settings' own measure of a network that is stuck; `longest_body_bytes` is
-    what an answer's body may have; `written` counts requests whose last byte the kernel has taken.
+    `connect_timeout_s` is the settings' own measure of a network that is stuck;
+    `longest_body_bytes` is what an answer's body may have; `written` counts requests whose last
+    byte the kernel has taken.
     """
 
     loop_monitor: EventLoopMonitor
@@ -66,7 +67,7 @@
 
     @abstractmethod
     def call_after(self, delay_s: float, act: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call after so many seconds; after a stall of this process when what came has been read."""
+        """Call after so many seconds; after a stall of this process when what came is read."""
 
 
 class HostConnection(asyncio.Protocol):
@@ -91,8 +92,9 @@
         """Callback of the transport: the connection is up."""
         self.state = TRANSITIONS[HostConnectionEvent.CONNECTED][self.state]
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
-        # With the marks at 0 `pause_writing` means "bytes are left in this process" and `resume_writing`
-        # "the kernel has the last byte". That tells a request that cannot have run from one that may have.
+        # With the marks at 0 `pause_writing` means "bytes are left in this process" and
+        # `resume_writing` "the kernel has the last byte". That tells a request that cannot have run
+        # from one that may have.
         self.transport.set_write_buffer_limits(high=0)
         self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
@@ -123,7 +125,7 @@
         return self.transport is None or self.transport.is_closing()
 
     def is_usable(self) -> bool:
-        """Whether an idle connection can take a request; closes it where it brings bytes of no request."""
+        """Whether an idle connection can take a request; closes it where it brings bytes."""
         if self.transport is None or self.transport.is_closing():
             return False
         if self._poll.poll(0):  # as `unread`, which is not called here for speed
@@ -179,7 +181,8 @@
             return
         self.host.last_heard_at = at = monotonic()
         if self._owner.loop_monitor.late() and self.transport is not None:
-            # The answer counts from when it came, not from when this process got round to reading it.
+            # The answer counts from when it came, not from when this process got round to reading
+            # it.
             at -= data_age(self.transport.get_extra_info("socket"))
         response = self._response
         response.feed(data)
@@ -195,8 +198,8 @@
     def _wait_for_more(self, attempt: Attempt, at: float) -> None:
         """Bound the wait for the rest of an answer of which a part has come.
 
-        Hosts write an answer at once: a rest that does not follow within a connect timeout never will,
-        and without a bound its request would wait until its deadline.
+        Hosts write an answer at once: a rest that does not follow within a connect timeout never
+        will, and without a bound its request would wait until its deadline.
         """
         self._stop_partial_answer_timer()
         if self._response.has_open_length():
@@ -256,7 +259,8 @@
                 self._finish_answer(self.attempt, monotonic())
         return False
 
-    # A long answer: the attempt is over with its first bytes, and the rest passes through as it comes.
+    # A long answer: the attempt is over with its first bytes, and the rest passes through as it
+    # comes.
 
     def _start_stream(self, attempt: Attempt, at: float) -> None:
         self._stop_partial_answer_timer()
@@ -316,7 +320,7 @@
             self._end_stream(False)
 
     def pause_reading(self) -> bool:
-        """Read nothing for now, as the taker of the streamed body is full; False where it has ended."""
+        """Read nothing for now, as the taker of the body is full; False where it has ended."""
         if self.transport is None:
             return False
         self.transport.pause_reading()
--- a/quillroad/upstream/connection_state.py
+++ b/quillroad/upstream/connection_state.py
@@ -1,4 +1,4 @@
-"""What a connection to a host can be doing, and which event leads from which state to which. No I/O."""
+"""What a connection to a host can be doing, and the table of its transitions. No I/O."""
 
 from __future__ import annotations
 
@@ -28,14 +28,16 @@
     LOST = 6
 
 
-# By event, the state that follows each state in which the event is allowed; any other is an error in this
-# program and raises KeyError, so that no request is ever written to a connection that is not idle.
+# By event, the state that follows each state in which the event is allowed; any other is an error
+# in this program and raises KeyError, so that no request is ever written to a connection that is
+# not idle.
 #
-# A connection carries one request at a time: only an idle one takes a request, and it is idle again when
-# the answer is complete. A long answer is first ACTIVE, then STREAMING until its end. DROPPED, by this
-# side, is allowed in each state in which there is a transport, and LOST, told by the event loop, in all.
-# CLOSED is final; the event loop may still tell CONNECTED then (a connect that was cancelled in the turn
-# in which it came up), and the end of a stream is told after the loss that ended it.
+# A connection carries one request at a time: only an idle one takes a request, and it is idle again
+# when the answer is complete. A long answer is first ACTIVE, then STREAMING until its end. DROPPED,
+# by this side, is allowed in each state in which there is a transport, and LOST, told by the event
+# loop, in all. CLOSED is final; the event loop may still tell CONNECTED then (a connect that was
+# cancelled in the turn in which it came up), and the end of a stream is told after the loss that
+# ended it.
 TRANSITIONS: dict[HostConnectionEvent, dict[HostConnectionState, HostConnectionState]] = {
     HostConnectionEvent.CONNECTED: {
         HostConnectionState.CONNECTING: HostConnectionState.IDLE,
--- a/quillroad/upstream/outcome.py
+++ b/quillroad/upstream/outcome.py
@@ -1,7 +1,7 @@
 """What the end of an attempt means: its `Outcome`, and whether the host may have run the request.
 
-This is the one place that says what a host's 503, a reset, a timeout or an unreadable answer counts as.
-No I/O.
+This is the one place that says what a host's 503, a reset, a timeout or an unreadable answer counts
+as. No I/O.
 """
 
 from __future__ import annotations
@@ -44,13 +44,15 @@
     may_have_run: bool  # a repeat can then have a second effect
 
 
-# Only two things prove that a host did not run a request: its own word (`Not-Started: 1`), or that it
-# never had the request's last byte. A 503 without that word may come from a proxy behind which the
-# request runs on, so it is an error that may have run; so is whatever ends an attempt after its last byte
-# went out. An unreadable answer is the host's error, not a lost connection: the host did answer.
+# Only two things prove that a host did not run a request: its own word (`Not-Started: 1`), or that
+# it never had the request's last byte. A 503 without that word may come from a proxy behind which
+# the request runs on, so it is an error that may have run; so is whatever ends an attempt after its
+# last byte went out. An unreadable answer is the host's error, not a lost connection: the host did
+# answer.
 #
-# A connect that is called off says nothing about the host (NOT_SENT). One that runs out of time does
-# (CONNECT_FAILED), unless this process stood still meanwhile and could not have seen it come up.
+# A connect that is called off says nothing about the host (NOT_SENT). One that runs out of time
+# does (CONNECT_FAILED), unless this process stood still meanwhile and could not have seen it come
+# up.
 RESULTS: dict[AttemptEnd, AttemptResult] = {
     AttemptEnd.ANSWER_200: AttemptResult(Outcome.SUCCESS, may_have_run=True),
     AttemptEnd.ANSWER_NOT_STARTED: AttemptResult(Outcome.REJECTED, may_have_run=False),
--- a/quillroad/upstream/pool.py
+++ b/quillroad/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to hosts: which connection an attempt gets, idle ones, descriptors, closing.
+"""The pool: which connection an attempt gets, idle connections, descriptors, closing.
 
 One attempt at a time uses a connection, and each ends with its exact `Outcome` (see `outcome.py`).
 """
@@ -38,23 +38,24 @@
 HEAD_LIMIT = HEAD_LIMIT_BYTES
 Rest = StreamedBody
 
-# Seconds after an answer before its connection is used again. A faulty host may write a second answer right
-# behind the first; within this time it arrives at an idle connection, which is then closed, instead of
-# being given to the next client.
+# Seconds after an answer before its connection is used again. A faulty host may write a second
+# answer right behind the first; within this time it arrives at an idle connection, which is then
+# closed, instead of being given to the next client.
 SETTLE_S = 0.02
-# Fraction of the hosts' idle timeout after which this side closes an idle connection. If the host closed it
-# first, a request could cross that close on the wire and would be lost.
+# Fraction of the hosts' idle timeout after which this side closes an idle connection. If the host
+# closed it first, a request could cross that close on the wire and would be lost.
 IDLE_TIMEOUT_FRACTION = 0.5
-# Seconds without a byte of a long answer after which it is ended. Longer than a host that still answers
-# pauses between two writes, and short enough that a vanished host does not hold its client for minutes.
+# Seconds without a byte of a long answer after which it is ended. Longer than a host that still
+# answers pauses between two writes, and short enough that a vanished host does not hold its client
+# for minutes.
 STREAM_SILENCE_S = 10.0
 
 
 class Upstream(ConnectionOwner):
     """Starts attempts on pooled connections.
 
-    `connect_timeout_s` bounds each connect, `idle_s` is the hosts' own idle timeout, both in seconds;
-    `longest_body_bytes` is the longest body of an answer that is passed on.
+    `connect_timeout_s` bounds each connect, `idle_s` is the hosts' own idle timeout, both in
+    seconds; `longest_body_bytes` is the longest body of an answer that is passed on.
     """
 
     def __init__(
@@ -95,8 +96,8 @@
     ) -> Attempt:
         """Begin an attempt, of a head (with a short body in it) and a long body.
 
-        It gets an idle connection or a new one. On one that comes up after the monotonic time `latest`
-        nothing is sent. Without a free descriptor the attempt is withdrawn.
+        It gets an idle connection or a new one. On one that comes up after the monotonic time
+        `latest` nothing is sent. Without a free descriptor the attempt is withdrawn.
         """
         attempt = Attempt(
             self._loop, self.loop_monitor, host, timeout_s, done, self.connect_timeout_s, latest
@@ -134,7 +135,8 @@
             async with asyncio.timeout(self.connect_timeout_s):
                 await self._loop.create_connection(lambda: connection, *host.address)
         except TimeoutError:
-            # After a stall of this process nobody knows whether the host would have been there in time.
+            # After a stall of this process nobody knows whether the host would have been there in
+            # time.
             stalled = self.loop_monitor.stalled()
             attempt.end(AttemptEnd.CONNECT_UNCLEAR if stalled else AttemptEnd.CONNECT_FAILED)
             return
@@ -153,8 +155,8 @@
     def _connect_ended(self, connection: HostConnection, task: asyncio.Task[None]) -> None:
         """Give back the descriptor of a connect that failed.
 
-        In a callback of the task: one cancelled before its first step runs no line of its own, and its
-        descriptor would count for ever.
+        In a callback of the task: one cancelled before its first step runs no line of its own, and
+        its descriptor would count for ever.
         """
         self._tasks.discard(task)
         if connection.transport is None:
@@ -170,7 +172,8 @@
     def _has_descriptor(self) -> bool:
         """Whether a connect may begin.
 
-        It takes its descriptor a turn of the event loop later, when those that are closing are free.
+        It takes its descriptor a turn of the event loop later, when those that are closing are
+        free.
         """
         if self.coming() <= 0:
             self.drop_oldest_idle()
@@ -198,7 +201,8 @@
     def release(self, connection: HostConnection) -> None:
         """Keep an idle connection for the next attempt.
 
-        Unless its host takes none, or there are more than there may be since their limit was lowered.
+        Unless its host takes none, or there are more than there may be since their limit was
+        lowered.
         """
         descriptors = self._descriptors
         most = descriptors.limit + len(self._closing)
@@ -223,7 +227,7 @@
             connection.host.idle.remove(connection)
 
     def call_after(self, delay_s: float, act: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call after so many seconds; after a stall of this process when what came has been read."""
+        """Call after so many seconds; after a stall of this process when what came is read."""
         return self._loop.call_at(monotonic() + delay_s, self._unless_stalled, act)
 
     def _unless_stalled(self, act: Callable[[], None]) -> None:
@@ -240,7 +244,7 @@
         return len(self._idle)
 
     def retire(self, host: Host) -> None:
-        """The host drains or is gone: attempts whose first byte has not gone out are called back."""
+        """The host drains or is gone: attempts with no byte sent yet are called back."""
         host.ready = False
         for attempt in list(host.connecting):
             attempt.withdraw()
--- a/quillroad/upstream/response_parser.py
+++ b/quillroad/upstream/response_parser.py
@@ -1,7 +1,7 @@
 """Turns the bytes of one connection to a host into checked answers. No I/O.
 
-Hosts are not trusted to keep to HTTP: the head, the body, the interim answers and the framing of each
-answer have limits, and whatever breaks one ends as a typed `ResponseError`.
+Hosts are not trusted to keep to HTTP: the head, the body, the interim answers and the framing of
+each answer have limits, and whatever breaks one ends as a typed `ResponseError`.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from quillroad.http_answer import HEAD_LIMIT_BYTES
 from quillroad.upstream.outcome import STATUS_OK
 
-# Interim (1xx) answers ahead of the final one. Hosts send none or one; without a bound a host could keep
-# an attempt busy for ever without ever answering.
+# Interim (1xx) answers ahead of the final one. Hosts send none or one; without a bound a host could
+# keep an attempt busy for ever without ever answering.
 MAX_INTERIM_ANSWERS = 8
 
 
 class ResponseError(Exception):
-    """An answer that breaks HTTP or one of the limits; nothing later on its connection can be trusted."""
+    """An answer that breaks HTTP or one of the limits. Nothing later can be trusted."""
 
 
 class MalformedResponseError(ResponseError):
@@ -132,7 +132,7 @@
         )
 
     def has_open_length(self) -> bool:
-        """Whether some of a body has come that may be passed on and whose length nobody has told."""
+        """Whether some of a body has come that may be passed on and is of unknown length."""
         return (
             self.status == STATUS_OK
             and self._size_bytes > 0 > self.body_length
@@ -142,8 +142,8 @@
     def finish_at_close(self) -> bool:
         """The host has ended its side. True where that completes the answer (RFC 9112, 6.3).
 
-        Only where the head says so (`Connection: close`, or HTTP/1.0): of an answer whose head was cut
-        short, what came of the body must not pass for all of it.
+        Only where the head says so (`Connection: close`, or HTTP/1.0): of an answer whose head was
+        cut short, what came of the body must not pass for all of it.
         """
         if self._parser is None or self.phase is not ResponsePhase.BODY or self.body_length >= 0:
             return False
