--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -1,8 +1,7 @@
 """Drives the balancer: feeds it events and performs its actions, until each request has its answer.
 
-Nothing about hosts, retries or rejections is decided here. What the engine adds is what real
-sockets need: an answer in time even if the balancer says nothing, and a fault in one request that
-stays its own.
+Nothing about hosts, retries or rejections is decided here. The engine adds what real sockets need:
+an answer in time even if the balancer says nothing, and a fault in one request that stays its own.
 """
 
 from __future__ import annotations
@@ -70,15 +69,14 @@
         self.hosts: dict[int, Host] = {}  # by endpoint id
         # Called when no more requests wait in the balancer than there are hosts.
         self.on_capacity: Callable[[], None] | None = None
-        # Called with each attempt's route, host, size in bytes and `done`; returns a `done` in its
-        # place.
+        # Called with each attempt's route, host, bytes and `done`; returns a `done` in its place.
         self.attempt_observer: Callable[[int, Host, int, Done], Done] | None = None
         self._loop = loop
         self._balancer = balancer
         self._upstream = upstream
         self._loop_monitor = upstream.loop_monitor
         self._loop_lag = upstream.loop_monitor.loop_lag
-        self._clock = EngineClock(self._loop_lag)
+        self._clock = EngineClock(upstream.loop_monitor.loop_lag)
         self._numbers = itertools.count(1)
         self._open: dict[int, OpenRequest] = {}
         self._ids: set[str] = set()  # ids of the requests that still wait for their answer
@@ -226,8 +224,7 @@
     def _step(self, event: Event) -> None:
         """Handle one event; a fault is logged and fails the request that it belongs to.
 
-        Without this one request could take the gateway down. What was decided before the fault
-        counts.
+        Else one request could take the gateway down. What was decided before the fault counts.
         """
         try:
             actions = self._balancer.handle(self._clock.now_us(), [event])
