--- a/quillroad/upstream/connection.py
+++ b/quillroad/upstream/connection.py
@@ -128,7 +128,7 @@
         """Whether an idle connection can take a request; closes it where it brings bytes."""
         if self.transport is None or self.transport.is_closing():
             return False
-        if self._poll.poll(0):  # as `unread`, which is not called here for speed
+        if self.unread():
             self.drop()
             return False
         return True
