--- a/tests/upstream/test_connection_state.py
+++ b/tests/upstream/test_connection_state.py
@@ -133,7 +133,7 @@
         assert row.get(closed, closed) is closed
 
 
-@pytest.mark.parametrize(("event", "state"), ALLOWED)
+@pytest.mark.parametrize(("event", "state"), ALLOWED, ids=lambda value: value.name)
 @on_loop
 async def test_an_allowed_event_leads_to_the_state_in_the_table(
     event: HostConnectionEvent, state: HostConnectionState
@@ -156,7 +156,7 @@
     walk.transport.close()
 
 
-@pytest.mark.parametrize("state", list(HostConnectionState))
+@pytest.mark.parametrize("state", list(HostConnectionState), ids=lambda value: value.name)
 @on_loop
 async def test_only_an_idle_connection_takes_a_request(state: HostConnectionState) -> None:
     """A request written to a connection that carries another would get the other's answer."""
@@ -173,7 +173,7 @@
     walk.transport.close()
 
 
-@pytest.mark.parametrize("state", list(HostConnectionState))
+@pytest.mark.parametrize("state", list(HostConnectionState), ids=lambda value: value.name)
 @on_loop
 async def test_the_descriptor_of_a_connection_is_given_back_once(
     state: HostConnectionState,
@@ -208,11 +208,14 @@
 
 
 @on_loop
-async def test_a_streamed_answer_leaves_the_connection_idle() -> None:
+async def test_a_connection_takes_another_request_after_a_streamed_answer() -> None:
     walk = Walk()
     walk.reach(HostConnectionState.STREAMING)
     walk.events[HostConnectionEvent.STREAM_ENDED]()
     assert (walk.outcomes, walk.ends) == ([Outcome.SUCCESS], [True])
     assert walk.bench.host.idle == [walk.connection]
     assert walk.bench.upstream.rests == set()
+    assert walk.connection.state is HostConnectionState.IDLE
+    walk.send()
+    assert walk.connection.state is HostConnectionState.ACTIVE
     walk.transport.close()
