--- a/tests/upstream/test_connection_state.py
+++ b/tests/upstream/test_connection_state.py
@@ -215,7 +215,8 @@
     assert (walk.outcomes, walk.ends) == ([Outcome.SUCCESS], [True])
     assert walk.bench.host.idle == [walk.connection]
     assert walk.bench.upstream.rests == set()
-    assert walk.connection.state is HostConnectionState.IDLE
+    states = [walk.connection.state]
     walk.send()
-    assert walk.connection.state is HostConnectionState.ACTIVE
+    states.append(walk.connection.state)
+    assert states == [HostConnectionState.IDLE, HostConnectionState.ACTIVE]
     walk.transport.close()
