--- a/quillroad/counts.py
+++ b/quillroad/counts.py
@@ -71,7 +71,7 @@
     def _on_ended(
         self,
         host: Host,
-        began: float,
+        started_at: float,
         done: Done,
         outcome: Outcome,
         answer: Answer | None,
@@ -79,7 +79,7 @@
     ) -> None:
         self._counted[outcome.value] += 1
         if outcome is Outcome.SUCCESS:
-            self._counted["answer_ms"] += int((at - began) * 1000)
+            self._counted["answer_ms"] += int((at - started_at) * 1000)
         elif outcome is not Outcome.CANCELLED:
             self._failed_by_host[host.name] += 1
         done(outcome, answer, at)
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -300,19 +300,19 @@
         if client is not None and (client.blind or started - self._loop_lag.last > UNREAD_CLIENT_S):
             self._depart_if_gone(opened, client)
         host = self.hosts.get(action.endpoint)
-        latest = math.inf
+        send_by = math.inf
         if action.send_by_us:
-            latest = (action.send_by_us - self._clock.epoch_us) / 1e6
-        if opened.reply is None or host is None or started > latest:
+            send_by = (action.send_by_us - self._clock.epoch_us) / 1e6
+        if opened.reply is None or host is None or started > send_by:
             self._attempt_not_started(opened, Outcome.NOT_SENT)
             return
         timeout_s = max(0.0, opened.give_up - started)
         if action.timeout_us:
             timeout_s = min(timeout_s, action.timeout_us / 1e6)
-        self._start_attempt(opened, host, started, timeout_s, latest)
+        self._start_attempt(opened, host, started, timeout_s, send_by)
 
     def _start_attempt(
-        self, opened: OpenRequest, host: Host, started: float, timeout_s: float, latest: float
+        self, opened: OpenRequest, host: Host, started: float, timeout_s: float, send_by: float
     ) -> None:
         request = opened.request
         # A short body travels in one piece with the head, which saves a copy and a system call.
@@ -331,7 +331,7 @@
         if self.attempt_observer is not None:
             done = self.attempt_observer(request.route, host, len(message) + len(long_body), done)
         try:
-            attempt = self._upstream.start(host, message, timeout_s, done, long_body, latest)
+            attempt = self._upstream.start(host, message, timeout_s, done, long_body, send_by)
         except Exception:
             log.exception("request %s could not be sent", request.id)
             # The fault may have come after the first byte: the balancer must not take it for not
--- a/quillroad/upstream/attempt.py
+++ b/quillroad/upstream/attempt.py
@@ -26,8 +26,8 @@
     """One copy of a request on its way to one host.
 
     `done` is called exactly once, and never before the caller of `Upstream.start` has the attempt.
-    Times are seconds of the monotonic clock; `timeout_s` counts from now, `latest` is the last
-    moment at which a byte may go out, and `vanished_s` is how long a silent host may take before
+    Times are seconds of the monotonic clock; `timeout_s` counts from now, `send_by` is the last
+    moment at which a byte may go out, and `silence_s` is how long a silent host may take before
     its idle connections are taken for dead, too.
     """
 
@@ -38,21 +38,21 @@
         host: Host,
         timeout_s: float,
         done: Done,
-        vanished_s: float,
-        latest: float = math.inf,
+        silence_s: float,
+        send_by: float = math.inf,
     ) -> None:
         self.host = host
-        self.began = monotonic()
-        self.latest = latest
+        self.started_at = monotonic()
+        self.send_by = send_by
         self.connection: HostConnection | None = None  # while it carries this attempt
         self.task: asyncio.Task[None] | None = None  # that brings up its connection
         self._loop_monitor = loop_monitor
-        self._vanished_s = vanished_s
+        self._silence_s = silence_s
         self._done: Done | None = done
-        self._timer = loop.call_at(self.began + max(0.0, timeout_s), self._expire)
+        self._timer = loop.call_at(self.started_at + max(0.0, timeout_s), self._expire)
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether its outcome is known."""
         return self._done is None
 
@@ -88,18 +88,18 @@
         Its connection is closed: an answer that still comes on it would be taken for that of the
         next request.
         """
-        if self.over:
+        if self.is_over:
             return
         connection = self.connection
         task = self.task
         self.end(end_connecting if self.connecting else end)
         if connection is not None:
             connection.drop()
-            self._drop_idle_if_vanished(end)
+            self._drop_idle_if_silent(end)
         elif task is not None:
             task.cancel()
 
-    def _drop_idle_if_vanished(self, end: AttemptEnd) -> None:
+    def _drop_idle_if_silent(self, end: AttemptEnd) -> None:
         """Close the host's idle connections where it was silent in all the attempt's time.
 
         The machine may have vanished, and then each request on a kept connection would hang as long
@@ -107,8 +107,8 @@
         wait: a hedged request that soon lost to a quicker one says nothing of the kind, and would
         cost a busy host all its connections.
         """
-        long_wait = end is AttemptEnd.TIMED_OUT or self.began < monotonic() - self._vanished_s
-        if long_wait and self.host.last_heard_at < self.began:
+        long_wait = end is AttemptEnd.TIMED_OUT or self.started_at < monotonic() - self._silence_s
+        if long_wait and self.host.last_heard_at < self.started_at:
             self.host.drop_idle()
 
     def end(self, end: AttemptEnd) -> None:
--- a/quillroad/upstream/pool.py
+++ b/quillroad/upstream/pool.py
@@ -92,18 +92,18 @@
         timeout_s: float,
         done: Done,
         body: bytes | bytearray = b"",
-        latest: float = math.inf,
+        send_by: float = math.inf,
     ) -> Attempt:
         """Begin an attempt, of a head (with a short body in it) and a long body.
 
         It gets an idle connection or a new one. On one that comes up after the monotonic time
-        `latest` nothing is sent. Without a free descriptor the attempt is withdrawn.
+        `send_by` nothing is sent. Without a free descriptor the attempt is withdrawn.
         """
         attempt = Attempt(
-            self._loop, self.loop_monitor, host, timeout_s, done, self.connect_timeout_s, latest
+            self._loop, self.loop_monitor, host, timeout_s, done, self.connect_timeout_s, send_by
         )
         # The most recently used one that has settled: it is the least likely to be closing by now.
-        settled = attempt.began - SETTLE_S
+        settled = attempt.started_at - SETTLE_S
         for connection in reversed(host.idle.copy()):
             if connection.idle_since > settled:
                 continue
@@ -144,7 +144,7 @@
             attempt.end(AttemptEnd.CONNECT_FAILED)
             return
         host.connecting.discard(attempt)
-        if attempt.over or not host.ready or monotonic() > attempt.latest:
+        if attempt.is_over or not host.ready or monotonic() > attempt.send_by:
             connection.drop()
             attempt.end(AttemptEnd.CONNECTED_TOO_LATE)
         elif connection.closing():
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -34,7 +34,7 @@
     await until(lambda: len(bench.results) == 1)
     bench.host.last_heard_at -= 1.0
     attempt = bench.start(timeout_s=0.05)
-    await until(lambda: attempt.over)
+    await until(lambda: attempt.is_over)
     assert not bench.host.idle or all(c.closing() for c in bench.host.idle)
 
 
@@ -95,7 +95,7 @@
         REQUEST,
         LONG_S,
         lambda outcome, got, _: bench.results.append((outcome, got)),
-        latest=monotonic(),
+        send_by=monotonic(),
     )
     await until(lambda: bool(bench.results))
     assert bench.results == [(Outcome.NOT_SENT, None)]
