--- a/tests/overload/test_admission_queue.py
+++ b/tests/overload/test_admission_queue.py
@@ -9,8 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quillroad.overload.admission_queue import Admission, Lane, Quota, Tuning
+from quillroad.overload.admission_queue import Admission, Lane
+from quillroad.overload.admission_tuning import Tuning
 from quillroad.overload.fast_path_parse import RequestPreview, preview_request
+from quillroad.overload.quota_bucket import QuotaBucket
 from quillroad.overload.retry_after import Spread
 from testbed.core import Core, mix
 
@@ -183,17 +185,17 @@
         elif step == "leave" and inside:
             admission.leave(inside.pop(sorted(inside)[which % len(inside)]))
         elif step == "slice":
-            assert Tuning().slice_s <= admission.slice_s(now) <= Tuning().slice_s + now
+            assert Tuning().min_slice_s <= admission.slice_s(now) <= Tuning().min_slice_s + now
             admission.sliced(now)
         assert admission.waiting == len(inside)
         assert 0.0 <= admission.cost_s <= 1000.0
 
 
 def test_a_quota_is_a_rate_with_a_second_of_burst() -> None:
-    quota = Quota(10.0)
-    assert sum(quota.within(50.0, True) for _ in range(30)) == 10
-    assert sum(quota.within(50.5, True) for _ in range(30)) == 5
-    assert sum(quota.within(90.0, True) for _ in range(30)) == 10
+    quota = QuotaBucket(10.0)
+    assert sum(quota.admits(50.0, True) for _ in range(30)) == 10
+    assert sum(quota.admits(50.5, True) for _ in range(30)) == 5
+    assert sum(quota.admits(90.0, True) for _ in range(30)) == 10
 
 
 @given(st.floats(0, 1), st.integers(1, 10_000_000), st.integers(2, 400))
