--- a/quillroad/overload/__init__.py
+++ b/quillroad/overload/__init__.py
@@ -1,5 +1,6 @@
-"""How work reaches the gateway: accepting connections, the true age of what was read, and stalls of the loop.
+"""Overload protection: how work reaches the gateway, and what happens when there is too much of it.
 
-`admission`, `backoff`, `glance`, `pulse` and `spread` decide and do no I/O; `acceptor`, `age` and `heart` are
-the sides towards the sockets and the loop.
+Free of I/O are `accept_backoff`, `admission_tuning`, `admission_queue`, `tenant_tokens`,
+`body_budget`, `event_loop_lag`, `fast_path_parse` and `retry_after`. The sides towards sockets, the
+event loop and the C library are `acceptor`, `socket_age`, `event_loop_monitor` and `heap`.
 """
--- a/quillroad/overload/fast_path_parse.py
+++ b/quillroad/overload/fast_path_parse.py
@@ -1,8 +1,8 @@
-"""Reads class, tenant and waiting time of a request off its bytes, without a parser. Free of I/O.
+"""Reads route, tenant and time-out of a request off its bytes, without a parser. Free of I/O.
 
-For refusals alone, which must cost a small part of what they save. Only what is plainly one whole request and
-nothing else is read; all the rest gets `None`, and goes to the parser with its checks. Nothing read here is
-ever passed on to a host.
+For rejections alone, which must cost a small part of what they save. Only what is plainly one whole
+request and nothing else is read. All the rest gives None, and goes to the parser with its checks.
+Nothing that is read here is ever passed on to a host.
 """
 
 from __future__ import annotations
@@ -10,54 +10,68 @@
 import re
 from typing import NamedTuple
 
-LONGEST = 4096  # bytes of a head that is read here
-_LENGTH = re.compile(rb"\r\ncontent-length:[ \t]*([0-9]{1,6})[ \t]*\r\n")
+# Bytes of a head that is read here: longer ones are rare, and the search for their end is dear.
+LONGEST = 4096
+_CONTENT_LENGTH = re.compile(rb"\r\ncontent-length:[ \t]*([0-9]{1,6})[ \t]*\r\n")
 _TENANT = re.compile(rb"\r\ntenant:[ \t]*([^\r\n]*?)[ \t]*\r\n", re.IGNORECASE)
-_WAIT = re.compile(rb"\r\nrequest-timeout-ms:[ \t]*([0-9]{1,12})[ \t]*\r\n")
+_TIMEOUT_MS = re.compile(rb"\r\nrequest-timeout-ms:[ \t]*([0-9]{1,12})[ \t]*\r\n")
 
 
 class RequestPreview(NamedTuple):
-    """What admission asks of a request."""
+    """What admission asks of a request.
 
-    kind: bytes  # first part of its path
-    tenant: bytes  # empty where none is told
-    wait_ms: int | None  # for which its client waits; None where that is not plainly told
+    `kind` is the first part of its path, which names the route; `tenant` is empty where none is
+    named; `wait_ms` is how long its client waits for the answer in milliseconds, None where that is
+    not plainly there.
+    """
+
+    kind: bytes
+    tenant: bytes
+    wait_ms: int | None
 
 
 def preview_request(data: bytes) -> RequestPreview | None:
-    """What admission asks of a request, if `data` is exactly one request of HTTP/1.1 on a connection that
-    stays."""
-    end = data.find(b"\r\n\r\n", 0, LONGEST)
-    if end < 0:
+    """What admission asks of a request; None where that is not plain.
+
+    It is plain where `data` is exactly one GET or POST request of HTTP/1.1, whole, on a connection
+    that stays open after it.
+    """
+    head_end = data.find(b"\r\n\r\n", 0, LONGEST)
+    if head_end < 0:
         return None
-    head = data[: end + 2]
+    head = data[: head_end + 2]
     line, _, _ = head.partition(b"\r\n")
     if not line.endswith(b" HTTP/1.1"):
         return None
-    lower = head.lower()
-    if b"transfer-encoding" in lower or b"\r\nconnection" in lower or b"\r\nexpect" in lower:
-        return None
-    size = 0
-    if b"content" in lower:
-        lengths = _LENGTH.findall(lower)
-        if (
-            len(lengths) != 1
-            or lower.count(b"content-length") + lower.count(b"content_length") != 1
-        ):
-            return None
-        size = int(lengths[0])
-    if len(data) != end + 4 + size:
-        return None
     if line.startswith(b"GET /"):
         path = line[5:-9]
     elif line.startswith(b"POST /"):
         path = line[6:-9]
     else:
         return None
+    lower = head.lower()
+    size = _body_size(lower)
+    if size is None or len(data) != head_end + 4 + size:
+        return None
     tenants = _TENANT.findall(head) if b"\r\ntenant" in lower else ()
-    waits = _WAIT.findall(lower) if b"\r\nrequest-timeout-ms" in lower else ()
+    timeouts = _TIMEOUT_MS.findall(lower) if b"\r\nrequest-timeout-ms" in lower else ()
     return RequestPreview(
         path.partition(b"/")[0],
         tenants[0] if len(tenants) == 1 else b"",
-        int(waits[0]) if len(waits) == 1 else None,
+        int(timeouts[0]) if len(timeouts) == 1 else None,
     )
+
+
+def _body_size(lower_head: bytes) -> int | None:
+    """Bytes of the body that a head in lower case announces; None where its framing is not plain."""
+    if b"transfer-encoding" in lower_head:
+        return None
+    if b"\r\nconnection" in lower_head or b"\r\nexpect" in lower_head:
+        return None
+    if b"content" not in lower_head:
+        return 0
+    lengths = _CONTENT_LENGTH.findall(lower_head)
+    named = lower_head.count(b"content-length") + lower_head.count(b"content_length")
+    if len(lengths) != 1 or named != 1:
+        return None
+    return int(lengths[0])
--- a/quillroad/overload/heap.py
+++ b/quillroad/overload/heap.py
@@ -1,27 +1,28 @@
-"""Memory of long bodies goes back to the system when they are done with."""
+"""Memory of long bodies goes back to the system as soon as they are freed."""
 
 from __future__ import annotations
 
 import ctypes
 import logging
+from functools import cache
 
 log = logging.getLogger("quillroad.overload")
 
-M_MMAP_THRESHOLD = -3  # mallopt(3)
-# Blocks from this size on are the system's again at once. The C library raises its own limit with each long
-# block that is freed, up to 32 MB, and from then on keeps them in a heap that bodies of many sizes tear up:
-# on bulk+slow+pieces, seed 3, a gateway peaked at 79 MB, and at 67 MB with this.
-BLOCK = 64 * 1024
-
-_state = {"steady": False}
+M_MMAP_THRESHOLD = -3  # parameter number of mallopt(3)
+# Blocks of at least so many bytes are mapped one by one, and unmapped when freed. The C library
+# raises its own threshold with each long block that is freed, up to 32 MB, and keeps such blocks in
+# a heap from then on, where bodies of many sizes leave holes that never go back to the system.
+MMAP_THRESHOLD_BYTES = 64 * 1024
 
 
+@cache
 def steady() -> None:
-    """Called with the first long body; does nothing after that, or where the C library has no such call."""
-    if _state["steady"]:
-        return
-    _state["steady"] = True
+    """Fix the size from which on freed blocks go back to the system; called with a long body.
+
+    The first call sets it for the process, later ones do nothing. Where the C library has no such
+    call, a line in the log says so and memory stays with the process.
+    """
     try:
-        ctypes.CDLL(None).mallopt(M_MMAP_THRESHOLD, BLOCK)
+        ctypes.CDLL(None).mallopt(M_MMAP_THRESHOLD, MMAP_THRESHOLD_BYTES)
     except (OSError, AttributeError):
         log.info("the C library keeps memory of long bodies")
--- a/tests/overload/test_arrivals.py
+++ b/tests/overload/test_arrivals.py
@@ -17,10 +17,10 @@
 from quillroad.downstream.server import HOLD_S, ClientConnection
 from quillroad.engine.engine import Reply
 from quillroad.overload import acceptor
-from quillroad.overload.accept_backoff import FIRST_S, MOST_S, AcceptBackoff
-from quillroad.overload.acceptor import BATCH, Acceptor, open_listener
+from quillroad.overload.accept_backoff import FIRST_DELAY_S, MAX_DELAY_S, AcceptBackoff
+from quillroad.overload.acceptor import MAX_BATCH, Acceptor, open_listener
 from quillroad.overload.admission_queue import Waiting
-from quillroad.overload.event_loop_lag import BEAT_S, LATE_S, STALL_S, EventLoopLag
+from quillroad.overload.event_loop_lag import LATE_S, STALL_S, TICK_S, EventLoopLag
 from quillroad.overload.socket_age import data_age
 from testbed.account import Work, tally, total
 from testbed.schedule import steady
@@ -94,9 +94,9 @@
 async def test_a_storm_is_taken_in_batches() -> None:
     """One accept a turn made a storm's wait grow with the square of its size: a turn serves all others."""
     bench = Bench()
-    bench.connect(4 * BATCH)
+    bench.connect(4 * MAX_BATCH)
     turns = 0
-    while len(bench.up) < 4 * BATCH:
+    while len(bench.up) < 4 * MAX_BATCH:
         await asyncio.sleep(0)
         turns += 1
     assert turns < 100  # slices of 2 ms on a slow core; one for each connection would be 1,024
@@ -150,7 +150,7 @@
     assert (
         failing.asked == 4 + 3 + 1
     )  # four failures with a wait after each, three that worked, none left
-    assert time.monotonic() - began > (1 + 2 + 4 + 8) * FIRST_S / 2
+    assert time.monotonic() - began > (1 + 2 + 4 + 8) * FIRST_DELAY_S / 2
     bench.close()
     await until(lambda: bench.used == 0)
 
@@ -171,11 +171,11 @@
 async def test_closing_takes_what_the_kernel_has_accepted() -> None:
     """A listener that closes resets what waits in it, with requests that were whole."""
     bench = Bench()
-    bench.connect(BATCH + 10)
+    bench.connect(MAX_BATCH + 10)
     for client in bench.clients:
         client.send(b"x")
     bench.acceptor.close()
-    await until(lambda: len(bench.up) == BATCH + 10)
+    await until(lambda: len(bench.up) == MAX_BATCH + 10)
     loop = asyncio.get_running_loop()
     assert {await loop.sock_recv(client, 10) for client in bench.clients} == {b"x"}
     bench.close()
@@ -187,10 +187,10 @@
     backoff, run = AcceptBackoff(), 0
     for worked in works:
         if worked:
-            backoff.worked()
+            backoff.reset()
             run = 0
         else:
-            assert backoff.failed() == min(MOST_S, FIRST_S * 2**run)
+            assert backoff.next_delay_s() == min(MAX_DELAY_S, FIRST_DELAY_S * 2**run)
             run += 1
 
 
@@ -382,10 +382,10 @@
     assert loop_lag.begin(10.0)
     assert not loop_lag.begin(10.0)
     for i in range(1, 9):
-        loop_lag.beat(10.0 + i * BEAT_S)
-        assert not loop_lag.late(10.0 + (i + 1) * BEAT_S)
-        assert not loop_lag.stalled(10.0 + (i + 1) * BEAT_S)
-    last = 10.0 + 8 * BEAT_S
+        loop_lag.tick(10.0 + i * TICK_S)
+        assert not loop_lag.late(10.0 + (i + 1) * TICK_S)
+        assert not loop_lag.stalled(10.0 + (i + 1) * TICK_S)
+    last = 10.0 + 8 * TICK_S
     assert loop_lag.late(last + LATE_S + 0.001)
     assert not loop_lag.stalled(last + STALL_S - 0.001)
     assert loop_lag.stalled(last + 2.0)
@@ -408,7 +408,7 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["beat", "ask", "caught_up", "begin", "end"]), st.floats(0.0, 3.0)
+            st.sampled_from(["tick", "ask", "caught_up", "begin", "end"]), st.floats(0.0, 3.0)
         ),
         max_size=80,
     )
@@ -423,8 +423,8 @@
             stalled = loop_lag.stalled(now)
             assert stalled == loop_lag.catching_up
             assert (loop_lag.clock(now) == now) or stalled
-        elif step == "beat" and not loop_lag.catching_up:
-            loop_lag.beat(now)
+        elif step == "tick" and not loop_lag.catching_up:
+            loop_lag.tick(now)
         elif step == "caught_up":
             loop_lag.caught_up(now)
             assert not loop_lag.stalled(now)
@@ -534,8 +534,8 @@
 
 
 def test_the_module_constants_fit_together() -> None:
-    assert BEAT_S < LATE_S < STALL_S
-    assert acceptor.LAST_SWEEP >= acceptor.BACKLOG
+    assert TICK_S < LATE_S < STALL_S
+    assert acceptor.MAX_LAST_ACCEPTS >= acceptor.BACKLOG
 
 
 @on_loop
