--- a/quillroad/__init__.py
+++ b/quillroad/__init__.py
@@ -1,2 +1,4 @@
-"""The real gateway round the decision module `quillroad.balancing`: sockets in and out, no
-decisions of its own."""
+"""An HTTP gateway: sockets in and out round the decisions of `quillroad.balancing`.
+
+`quillroad.gateway` wires the parts of one gateway, `quillroad.start` starts its process.
+"""
--- a/quillroad/__main__.py
+++ b/quillroad/__main__.py
@@ -1,5 +1,7 @@
-"""`python -m quillroad`: with no arguments what the platform starts; with arguments, or with
-QUILLROAD_CONFIG, the command line (`quillroad.cli`)."""
+"""`python -m quillroad`: with no arguments what the platform starts, else the command line.
+
+The command line (`quillroad.cli`) is also used where QUILLROAD_CONFIG names a configuration file.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +14,9 @@
 
 
 def main() -> int:
+    """Run the gateway to its end; returns the status to exit with."""
     if len(sys.argv) > 1 or os.environ.get("QUILLROAD_CONFIG"):
-        from quillroad.cli import main as command  # noqa: PLC0415
+        from quillroad.cli import main as command  # noqa: PLC0415 - the platform starts without it
 
         return command()
     return start(partial(load, os.environ), partial(reload, os.environ))
--- a/quillroad/admin/admin.py
+++ b/quillroad/admin/admin.py
@@ -5,7 +5,6 @@
 import logging
 import time
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from quillroad.admin.calls import Act, Call
 from quillroad.admin.figures import CONTENT_TYPE, Figures
@@ -13,11 +12,9 @@
 from quillroad.admin.hands import Hands, NoSuchHostError, Told, TooManyError
 from quillroad.balancing.events import EndpointUpdate
 from quillroad.config import Address
+from quillroad.managed_gateway import ManagedGateway
 from quillroad.overload.acceptor import open_listener
 
-if TYPE_CHECKING:
-    from quillroad.gateway import Gateway
-
 log = logging.getLogger("quillroad.admin")
 
 RESERVED = (
@@ -28,11 +25,10 @@
 class Admin:
     """One for each gateway that is told an operators' address."""
 
-    def __init__(self, gateway: Gateway, address: Address) -> None:
+    def __init__(self, gateway: ManagedGateway, address: Address) -> None:
         self._gateway, self._address = gateway, address
         self.hands = Hands()
-        routes = [route.name for route in gateway.config.settings.routes]
-        self.figures = Figures(routes, self._gauges)
+        self.figures = Figures(gateway.route_names, self._gauges)
         self.front = Front(gateway.loop, self.act)
         self.port = 0
         self.reloads = [0, 0]  # failed, ok
@@ -64,7 +60,7 @@
 
     def _update(self, told: Told | None) -> None:
         if told is not None:
-            self._gateway.engine.update(*told)
+            self._gateway.apply_endpoints(*told)
 
     def learn(self, out: dict[str, int], back: dict[str, tuple[int, int]], drained: bool) -> None:
         """What another process of this gateway holds by hand counts here too."""
@@ -104,13 +100,12 @@
         return page(200)
 
     def _gauges(self) -> dict[str, float]:
-        gateway = self._gateway
-        stands = gateway.engine.gauges
+        figures = self._gateway.figures()
         return {
-            "attempts": gateway.upstream.written,
-            "in_flight": gateway.server.in_flight,
-            "hosts_known": len(gateway.engine.hosts),
-            "hosts_excluded": stands["ejected"] + self.hands.listed,
+            "attempts": figures.attempts_sent,
+            "in_flight": figures.requests_open,
+            "hosts_known": figures.hosts_known,
+            "hosts_excluded": figures.hosts_ejected + self.hands.listed,
             "reloads_ok": self.reloads[1],
             "reloads_failed": self.reloads[0],
         }
--- a/quillroad/gateway.py
+++ b/quillroad/gateway.py
@@ -1,85 +1,61 @@
-"""Wiring, signals, reload and exit of one gateway."""
+"""The composition root of one gateway: wires its parts, and carries out reload, drain and end."""
 
 from __future__ import annotations
 
 import asyncio
-import gc
 import logging
-import os
-import signal
 import socket
-import sys
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from pathlib import Path
 from time import monotonic
-from typing import TYPE_CHECKING
-
-import uvloop
 
 from quillroad.balancing.balancer import Balancer
-from quillroad.config import Config, ConfigError, Descriptors, changed_fields
+from quillroad.balancing.events import EndpointUpdate
+from quillroad.config import Address, Config, ConfigError, Descriptors, changed_fields
 from quillroad.discovery.feed import Update
 from quillroad.discovery.source import open_source
 from quillroad.downstream.server import Server
 from quillroad.engine.engine import Engine
-from quillroad.inherited_descriptors import inherited
+from quillroad.managed_gateway import GatewayFigures
+from quillroad.optional_parts import (
+    Part,
+    admin_descriptors,
+    make_admin,
+    make_counts,
+    make_membership,
+    make_registrar,
+    make_zones,
+)
 from quillroad.overload.acceptor import open_listener
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
 from quillroad.serving_state import ServingState
 from quillroad.upstream.pool import Upstream
 
-if TYPE_CHECKING:
-    from quillroad.admin import Admin
-    from quillroad.counts import Counts
-    from quillroad.discovery.consul.registrar import Registrar
-    from quillroad.membership.socket import Fleet
-    from quillroad.zones.zones import Zones
-
 log = logging.getLogger("quillroad")
 
-SWEEP_S, SWEEP_LATE_S = 0.25, 0.15
-ACCEPT_S = 0.55  # after SIGTERM: the front sends connections for up to 0.4 s more
-FLUSH_S = 0.1  # for the last answers to leave
-# After SIGTERM and the longest deadline; SIGKILL comes 0.7 s after these at the earliest, and the process
-# needs some of that to end.
+# Between two looks at the connections for those that have waited for too long.
+CHECK_INTERVAL_S = 0.25
+# A look that comes later than this shows that the process stood still: it is left out, since what
+# came meanwhile has to be read before anyone is judged to be late.
+MAX_CHECK_DELAY_S = 0.15
+# After SIGTERM: the front sends new connections for up to 0.4 s more.
+ACCEPT_S = 0.55
+# For the last answers to leave.
+FLUSH_S = 0.1
+# After SIGTERM and the longest deadline; SIGKILL comes 0.7 s after these at the earliest, and the
+# process needs some of that to end.
 END_S = 0.6
-LOG_LINES, LOG_S = (
-    50,
-    1.0,
-)  # lines in a stretch of time: a storm of errors must not become a storm of lines
-
-
-class LimitedLog(logging.Filter):
-    """Passes so many lines a second and says how many it left out."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self._began, self._count = 0.0, 0
-
-    def filter(self, record: logging.LogRecord) -> bool:
-        if record.created - self._began >= LOG_S:
-            if self._count > LOG_LINES:
-                record.msg, record.args = (
-                    f"{record.getMessage()} ({self._count - LOG_LINES} left out)",
-                    (),
-                )
-            self._began, self._count = record.created, 0
-        self._count += 1
-        return self._count <= LOG_LINES
-
-
-def start_log() -> None:
-    handler = logging.StreamHandler(sys.stderr)
-    handler.addFilter(LimitedLog())
-    handler.setFormatter(
-        logging.Formatter("%(asctime)s.%(msecs)03d %(name)s: %(message)s", "%H:%M:%S")
-    )
-    logging.basicConfig(level=logging.INFO, handlers=[handler])
+# Between two looks at what a drain still waits for.
+DRAIN_POLL_S = 0.02
 
 
 class Gateway:
-    """The parts of one gateway, wired. `engine` and `server` are the kinds of these parts; `zones` names the
-    file that holds traffic to other zones to a budget."""
+    """The parts of one gateway, wired.
+
+    `engine` and `server` are the kinds of these parts; `zones` names the file that holds traffic to
+    other zones to a budget, if there is one. `taken` descriptors of the process's limit are
+    somebody else's (0 or more). Raises ConfigError where a file of an optional part cannot work.
+    """
 
     def __init__(
         self,
@@ -90,66 +66,67 @@
         zones: Path | None = None,
         taken: int = 0,
     ) -> None:
-        """`taken` descriptors of the limit are somebody else's (0 or more)."""
-        self.config, self.loop = config, loop
-        self.admin: Admin | None = None
-        reserved = taken
-        if config.admin is not None:
-            from quillroad import admin  # noqa: PLC0415
-
-            self.admin = admin.Admin(self, config.admin)
-            reserved += admin.RESERVED
-        self.descriptors = descriptors = Descriptors(config.sockets - reserved)
+        self.config = config
+        self.loop = loop
+        self.serving_state = ServingState()
+        self.port = 0  # that clients connect to; 0 until the gateway listens
+        self._connection_checks: asyncio.Task[None] | None = None
+        self._idle_closing: asyncio.Task[None] | None = None
+        self.admin = make_admin(self, config)
+        reserved = taken + admin_descriptors(self.admin)
+        self.descriptors = Descriptors(config.sockets - reserved)
         loop_monitor = EventLoopMonitor(loop)
         self.upstream = Upstream(
             loop,
-            descriptors,
+            self.descriptors,
             config.connect_timeout_s,
             config.idle_s,
             loop_monitor,
             config.longest_body,
         )
-        self.zones: Zones | None = None
-        if zones is not None:
-            from quillroad.zones import Zones  # noqa: PLC0415
-
-            self.zones = Zones(zones, config, loop)
-        crossing = None if self.zones is None else self.zones.crossing
-        self.engine = engine(loop, Balancer(config.settings, config.seed, crossing), self.upstream)
-        if self.zones is not None:
-            self.zones.attach(self.engine)
+        self.zones = make_zones(zones, config, loop)
+        self.engine = self._make_engine(engine)
+        self.server = self._make_server(server, loop_monitor)
+        # Where sources of endpoints tell of them: operators' overrides are laid over what they
+        # tell.
         self.update: Update = self.engine.update if self.admin is None else self.admin.told
         self.source, self.feed = open_source(config, self.update)
-        self._hosts = (config.discovery, config.hosts)
-        self.registrar: Registrar | None = None
-        if config.register is not None:
-            from quillroad.discovery.consul.registrar import Registrar  # noqa: PLC0415
-
-            self.registrar = Registrar(config.register, config, lambda: self.engine.ready)
-        self.server = server(
-            loop, config, self.engine, descriptors, self.upstream.drop_oldest_idle, loop_monitor
+        self._discovery = (config.discovery, config.hosts)
+        self.registrar = make_registrar(config, lambda: self.engine.ready)
+        self.counts = make_counts(loop, self.engine, self.upstream)
+        self.fleet = make_membership(config, loop)
+        if self.fleet is not None:
+            self.fleet.attach(self.engine, lambda: self.source)
+        # In the order in which they start and stop.
+        optional: list[Part | None] = [self.zones, self.registrar, self.counts, self.fleet]
+        self._optional_parts = [part for part in optional if part is not None]
+
+    def _make_engine(self, engine: type[Engine]) -> Engine:
+        """The engine round a balancer of its own, under the cross-zone budget if there is one."""
+        budget = None if self.zones is None else self.zones.crossing
+        balancer = Balancer(self.config.settings, self.config.seed, budget)
+        made = engine(self.loop, balancer, self.upstream)
+        if self.zones is not None:
+            self.zones.attach(made)
+        return made
+
+    def _make_server(self, server: type[Server], loop_monitor: EventLoopMonitor) -> Server:
+        """The clients' side; each side frees a descriptor for the other one where it is short."""
+        made = server(
+            self.loop,
+            self.config,
+            self.engine,
+            self.descriptors,
+            self.upstream.drop_oldest_idle,
+            loop_monitor,
         )
-        self.upstream.clients_yield = self.server.yields
-        self.serving_state = ServingState()
-        self._resting: asyncio.Task[None] | None = None
+        self.upstream.clients_yield = made.yields
         if self.admin is not None:
-            self.server.on_end = self.admin.figures.ended
-        self.counts: Counts | None = None
-        if os.environ.get("QUILLROAD_COUNTS"):
-            from quillroad.counts import Counts  # noqa: PLC0415
-
-            self.counts = Counts(loop, self.engine, self.upstream)
-        self.fleet: Fleet | None = None
-        if told := os.environ.get("QUILLROAD_FLEET"):
-            from quillroad.membership.socket import Fleet  # noqa: PLC0415
-
-            self.fleet = Fleet(Path(told), config, loop)
-            self.fleet.attach(self.engine, lambda: self.source)
-        self.port = 0
-        self._sweeper: asyncio.Task[None] | None = None
+            made.on_end = self.admin.figures.ended
+        return made
 
     async def start(self) -> None:
-        """Serve by the known list at once."""
+        """Serve by the known list at once. Raises OSError where an address cannot be used."""
         self.source.begin(self.config)
         if self.admin is not None:
             self.admin.start()
@@ -163,21 +140,18 @@
         log.info("%s listens on %s:%d", self.config.name, self.config.listen[0], self.port)
 
     def follow(self) -> None:
-        """Hear of hosts, and care for connections, from now on."""
+        """Hear of endpoints, and look after connections, from now on."""
         self.source.start()
-        if self.zones is not None:
-            self.zones.start()
-        if self.registrar is not None:
-            self.registrar.start()
-        if self.counts is not None:
-            self.counts.start()
-        if self.fleet is not None:
-            self.fleet.start()
-        self._sweeper = self.loop.create_task(self._sweep())
+        for part in self._optional_parts:
+            part.start()
+        self._connection_checks = self.loop.create_task(self._check_connections())
 
     def reload(self, read: Callable[[], Config]) -> None:
-        """Take over what a new file changes: where hosts are told of. List, connections and open requests
-        stay as they are, also while draining; a file that cannot work changes nothing."""
+        """Go by what a new configuration changes: where endpoints are told of.
+
+        List, connections and open requests stay as they are, also while draining. A configuration
+        that cannot work changes nothing and is said in the log.
+        """
         try:
             config = read()
             members = None if self.fleet is None else self.fleet.read(config)
@@ -185,75 +159,111 @@
                 self.zones.reload()
         except ConfigError as error:
             log.error("the old configuration stands: %s", error)
-            self._reloaded(False)
+            self._count_reload(False)
             return
-        self._reloaded(True)
+        self._count_reload(True)
         if self.fleet is not None:
             self.fleet.take(members)
         if left := changed_fields(self.config, config):
             log.warning("these fields change with a restart only: %s", ", ".join(left))
-        hosts = (config.discovery, config.hosts)
-        if hosts == self._hosts:
+        self._follow_discovery(config)
+
+    def _follow_discovery(self, config: Config) -> None:
+        """Hear of endpoints where this configuration says, if that is elsewhere than so far."""
+        discovery = (config.discovery, config.hosts)
+        if discovery == self._discovery:
             return
         log.info("hosts are now told by %s", config.hosts or config.discovery)
-        if type(config.hosts) is type(self._hosts[1]):
+        if type(config.hosts) is type(self._discovery[1]):
             self.source.follow(config)
         else:
             self.source.stop()
             self.source, self.feed = open_source(config, self.update)
             self.source.begin(config)
             self.source.start()
-        self._hosts = hosts
+        self._discovery = discovery
 
-    def _reloaded(self, ok: bool) -> None:
+    def _count_reload(self, ok: bool) -> None:
         if self.admin is not None:
             self.admin.reloads[ok] += 1
 
+    # What operators see and do (`ManagedGateway`).
+
+    @property
+    def route_names(self) -> Sequence[str]:
+        """The names of the routes, by their number."""
+        return [route.name for route in self.config.settings.routes]
+
     @property
     def ready(self) -> bool:
         """Whether it can serve, and is to."""
         return self.engine.ready and not self.serving_state.draining
 
+    def figures(self) -> GatewayFigures:
+        """The present figures, for operators."""
+        return GatewayFigures(
+            attempts_sent=self.upstream.written,
+            requests_open=self.server.in_flight,
+            hosts_known=len(self.engine.hosts),
+            hosts_ejected=self.engine.gauges["ejected"],
+        )
+
+    def apply_endpoints(
+        self, update: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
+    ) -> None:
+        """Go by these endpoints, operators' overrides included; maps are by endpoint number."""
+        self.engine.update(update, names, addresses)
+
     def drain_by_hand(self, on: bool) -> None:
-        """Serve no new connection and keep none, until it is taken back; the process runs on."""
-        if not (self.serving_state.fail() if on else self.serving_state.ok()):
+        """Serve no new connection and keep none, until an operator takes it back.
+
+        The process runs on meanwhile. Without effect once the process is ending.
+        """
+        if not (self.serving_state.drain() if on else self.serving_state.resume()):
             return
         log.info("drained by hand" if on else "back to work")
         self.server.draining = self.serving_state.draining
-        if self._resting is not None:
-            self._resting.cancel()
-        self._resting = self.loop.create_task(self._rest()) if on else None
+        if self._idle_closing is not None:
+            self._idle_closing.cancel()
+        self._idle_closing = self.loop.create_task(self._close_idle()) if on else None
+
+    async def _close_idle(self) -> None:
+        """While drained by an operator: end connections between two requests.
 
-    async def _rest(self) -> None:
-        """While drained by hand: once the front has had its time, end what is between two requests."""
+        Not before the front has learned of the drain: what crosses the close would be lost.
+        """
         await asyncio.sleep(ACCEPT_S)
         while self.serving_state.by_hand:
             self.server.close_idle()
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(DRAIN_POLL_S)
 
-    async def _sweep(self) -> None:
+    async def _check_connections(self) -> None:
+        """Look for connections that have waited for too long, again and again."""
         while True:
-            due = monotonic() + SWEEP_S
-            await asyncio.sleep(SWEEP_S)
-            if monotonic() > due + SWEEP_LATE_S:
-                continue  # this process stood still: first what came meanwhile has to be read
+            due = monotonic() + CHECK_INTERVAL_S
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            if monotonic() > due + MAX_CHECK_DELAY_S:
+                continue
             try:
                 self.server.sweep()
                 self.upstream.sweep()
-            except Exception:  # one connection's fault must not end the care for all others
+            except Exception:  # one connection's fault must not end the checks of all others
                 log.exception("a sweep failed")
 
     async def drain(self) -> None:
-        """Answers say `Connection: close` at once; the listener and idle connections stay while the front
-        may still send, for ending them first would lose what crosses the close."""
+        """Answer what was taken, and end.
+
+        Answers say `Connection: close` at once. The listener and idle connections stay while the
+        front may still send: ending them first would lose what crosses the close.
+        """
         began = monotonic()
-        longest_s = (
-            max((route.deadline_us for route in self.config.settings.routes), default=0) / 1e6
-        )
+        routes = self.config.settings.routes
+        longest_s = max((route.deadline_us for route in routes), default=0) / 1e6
         end = began + longest_s + END_S
         self.serving_state.end()
         self.server.draining = True
-        # What is taken late has no longer than this process: a request that came half by then, say.
+        # A request that was taken late, half of it before the drain, has no longer than the
+        # process.
         self.server.answers_by = end - FLUSH_S
         if self.fleet is not None:
             self.fleet.leave()
@@ -261,60 +271,21 @@
         await asyncio.sleep(ACCEPT_S)
         self.server.stop_listening()
         while len(self.server.connection_limit) and monotonic() < end:
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(DRAIN_POLL_S)
             self.server.close_idle()
         self.server.break_off()
         if leaving is not None:
             await leaving
 
     def stop(self) -> None:
+        """End at once: no new connection, no news of endpoints, no part running."""
         self.server.stop_listening()
         self.source.stop()
-        if self.zones is not None:
-            self.zones.stop()
-        if self.registrar is not None:
-            self.registrar.stop()
-        if self.counts is not None:
-            self.counts.stop()
-        if self.fleet is not None:
-            self.fleet.stop()
-        if self._resting is not None:
-            self._resting.cancel()
+        for part in self._optional_parts:
+            part.stop()
+        if self._idle_closing is not None:
+            self._idle_closing.cancel()
         if self.admin is not None:
             self.admin.stop()
-        if self._sweeper is not None:
-            self._sweeper.cancel()
-
-
-async def serve(config: Config, read: Callable[[], Config], zones: Path | None, taken: int) -> None:
-    """Run one gateway until SIGTERM or SIGINT, then answer what it has taken. `read` reads the configuration
-    again, for SIGHUP; `taken` descriptors of its limit are not its own."""
-    loop = asyncio.get_running_loop()
-    stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    gateway = Gateway(config, loop, zones=zones, taken=taken)
-    await gateway.start()
-    if taken:
-        log.info("%d descriptors were open at the start: so many fewer connections", taken)
-    loop.add_signal_handler(signal.SIGHUP, gateway.reload, read)
-    gc.collect()
-    gc.freeze()  # what is here at the start stays; collections need not walk it each time
-    await stop.wait()
-    log.info("draining")
-    await gateway.drain()
-    gateway.stop()
-    log.info("drained")
-
-
-def run(config: Config, again: Callable[[], Config], zones: Path | None = None) -> int:
-    """One gateway from its start to its end; returns the status to exit with. `again` reads the configuration
-    for a reload; `zones` is the file that turns a budget for other zones on."""
-    taken = inherited()
-    start_log()
-    try:
-        uvloop.run(serve(config, again, zones, taken))
-    except ConfigError as error:
-        print(f"quillroad: {error}", file=sys.stderr)
-        return 2
-    return 0
+        if self._connection_checks is not None:
+            self._connection_checks.cancel()
--- /dev/null
+++ b/quillroad/run.py
@@ -0,0 +1,66 @@
+"""Runs one gateway in this process, from its start to its end: signals, log and exit status."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+import signal
+import sys
+from collections.abc import Callable
+from pathlib import Path
+
+import uvloop
+
+from quillroad.config import Config, ConfigError
+from quillroad.gateway import Gateway
+from quillroad.inherited_descriptors import inherited
+from quillroad.logs import start_log
+
+log = logging.getLogger("quillroad")
+
+EXIT_OK = 0
+EXIT_BAD_CONFIGURATION = 2
+
+
+async def serve(
+    config: Config, read: Callable[[], Config], zones: Path | None, inherited_count: int
+) -> None:
+    """Serve until SIGTERM or SIGINT, then answer the requests that were taken.
+
+    `read` reads the configuration again, for SIGHUP. `zones` is the file of the cross-zone budget,
+    or None. `inherited_count` descriptors of the process's limit are not the gateway's own.
+    """
+    loop = asyncio.get_running_loop()
+    stop = asyncio.Event()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stop.set)
+    gateway = Gateway(config, loop, zones=zones, taken=inherited_count)
+    await gateway.start()
+    if inherited_count:
+        log.info(
+            "%d descriptors were open at the start: so many fewer connections", inherited_count
+        )
+    loop.add_signal_handler(signal.SIGHUP, gateway.reload, read)
+    gc.collect()
+    gc.freeze()  # what is here at the start stays; collections need not walk it each time
+    await stop.wait()
+    log.info("draining")
+    await gateway.drain()
+    gateway.stop()
+    log.info("drained")
+
+
+def run(config: Config, again: Callable[[], Config], zones: Path | None = None) -> int:
+    """Run one gateway from its start to its end; returns the status to exit with.
+
+    `again` reads the configuration for a reload; `zones` is the file of the cross-zone budget.
+    """
+    inherited_count = inherited()
+    start_log()
+    try:
+        uvloop.run(serve(config, again, zones, inherited_count))
+    except ConfigError as error:
+        print(f"quillroad: {error}", file=sys.stderr)
+        return EXIT_BAD_CONFIGURATION
+    return EXIT_OK
--- a/quillroad/serving_state.py
+++ b/quillroad/serving_state.py
@@ -1,33 +1,41 @@
-"""Whether the gateway takes work. No I/O."""
+"""Whether the gateway takes work: ready, drained by an operator, or ending. Free of I/O."""
 
 from __future__ import annotations
 
 
 class ServingState:
-    """Two reasons to drain, each on its own: an operator's word, and the end of the process. An operator can
-    take back only the first."""
+    """Two reasons to drain, each on its own: an operator's call, and the end of the process.
+
+    An operator can take back only the first: without that a call to resume would let a process
+    that is about to exit accept connections, and lose them.
+    """
 
     def __init__(self) -> None:
-        self.by_hand = self.ending = False
+        self.by_hand = False  # drained by an operator
+        self.ending = False  # the process is to end
 
     @property
     def draining(self) -> bool:
+        """Whether there is a reason to drain."""
         return self.by_hand or self.ending
 
-    def fail(self) -> bool:
-        """Drain by hand; whether that changes anything."""
+    def drain(self) -> bool:
+        """An operator drains the gateway; returns whether that changes anything."""
         before = self.draining
         self.by_hand = True
         return not before
 
-    def ok(self) -> bool:
-        """Back to work; whether that changes anything. Never once the process is ending."""
+    def resume(self) -> bool:
+        """An operator takes the drain back; returns whether that changes anything.
+
+        It does not once the process is ending.
+        """
         before = self.draining
         self.by_hand = False
         return before and not self.ending
 
     def end(self) -> bool:
-        """The process is to end; whether that changes anything."""
+        """The process is to end; returns whether that changes anything."""
         before = self.draining
         self.ending = True
         return not before
--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -18,7 +18,7 @@
 from typing import assert_never
 
 from quillroad.config import Config, ConfigError
-from quillroad.gateway import start_log
+from quillroad.logs import start_log
 from quillroad.overload.acceptor import open_listener
 from quillroad.upgrade.canary import Canary
 from quillroad.upgrade.channel import Channel, pair, peer
--- a/quillroad/upgrade/sibling_process.py
+++ b/quillroad/upgrade/sibling_process.py
@@ -21,7 +21,7 @@
 
 from quillroad import admin
 from quillroad.config import RESERVED, Config, ConfigError
-from quillroad.gateway import start_log
+from quillroad.logs import start_log
 from quillroad.overload.acceptor import open_listener
 from quillroad.upgrade.messages import Ended, Hello, Message, Ready, Room, Welcome, batch_of
 from quillroad.upgrade.pair import BUSY_S, FOUND_S, OTHER, TAKEN_S, Act, Do, Pair, Say, Stage, Tell
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from quillroad.config import RESERVED, Config, ConfigError
-from quillroad.gateway import start_log
+from quillroad.logs import start_log
 from quillroad.upgrade.channel import Channel
 from quillroad.upgrade.messages import (
     VERSION,
--- a/tests/admin/test_decisions.py
+++ b/tests/admin/test_decisions.py
@@ -58,9 +58,12 @@
             ending = True
         else:
             by_hand = step == "fail"
-        changed = {"fail": serving_state.fail, "ok": serving_state.ok, "end": serving_state.end}[
-            step
-        ]()
+        acts = {
+            "fail": serving_state.drain,
+            "ok": serving_state.resume,
+            "end": serving_state.end,
+        }
+        changed = acts[step]()
         assert serving_state.draining == (by_hand or ending)
         assert changed == (serving_state.draining != before)
 
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -10,7 +10,7 @@
 import pytest
 
 from quillroad import files
-from quillroad.files import MOST_LINES, Writer
+from quillroad.files import MAX_WAITING_LINES, Writer
 from tests.net import on_loop, until
 
 
@@ -28,7 +28,7 @@
     writer = Writer(asyncio.get_running_loop())
     for number in range(1000):
         writer.replace(tmp_path / "view", b"%d" % number)
-    for number in range(MOST_LINES + 5):
+    for number in range(MAX_WAITING_LINES + 5):
         writer.append(tmp_path / "changes", f"line {number}")
     assert writer.left_out == 5
     moves.set()
@@ -43,7 +43,7 @@
     writer.close()
     moves.set()
     await until(lambda: (tmp_path / "changes").read_text().endswith("last\n"))
-    assert len((tmp_path / "changes").read_text().splitlines()) == MOST_LINES + 1
+    assert len((tmp_path / "changes").read_text().splitlines()) == MAX_WAITING_LINES + 1
 
 
 @on_loop
