--- a/quillroad/admin/__init__.py
+++ b/quillroad/admin/__init__.py
@@ -1,5 +1,7 @@
-"""The operators' address: figures, hosts out by hand, a gateway drained and put back. Imported only where the
-configuration tells such an address."""
+"""The operators' address: metrics, hosts taken out of service, a gateway drained and put back.
+
+Imported only where the configuration tells such an address.
+"""
 
 from quillroad.admin.admin import RESERVED, Admin
 
--- a/quillroad/admin/admin.py
+++ b/quillroad/admin/admin.py
@@ -7,9 +7,11 @@
 from collections.abc import Callable
 
 from quillroad.admin.calls import Act, Call
+from quillroad.admin.errors import NoSuchHostError, TooManyOverridesError
 from quillroad.admin.figures import CONTENT_TYPE, Figures
-from quillroad.admin.front import PLACES, Front, Page, page
-from quillroad.admin.hands import Hands, NoSuchHostError, Told, TooManyError
+from quillroad.admin.host_overrides import EngineUpdate, HostOverrides
+from quillroad.admin.listener import MAX_CONNECTIONS, OperatorListener
+from quillroad.admin.pages import Page, page
 from quillroad.balancing.events import EndpointUpdate
 from quillroad.config import Address
 from quillroad.managed_gateway import ManagedGateway
@@ -17,88 +19,92 @@
 
 log = logging.getLogger("quillroad.admin")
 
-RESERVED = (
-    PLACES + 2
-)  # descriptors that clients and hosts can't have: its places, its listener, an accept
+# Descriptors that clients and hosts cannot have: of the connections, the listener and an accept.
+RESERVED = MAX_CONNECTIONS + 2
 
 
 class Admin:
-    """One for each gateway that is told an operators' address."""
+    """The operators' side of one gateway, at `address`."""
 
     def __init__(self, gateway: ManagedGateway, address: Address) -> None:
-        self._gateway, self._address = gateway, address
-        self.hands = Hands()
+        self._gateway = gateway
+        self._address = address
+        self.hands = HostOverrides()
         self.figures = Figures(gateway.route_names, self._gauges)
-        self.front = Front(gateway.loop, self.act)
-        self.port = 0
+        self.listener = OperatorListener(gateway.loop, self.act)
+        self.port = 0  # that operators connect to; 0 until it listens
         self.reloads = [0, 0]  # failed, ok
-        # Told of a change by hand, for another process of this gateway.
+        # Called after an operator has changed something, for another process of this gateway.
         self.on_change: Callable[[], None] | None = None
-        self.serves: Callable[[], bool] | None = (
-            None  # whether this process serves, where another may
-        )
+        # Whether this process serves, where another process of this gateway may; None: it does.
+        self.serves: Callable[[], bool] | None = None
 
     def start(self) -> None:
         """Take calls from now on. Raises OSError where the address cannot be used."""
         listener = open_listener(*self._address)
         self.port = listener.getsockname()[1]
-        self.front.listen(listener)
+        self.listener.listen(listener)
         log.info("operators are answered at %s:%d", self._address[0], self.port)
 
     def pause(self) -> None:
         """Take no new calls, until `start`."""
-        self.front.pause()
+        self.listener.pause()
 
     def stop(self) -> None:
-        self.front.stop()
+        """Take no more calls and end those that are there."""
+        self.listener.stop()
 
-    def told(
-        self, servers: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
+    def endpoints_told(
+        self, update: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
-        """A source tells of hosts."""
-        self._update(self.hands.lay(servers, names, addresses))
+        """Go by what a source tells of endpoints, with the overrides laid over it."""
+        self._apply(self.hands.apply(update, names, addresses))
 
-    def _update(self, told: Told | None) -> None:
-        if told is not None:
-            self._gateway.apply_endpoints(*told)
+    def _apply(self, changed: EngineUpdate | None) -> None:
+        if changed is not None:
+            self._gateway.apply_endpoints(*changed)
 
     def learn(self, out: dict[str, int], back: dict[str, tuple[int, int]], drained: bool) -> None:
-        """What another process of this gateway holds by hand counts here too."""
-        self._update(self.hands.learn(out, back))
+        """Go by the overrides and the drain that another process of this gateway holds."""
+        self._apply(self.hands.learn(out, back))
         self._gateway.drain_by_hand(drained)
 
     def act(self, call: Call) -> Page:
         """Do what a call asks for; the answer follows what was done."""
-        gateway = self._gateway
         serves = self.serves is None or self.serves()
-        match call.act:
-            case Act.HEALTH:
-                ready = gateway.ready and serves
-                return page(200, "ready") if ready else page(503, "not ready")
-            case Act.STATS:
-                return Page(200, self.figures.text(), CONTENT_TYPE)
-            case _ if not serves:  # it would be undone by what the process before holds by hand
-                return page(503, "not serving yet")
-            case Act.FAIL:
-                gateway.drain_by_hand(True)
-            case Act.OK:
-                gateway.drain_by_hand(False)
-            case Act.MAINT | Act.READY:
-                now_us = time.time_ns() // 1000
-                try:
-                    if call.act is Act.MAINT:
-                        self._update(self.hands.maint(call.host, now_us))
-                    else:
-                        self._update(self.hands.ready(call.host, now_us))
-                except NoSuchHostError:
-                    return page(404, "no such host")
-                except TooManyError:
-                    return page(503, "too many hosts are out by hand")
+        if call.act is Act.HEALTH:
+            ready = self._gateway.ready and serves
+            return page(200, "ready") if ready else page(503, "not ready")
+        if call.act is Act.STATS:
+            return Page(200, self.figures.text(), CONTENT_TYPE)
+        if not serves:  # it would be undone by what the process before holds
+            return page(503, "not serving yet")
+        try:
+            self._change(call)
+        except NoSuchHostError:
+            return page(404, "no such host")
+        except TooManyOverridesError:
+            return page(503, "too many hosts are out by hand")
         log.info("by hand: %s %s", call.act.value, call.host)
         if self.on_change is not None:
             self.on_change()
         return page(200)
 
+    def _change(self, call: Call) -> None:
+        """Carry out a call that changes something.
+
+        Raises `NoSuchHostError` and `TooManyOverridesError`, with nothing changed.
+        """
+        match call.act:
+            case Act.FAIL:
+                self._gateway.drain_by_hand(True)
+            case Act.OK:
+                self._gateway.drain_by_hand(False)
+            case Act.MAINT:
+                self._apply(self.hands.take_out(call.host, _unix_us()))
+            case Act.READY:
+                self._apply(self.hands.put_back(call.host, _unix_us()))
+
     def _gauges(self) -> dict[str, float]:
         figures = self._gateway.figures()
         return {
@@ -109,3 +115,8 @@
             "reloads_ok": self.reloads[1],
             "reloads_failed": self.reloads[0],
         }
+
+
+def _unix_us() -> int:
+    """Unix time in microseconds."""
+    return time.time_ns() // 1000
--- a/quillroad/admin/calls.py
+++ b/quillroad/admin/calls.py
@@ -1,4 +1,4 @@
-"""What a call of an operator means. No I/O."""
+"""What a call of an operator means. Free of I/O."""
 
 from __future__ import annotations
 
@@ -7,16 +7,18 @@
 from typing import NamedTuple
 from urllib.parse import unquote_to_bytes
 
+from quillroad.admin.errors import BadCallError
+
 
 class Act(Enum):
     """What is asked for."""
 
-    HEALTH = "health"
-    STATS = "stats"
-    MAINT = "maint"
-    READY = "ready"
-    FAIL = "fail"
-    OK = "ok"
+    HEALTH = "health"  # whether the gateway serves
+    STATS = "stats"  # the metrics
+    MAINT = "maint"  # take a host out of service
+    READY = "ready"  # put a host back
+    FAIL = "fail"  # drain the gateway
+    OK = "ok"  # put the gateway back
 
 
 class Call(NamedTuple):
@@ -26,38 +28,45 @@
     host: str = ""
 
 
-class BadCall(Exception):
-    """A call that makes no sense; `status` says why, `allow` which method its path has."""
+class _Endpoint(NamedTuple):
+    """What a path is for, and the method that it has."""
 
-    def __init__(self, status: int, why: str, allow: str = "") -> None:
-        super().__init__(why)
-        self.status, self.allow = status, allow
+    method: str
+    act: Act
 
 
-_PLAIN = {
-    b"/healthcheck": ("GET", Act.HEALTH),
-    b"/stats": ("GET", Act.STATS),
-    b"/healthcheck/fail": ("POST", Act.FAIL),
-    b"/healthcheck/ok": ("POST", Act.OK),
+_BY_PATH = {
+    b"/healthcheck": _Endpoint("GET", Act.HEALTH),
+    b"/stats": _Endpoint("GET", Act.STATS),
+    b"/healthcheck/fail": _Endpoint("POST", Act.FAIL),
+    b"/healthcheck/ok": _Endpoint("POST", Act.OK),
 }
-_HOST = re.compile(rb"/hosts/([^/]+)/(maint|ready)")
+_HOST_PATH = re.compile(rb"/hosts/([^/]+)/(maint|ready)")
 
 
 def read_call(method: bytes, target: bytes) -> Call:
-    """The call of a request line; a query is passed over. Raises `BadCall`: 404 for a path that there is not,
-    405 for another method than the path has, 400 for an id that is no text."""
+    """The call of a request line; a query is passed over.
+
+    Raises `BadCallError`: 404 for a path that there is not, 405 for another method than the path
+    has, 400 for a host's id that is no text.
+    """
     path = target.partition(b"?")[0]
+    endpoint = _BY_PATH.get(path)
     host = ""
-    if (plain := _PLAIN.get(path)) is not None:
-        wanted, act = plain
-    elif (found := _HOST.fullmatch(path)) is not None:
-        wanted, act = "POST", Act.MAINT if found[2] == b"maint" else Act.READY
-        try:
-            host = unquote_to_bytes(found[1]).decode()
-        except UnicodeDecodeError:
-            raise BadCall(400, "the host's id is no text") from None
-    else:
-        raise BadCall(404, "no such path")
-    if method != wanted.encode():
-        raise BadCall(405, f"needs {wanted}", wanted)
-    return Call(act, host)
+    if endpoint is None:
+        found = _HOST_PATH.fullmatch(path)
+        if found is None:
+            raise BadCallError(404, "no such path")
+        endpoint = _Endpoint("POST", Act.MAINT if found[2] == b"maint" else Act.READY)
+        host = _host_id(found[1])
+    if method != endpoint.method.encode():
+        raise BadCallError(405, f"needs {endpoint.method}", endpoint.method)
+    return Call(endpoint.act, host)
+
+
+def _host_id(quoted: bytes) -> str:
+    """The host's id in a path; raises `BadCallError` for one that is no text."""
+    try:
+        return unquote_to_bytes(quoted).decode()
+    except UnicodeDecodeError:
+        raise BadCallError(400, "the host's id is no text") from None
--- a/quillroad/admin/figures.py
+++ b/quillroad/admin/figures.py
@@ -1,19 +1,21 @@
-"""What the gateway reports, in the exposition format (text, version 0.0.4).
+"""What the gateway reports, in the Prometheus exposition format (text, version 0.0.4).
 
-Ends of requests are counted where they are decided and nowhere else, so that served, refused, failed and in
-flight add up to what was taken. Gauges are read off whoever holds what they show, at the moment of the call.
+Ends of requests are counted where they are decided and nowhere else, so that served, refused,
+failed and in flight add up to what was taken. Gauges are read off whoever holds what they show, at
+the moment of the call.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator, Sequence
+from enum import IntEnum
 
 from prometheus_client.core import CollectorRegistry, Metric, UnknownMetricFamily
 from prometheus_client.exposition import CONTENT_TYPE_PLAIN_0_0_4, generate_latest
 
 PREFIX = "svc"
 CONTENT_TYPE = CONTENT_TYPE_PLAIN_0_0_4
-OUTCOMES = ("served", "refused", "failed")
+# Names of the gauges, and the help text of each.
 GAUGES = {
     "attempts": "Attempts written whole to hosts since the start of the process.",
     "in_flight": "Requests taken and not ended.",
@@ -24,42 +26,66 @@
 }
 
 
-def outcome(status: int) -> int:
-    """Place in `OUTCOMES` of an answer's status (0: no answer)."""
+class RequestOutcome(IntEnum):
+    """How a request ended; the label of its metric is the name in lower case."""
+
+    SERVED = 0
+    REFUSED = 1
+    FAILED = 2
+
+    @property
+    def label(self) -> str:
+        """The label's value."""
+        return self.name.lower()
+
+
+OUTCOMES = tuple(RequestOutcome)
+
+
+def outcome(status: int) -> RequestOutcome:
+    """The outcome that an answer's status tells (0: no answer)."""
     if status == 200:
-        return 0
-    return 1 if status in (429, 503) else 2
+        return RequestOutcome.SERVED
+    return RequestOutcome.REFUSED if status in (429, 503) else RequestOutcome.FAILED
 
 
 class Figures:
-    """Counts from 0 for each process. `gauges` reads the present values, by the names in `GAUGES`."""
+    """Counts from 0 for each process.
 
-    def __init__(self, classes: Sequence[str], gauges: Callable[[], dict[str, float]]) -> None:
-        self._classes, self._gauges = classes, gauges
-        self.counts = [[0, 0, 0] for _ in classes]  # by class, in the order of `OUTCOMES`
+    `routes` are the names of the routes, by their number; `gauges` reads the present values, by the
+    names in `GAUGES`.
+    """
+
+    def __init__(self, routes: Sequence[str], gauges: Callable[[], dict[str, float]]) -> None:
+        self._routes = routes
+        self._gauges = gauges
+        # Requests ended, by route and in the order of `OUTCOMES`.
+        self.counts = [[0 for _ in OUTCOMES] for _ in routes]
         self._registry = CollectorRegistry(auto_describe=False)
         self._registry.register(self)
 
     def ended(self, route: int, status: int) -> None:
-        """A request has ended with this answer; 0 where it ended with none."""
+        """Count a request that has ended with this status; 0 where it ended with no answer."""
         self.counts[route][outcome(status)] += 1
 
     def collect(self) -> Iterator[Metric]:
-        """For the library: everything as it is now. The names are told without the suffixes that typed
-        families would add, so these go out untyped."""
+        """Everything as it is now, for the library.
+
+        Untyped, since the names are told without the suffixes that typed families would add.
+        """
         requests = UnknownMetricFamily(
             f"{PREFIX}_requests",
             "Requests ended since the start of the process.",
             labels=("class", "outcome"),
         )
-        for name, counts in zip(self._classes, self.counts, strict=True):
+        for route, counts in zip(self._routes, self.counts, strict=True):
             for kind, count in zip(OUTCOMES, counts, strict=True):
-                requests.add_metric((name, kind), count)
+                requests.add_metric((route, kind.label), count)
         yield requests
         values = self._gauges()
         for name, text in GAUGES.items():
             yield UnknownMetricFamily(f"{PREFIX}_{name}", text, value=values[name])
 
     def text(self) -> bytes:
-        """The whole page."""
+        """The whole page of metrics."""
         return generate_latest(self._registry)
--- a/quillroad/gateway.py
+++ b/quillroad/gateway.py
@@ -89,7 +89,7 @@
         self.server = self._make_server(server, loop_monitor)
         # Where sources of endpoints tell of them: operators' overrides are laid over what they
         # tell.
-        self.update: Update = self.engine.update if self.admin is None else self.admin.told
+        self.update: Update = self.engine.update if self.admin is None else self.admin.endpoints_told
         self.source, self.feed = open_source(config, self.update)
         self._discovery = (config.discovery, config.hosts)
         self.registrar = make_registrar(config, lambda: self.engine.ready)
--- a/tests/admin/test_decisions.py
+++ b/tests/admin/test_decisions.py
@@ -6,8 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.admin.calls import Act, BadCall, Call, read_call
-from quillroad.admin.hands import MOST, Hands, NoSuchHostError, TooManyError
+from quillroad.admin.calls import Act, Call, read_call
+from quillroad.admin.errors import BadCallError, NoSuchHostError, TooManyOverridesError
+from quillroad.admin.host_overrides import MAX_OVERRIDES, HostOverrides
 from quillroad.balancing.endpoint import Endpoint, EndpointStatus
 from quillroad.balancing.events import EndpointUpdate, UpdateKind
 from quillroad.config import Address
@@ -44,13 +45,13 @@
     ],
 )
 def test_calls_that_make_no_sense(method: bytes, target: bytes, status: int) -> None:
-    with pytest.raises(BadCall) as told:
+    with pytest.raises(BadCallError) as told:
         read_call(method, target)
     assert told.value.status == status
 
 
 @given(st.lists(st.sampled_from(["fail", "ok", "end"])))
-def test_duty_drains_for_either_reason_and_tells_changes_only(steps: list[str]) -> None:
+def test_serving_state_drains_for_either_reason(steps: list[str]) -> None:
     serving_state, by_hand, ending = ServingState(), False, False
     for step in steps:
         before = by_hand or ending
@@ -81,67 +82,72 @@
     )
 
 
-def test_out_until_called_back_whatever_lists_say() -> None:
-    hands = Hands()
-    hands.lay(*full(line("a"), line("b")))
-    told = hands.maint("a", 100)
-    assert told is not None and told.servers.kind is UpdateKind.INCREMENTAL
-    assert [(s.id, s.status) for s in told.servers.endpoints] == [(1, EndpointStatus.DRAINING)]
-    assert hands.maint("a", 100) is None  # twice out needs one call back
-    assert [s.status for s in hands.lay(*full(line("a"), line("b"))).servers.endpoints] == [
+def test_a_host_stays_out_until_put_back_whatever_lists_say() -> None:
+    """A host is out of service while lists call it ready, leave it out, and list it again."""
+    overrides = HostOverrides()
+    overrides.apply(*full(line("a"), line("b")))
+    told = overrides.take_out("a", 100)
+    assert told is not None and told.update.kind is UpdateKind.INCREMENTAL
+    assert [(s.id, s.status) for s in told.update.endpoints] == [(1, EndpointStatus.DRAINING)]
+    assert overrides.take_out("a", 100) is None  # twice out needs one call back
+    assert [s.status for s in overrides.apply(*full(line("a"), line("b"))).update.endpoints] == [
         EndpointStatus.DRAINING,
         EndpointStatus.READY,
     ]
-    hands.lay(*full(line("b")))  # it leaves, and comes back under its id
-    assert hands.listed == 0
+    overrides.apply(*full(line("b")))  # it leaves, and comes back under its id
+    assert overrides.listed == 0
     assert (
-        hands.lay(*full(line("a"), line("b"))).servers.endpoints[0].status
+        overrides.apply(*full(line("a"), line("b"))).update.endpoints[0].status
         is EndpointStatus.DRAINING
     )
-    back = hands.ready("a", 777)
-    assert back is not None and back.servers.endpoints[0] == line("a", 777)
+    back = overrides.put_back("a", 777)
+    assert back is not None and back.update.endpoints[0] == line("a", 777)
     assert (
-        hands.ready("a", 999) is None
+        overrides.put_back("a", 999) is None
     )  # it is back: another call changes nothing, and starts nothing anew
-    assert hands.lay(*full(line("a", 99), line("b"))).servers.endpoints[0].started_us == 777
-    # A start that the source tells of, since it went out, is the one that counts: all gateways hear of it.
-    assert hands.lay(*full(line("a", 500), line("b"))).servers.endpoints[0].started_us == 500
-    assert hands.lay(*full(line("a", 900), line("b"))).servers.endpoints[0].started_us == 900
-
-
-def test_a_restart_told_before_the_call_back_is_no_second_start() -> None:
-    hands = Hands()
-    hands.lay(*full(line("a", 50)))
-    hands.maint("a", 100)
-    hands.lay(*full(line("a", 300)))
-    back = hands.ready("a", 777)
-    assert back is not None and back.servers.endpoints[0] == line("a", 300)
-
-
-def test_back_while_the_source_says_draining_or_nothing() -> None:
-    hands = Hands()
-    hands.lay(*full(line("a")))
-    hands.maint("a", 100)
-    hands.lay(*full(line("a", state=EndpointStatus.DRAINING)))
-    back = hands.ready("a", 5)
-    assert back is not None and back.servers.endpoints[0].status is EndpointStatus.DRAINING
-    hands.maint("a", 100)
-    hands.lay(*full())
-    assert hands.ready("a", 6) is None  # not listed: a yes, and nothing to tell the engine
+    assert overrides.apply(*full(line("a", 99), line("b"))).update.endpoints[0].started_us == 777
+    # A start that the source tells of, since it went out, is the one that counts: all gateways hear
+    # of it.
+    assert overrides.apply(*full(line("a", 500), line("b"))).update.endpoints[0].started_us == 500
+    assert overrides.apply(*full(line("a", 900), line("b"))).update.endpoints[0].started_us == 900
+
+
+def test_a_restart_told_before_the_return_is_no_second_start() -> None:
+    """The source tells of a restart while the host is out, then the host is put back.
+
+    Counted as two starts it would get a second slow start."""
+    overrides = HostOverrides()
+    overrides.apply(*full(line("a", 50)))
+    overrides.take_out("a", 100)
+    overrides.apply(*full(line("a", 300)))
+    back = overrides.put_back("a", 777)
+    assert back is not None and back.update.endpoints[0] == line("a", 300)
+
+
+def test_a_return_while_the_source_says_draining_or_nothing() -> None:
+    overrides = HostOverrides()
+    overrides.apply(*full(line("a")))
+    overrides.take_out("a", 100)
+    overrides.apply(*full(line("a", state=EndpointStatus.DRAINING)))
+    back = overrides.put_back("a", 5)
+    assert back is not None and back.update.endpoints[0].status is EndpointStatus.DRAINING
+    overrides.take_out("a", 100)
+    overrides.apply(*full())
+    assert overrides.put_back("a", 6) is None  # not listed: a yes, and nothing to tell the engine
     with pytest.raises(NoSuchHostError):
-        hands.ready("a", 7)
+        overrides.put_back("a", 7)
 
 
-def test_ids_that_nobody_has_and_too_many() -> None:
-    hands = Hands()
-    hands.lay(*full(line("a")))
+def test_unknown_hosts_and_too_many_overrides_are_errors() -> None:
+    overrides = HostOverrides()
+    overrides.apply(*full(line("a")))
     with pytest.raises(NoSuchHostError):
-        hands.maint("x", 1)
+        overrides.take_out("x", 1)
     with pytest.raises(NoSuchHostError):
-        hands.ready("x", 1)
-    hands.out = {str(i): 1 for i in range(MOST)}
-    with pytest.raises(TooManyError):
-        hands.maint("a", 100)
+        overrides.put_back("x", 1)
+    overrides.out = {str(i): 1 for i in range(MAX_OVERRIDES)}
+    with pytest.raises(TooManyOverridesError):
+        overrides.take_out("a", 100)
 
 
 @given(
@@ -156,12 +162,14 @@
         )
     )
 )
-def test_no_host_out_by_hand_is_ever_shown_ready(
+def test_no_host_out_of_service_is_ever_shown_ready(
     steps: list[tuple[str, str, EndpointStatus, int]],
 ) -> None:
-    """Whatever lists, calls and moves to another process come in whatever order; and the engine's own
-    picture, built from what it was told alone, is that of a fresh look at the whole list."""
-    hands, source, out = Hands(), {}, set[str]()
+    """Lists, calls and moves to another process come in whatever order.
+
+    The engine's own picture, built from what it was told alone, is that of a fresh look at the
+    whole list."""
+    overrides, source, out = HostOverrides(), {}, set[str]()
     engine: dict[int, Endpoint] = {}
     for now, (step, name, state, started) in enumerate(steps, 100):
         told = None
@@ -170,10 +178,10 @@
             if state is EndpointStatus.REMOVED:
                 del source[name]
             if step == "list":
-                told = hands.lay(*full(*source.values()))
+                told = overrides.apply(*full(*source.values()))
                 engine = {}
             else:
-                told = hands.lay(
+                told = overrides.apply(
                     EndpointUpdate(UpdateKind.INCREMENTAL, (line(name, started, state),)),
                     {NAMES.index(name) + 1: name},
                     {NAMES.index(name) + 1: ("127.0.0.1", 1)},
@@ -181,22 +189,22 @@
         elif (
             step == "move"
         ):  # an upgrade: the newcomer has its own list, and learns what is by hand
-            other = Hands()
-            engine = {s.id: s for s in other.lay(*full(*source.values())).servers.endpoints}
-            told = other.learn(hands.out, hands.back)
-            hands = other
+            other = HostOverrides()
+            engine = {s.id: s for s in other.apply(*full(*source.values())).update.endpoints}
+            told = other.learn(overrides.out, overrides.back)
+            overrides = other
         elif name in source and step == "maint":
-            told = hands.maint(name, now)
+            told = overrides.take_out(name, now)
             out.add(name)
         elif name in out and step == "ready":
-            told = hands.ready(name, now)
+            told = overrides.put_back(name, now)
             out.discard(name)
         if told is not None:
-            for server in told.servers.endpoints:
+            for server in told.update.endpoints:
                 engine[server.id] = server
                 if server.status is EndpointStatus.REMOVED:
                     del engine[server.id]
-        assert set(hands.out) == out
+        assert set(overrides.out) == out
         assert set(engine) == {s.id for s in source.values()}
         for server in engine.values():
             shown = NAMES[server.id - 1]
--- a/tests/admin/test_front.py
+++ b/tests/admin/test_front.py
@@ -11,9 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quillroad.admin import front
+from quillroad.admin import listener
 from quillroad.admin.calls import Call
-from quillroad.admin.front import PLACES, Front, Page, page
+from quillroad.admin.listener import MAX_CONNECTIONS, OperatorListener
+from quillroad.admin.pages import Page, page
 from quillroad.overload.acceptor import open_listener
 from tests.net import Message, World, answer, hang, on_loop, read_message, serve_ok, until, world
 
@@ -42,7 +43,9 @@
 
 
 @on_loop
-async def test_figures_add_up_to_what_was_taken() -> None:
+async def test_metrics_add_up_to_the_requests_taken() -> None:
+    """Seven requests end in different ways and one is open: each is counted exactly once."""
+
     async def by_path(message: Message, writer: asyncio.StreamWriter) -> None:
         if "hangs" in message.first:
             await hang(message, writer)
@@ -73,7 +76,10 @@
 
 
 @on_loop
-async def test_a_host_out_by_hand_gets_nothing_until_called_back() -> None:
+async def test_a_host_out_of_service_gets_nothing_until_put_back() -> None:
+    """An operator takes a host out and restarts it; the platform's list calls it up meanwhile.
+
+    A request that reached it then would be lost in the restart."""
     async with world(serve_ok, serve_ok, admin_addr=ADMIN) as one, one.client() as client:
         first = one.hosts[0]
         assert await post(one, "/hosts/nobody/maint") == 404
@@ -93,7 +99,8 @@
 
 
 @on_loop
-async def test_the_last_host_out_leaves_refusals_not_silence() -> None:
+async def test_with_the_last_host_out_clients_are_rejected() -> None:
+    """An operator takes out the only host: clients get a 503 or 504, not a silent connection."""
     async with world(serve_ok, admin_addr=ADMIN) as one, one.client() as client:
         assert await post(one, f"/hosts/{one.hosts[0].name}/maint") == 200
         assert (await client.ask(Request_Timeout_Ms="300")).status in (503, 504)
@@ -103,7 +110,11 @@
 
 
 @on_loop
-async def test_drained_by_hand_ends_connections_and_comes_back() -> None:
+async def test_a_drained_gateway_ends_connections_and_comes_back() -> None:
+    """An operator drains a gateway with open connections, and puts it back later.
+
+    Requests that still come are answered, with `Connection: close`; idle connections end; after the
+    return connections are kept again."""
     async with world(serve_ok, admin_addr=ADMIN) as one:
         assert one.gateway.admin is not None
         async with one.client() as idle, one.client() as asking:
@@ -125,7 +136,10 @@
 
 
 @on_loop
-async def test_an_operators_ok_does_not_undo_the_end() -> None:
+async def test_an_operator_cannot_undo_the_end_of_the_process() -> None:
+    """SIGTERM, then an operator drains the gateway and takes that back.
+
+    A gateway that called itself ready again would get connections that end with it."""
     async with world(serve_ok, admin_addr=ADMIN) as one:
         assert one.gateway.admin is not None
         ending = asyncio.ensure_future(one.gateway.drain())
@@ -138,7 +152,8 @@
 
 
 @on_loop
-async def test_two_hundred_half_calls_keep_nobody_out() -> None:
+async def test_200_unfinished_calls_keep_no_operator_out() -> None:
+    """200 connections send half a call and stay; an operator's call is answered within a second."""
     async with world(serve_ok, admin_addr=ADMIN) as one:
         assert one.gateway.admin is not None
         port, halves = one.gateway.admin.port, []
@@ -149,24 +164,24 @@
         began = monotonic()
         assert await post(one, f"/hosts/{one.hosts[0].name}/maint") == 200
         assert monotonic() - began < 1.0  # what is owed by the rule on calls
-        assert len(one.gateway.admin.front) <= PLACES
+        assert len(one.gateway.admin.listener) <= MAX_CONNECTIONS
         for _, writer in halves:
             writer.close()
-        await until(lambda: one.gateway.admin is not None and len(one.gateway.admin.front) == 0)
+        await until(lambda: one.gateway.admin is not None and len(one.gateway.admin.listener) == 0)
 
 
 @contextlib.asynccontextmanager
-async def alone() -> AsyncIterator[tuple[Front, int, list[Call]]]:
+async def alone() -> AsyncIterator[tuple[OperatorListener, int, list[Call]]]:
     calls: list[Call] = []
 
     def act(told: Call) -> Page:
         calls.append(told)
         return page(200)
 
-    one = Front(asyncio.get_running_loop(), act)
-    listener = open_listener("127.0.0.1", 0)
-    port = listener.getsockname()[1]
-    one.listen(listener)
+    one = OperatorListener(asyncio.get_running_loop(), act)
+    sock = open_listener("127.0.0.1", 0)
+    port = sock.getsockname()[1]
+    one.listen(sock)
     try:
         yield one, port, calls
     finally:
@@ -185,7 +200,8 @@
 
 
 @on_loop
-async def test_what_cannot_be_read_costs_its_own_connection() -> None:
+async def test_a_bad_call_costs_its_own_connection() -> None:
+    """Calls that are no HTTP, ambiguous or too long: each gets its status, and changes nothing."""
     async with alone() as (one, port, calls):
         bad: dict[bytes, bytes] = {
             b"nonsense\r\n\r\n": b"400",
@@ -204,14 +220,14 @@
 
 
 @on_loop
-async def test_a_call_without_end_is_told_so() -> None:
-    before, front.CALL_S = front.CALL_S, 0.05
+async def test_a_call_that_never_ends_gets_408() -> None:
+    before, listener.CALL_TIMEOUT_S = listener.CALL_TIMEOUT_S, 0.05
     try:
         async with alone() as (_, port, calls):
             assert b" 408 " in await say(port, b"POST /healthcheck/fail HTTP/1.1\r\n")
             assert calls == []
     finally:
-        front.CALL_S = before
+        listener.CALL_TIMEOUT_S = before
 
 
 @settings(max_examples=25, deadline=None)
--- a/tests/recordings/operators.py
+++ b/tests/recordings/operators.py
@@ -8,9 +8,10 @@
 from typing import Any, cast
 from unittest.mock import patch
 
-from quillroad.admin.calls import Act, BadCall, Call, read_call
+from quillroad.admin.calls import Act, Call, read_call
+from quillroad.admin.errors import BadCallError
 from quillroad.admin.figures import GAUGES, OUTCOMES, Figures
-from quillroad.admin.front import REASONS, Page, page
+from quillroad.admin.pages import REASONS, Page, page
 from quillroad.balancing.endpoint import Endpoint
 from quillroad.balancing.events import EndpointUpdate, Outcome, UpdateKind
 from quillroad.counts import Counts
@@ -75,7 +76,7 @@
     for method, target, _ in parameters(test_decisions.test_calls_that_make_no_sense):
         try:
             read_call(method, target)
-        except BadCall as bad:
+        except BadCallError as bad:
             answer = page(bad.status, str(bad), bad.allow)
             told[f"{method.decode()} {target.decode()}"] = _shown(answer)
     return told
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,4 +1,4 @@
-"""Files for people: written off the loop, the newest state only, and bounded while the disk stands still."""
+"""Files for people: written off the event loop, the newest state only, with a bound on what waits."""
 
 from __future__ import annotations
 
@@ -15,9 +15,13 @@
 
 
 @on_loop
-async def test_a_disk_that_stands_still_holds_nothing_up_and_costs_states_in_between(
+async def test_a_disk_that_stands_still_holds_nothing_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The disk takes nothing for a while; a thousand states and ten thousand lines come meanwhile.
+
+    The loop goes on, memory stays bounded, and the newest state and the lines are there in the end.
+    """
     moves, written = threading.Event(), list[bytes]()
 
     def slow(path: Path, data: bytes) -> None:
@@ -47,9 +51,10 @@
 
 
 @on_loop
-async def test_a_folder_that_went_away_is_said_and_nothing_more(
+async def test_a_missing_folder_is_said_in_the_log(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """A folder goes away while the gateway writes into it: the log says so, other files go on."""
     writer = Writer(asyncio.get_running_loop())
     writer.replace(tmp_path / "gone" / "view", b"x")
     await until(lambda: "cannot write" in caplog.text)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -82,8 +82,11 @@
 
 
 @on_loop
-async def test_sigterm_answers_what_was_taken(tmp_path: Path) -> None:
-    """A restart loses nothing that is open, also when its answer comes after all idle connections ended."""
+async def test_sigterm_answers_open_requests(tmp_path: Path) -> None:
+    """SIGTERM while one request is open and another connection is idle.
+
+    A restart loses nothing that is open, also when its answer comes after all idle connections
+    ended."""
     host = await FakeHost(behave=hang).start()
     process, port = await started(tmp_path, host)
     async with Client(port) as busy, Client(port) as idle:
@@ -101,7 +104,7 @@
 
 @on_loop
 async def test_a_drain_serves_what_the_front_still_sends(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The front learns of the end late: new connections and those it has are served on for that time."""
+    """The front learns of the end late: until then it opens and uses connections as before."""
     monkeypatch.setattr(quillroad.gateway, "ACCEPT_S", 1000.0)
     async with world(serve_ok) as w, w.client() as before:
         assert (await before.ask()).status == 200
@@ -116,7 +119,8 @@
 
 
 @on_loop
-async def test_sigterm_ends_idle_connections_and_the_program(tmp_path: Path) -> None:
+async def test_sigterm_ends_idle_connections_and_the_process(tmp_path: Path) -> None:
+    """SIGTERM with nothing to do: the idle connection ends, and so does the process."""
     process, port = await started(tmp_path, await FakeHost().start())
     async with Client(port) as idle:
         assert (await idle.ask()).status == 200
@@ -171,7 +175,7 @@
     assert field in text
 
 
-def test_no_configuration_is_named_too() -> None:
+def test_a_missing_configuration_names_its_variable() -> None:
     with pytest.raises(ConfigError, match="GW_CONFIG"):
         load({})
     with pytest.raises(ConfigError, match="GW_CONFIG"):
@@ -191,7 +195,9 @@
 
 @on_loop
 async def test_sighup_moves_the_watch_and_keeps_all_else(tmp_path: Path) -> None:
-    """SIGHUP used to kill the process. What is open is answered on the connections that were open."""
+    """The platform's address changes by SIGHUP while a request is open.
+
+    SIGHUP used to end the process. What is open is answered on the connections that were open."""
     host = await FakeHost(behave=hang).start()
     process, port = await started(tmp_path, host)
     successor = await FakeDiscovery(host.entry()).start()
@@ -213,9 +219,13 @@
 
 
 @on_loop
-async def test_a_reload_goes_by_the_file_and_a_bad_file_changes_nothing(
+async def test_a_reload_with_a_bad_file_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """Three bad files, then a good one that moves discovery, then the same again.
+
+    A bad file is said in one line of the log and the gateway goes on; a good one moves the watch
+    without a request lost; the same file again changes nothing."""
     path = tmp_path / "config.json"
     async with world(serve_ok) as w, w.client() as client:
         environment = {"GW_CONFIG": str(path), "GW_DISCOVERY": f"127.0.0.1:{w.discovery.port}"}
