--- a/quillroad/admin/admin.py
+++ b/quillroad/admin/admin.py
@@ -54,7 +54,7 @@
         """Take no more calls and end those that are there."""
         self.listener.stop()
 
-    def endpoints_told(
+    def update_endpoints(
         self, update: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
         """Go by what a source tells of endpoints, with the overrides laid over it."""
--- a/quillroad/admin/listener.py
+++ b/quillroad/admin/listener.py
@@ -56,43 +56,54 @@
         self._timer = listener.loop.call_at(self.since + CALL_TIMEOUT_S, self._time_out)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take note of the transport."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Let go of everything; the listener has a place more."""
         self._transport = None
         self._parser = None  # it refers back: the cycle would wait for the collector
         self._timer.cancel()
         self._listener.forget(self)
 
     def data_received(self, data: bytes) -> None:
+        """Read bytes of the call; answer it once it is whole, bad or too long."""
         if self.answered or self._parser is None:
             return
         self._bytes_read += len(data)
         try:
             self._parser.feed_data(data)
-            if self._bytes_read > MAX_CALL_BYTES and not self.answered:
-                raise BadRequestError(431 if self._in_head else 413, "a call too long")
         except httptools.HttpParserUpgrade:
             pass  # the offer is not taken up; the call has been answered
         except (httptools.HttpParserError, BadRequestError) as error:
-            if self.answered:
-                return  # what follows a whole call is nobody's
             bad = error if isinstance(error, BadRequestError) else self._bad_request
-            self._answer(page(400, "not HTTP") if bad is None else page(bad.status, str(bad)))
+            self._answer_bad(page(400, "not HTTP") if bad is None else page(bad.status, str(bad)))
+            return
+        if self._bytes_read > MAX_CALL_BYTES:
+            self._answer_bad(page(431 if self._in_head else 413, "a call too long"))
+
+    def _answer_bad(self, answer: Page) -> None:
+        """Answer bytes that are no call; what follows a whole call is nobody's."""
+        if not self.answered:
+            self._answer(answer)
 
     def eof_received(self) -> bool:
-        return self.answered  # with its answer on the way it may still be read: the transport stays
+        """Keep the transport where an answer is on its way: the caller may still read it."""
+        return self.answered
 
     # Called by the parser.
 
     def on_url(self, url: bytes) -> None:
+        """A piece of the target."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """A header, or a trailer, which means nothing here."""
         if self._in_head:
             self._headers.append((name, value.strip()))
 
     def on_headers_complete(self) -> None:
+        """Raise `BadRequestError` where the framing is ambiguous or the body too long."""
         assert self._parser is not None
         self._in_head = False
         try:
@@ -103,12 +114,14 @@
             raise
 
     def on_body(self, body: bytes) -> None:
+        """Raise `BadRequestError` where a body of untold length is too long."""
         self._body_bytes += len(body)
         if self._body_bytes > MAX_BODY_BYTES:
             self._bad_request = BadRequestError(413, "no call has such a body")
             raise self._bad_request
 
     def on_message_complete(self) -> None:
+        """Carry the call out, and answer it."""
         if self.answered or self._parser is None:
             return
         try:
--- a/quillroad/gateway.py
+++ b/quillroad/gateway.py
@@ -53,8 +53,9 @@
     """The parts of one gateway, wired.
 
     `engine` and `server` are the kinds of these parts; `zones` names the file that holds traffic to
-    other zones to a budget, if there is one. `taken` descriptors of the process's limit are
-    somebody else's (0 or more). Raises ConfigError where a file of an optional part cannot work.
+    other zones to a budget, if there is one. `inherited_count` descriptors of the process's limit
+    are somebody else's (0 or more). Raises ConfigError where a file of an optional part cannot
+    work.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         engine: type[Engine] = Engine,
         server: type[Server] = Server,
         zones: Path | None = None,
-        taken: int = 0,
+        inherited_count: int = 0,
     ) -> None:
         self.config = config
         self.loop = loop
@@ -73,23 +74,18 @@
         self._connection_checks: asyncio.Task[None] | None = None
         self._idle_closing: asyncio.Task[None] | None = None
         self.admin = make_admin(self, config)
-        reserved = taken + admin_descriptors(self.admin)
+        reserved = inherited_count + admin_descriptors(self.admin)
         self.descriptors = Descriptors(config.sockets - reserved)
         loop_monitor = EventLoopMonitor(loop)
-        self.upstream = Upstream(
-            loop,
-            self.descriptors,
-            config.connect_timeout_s,
-            config.idle_s,
-            loop_monitor,
-            config.longest_body,
-        )
+        self.upstream = self._make_upstream(loop_monitor)
         self.zones = make_zones(zones, config, loop)
         self.engine = self._make_engine(engine)
         self.server = self._make_server(server, loop_monitor)
         # Where sources of endpoints tell of them: operators' overrides are laid over what they
         # tell.
-        self.update: Update = self.engine.update if self.admin is None else self.admin.endpoints_told
+        self.update: Update = (
+            self.engine.update if self.admin is None else self.admin.update_endpoints
+        )
         self.source, self.feed = open_source(config, self.update)
         self._discovery = (config.discovery, config.hosts)
         self.registrar = make_registrar(config, lambda: self.engine.ready)
@@ -101,6 +97,17 @@
         optional: list[Part | None] = [self.zones, self.registrar, self.counts, self.fleet]
         self._optional_parts = [part for part in optional if part is not None]
 
+    def _make_upstream(self, loop_monitor: EventLoopMonitor) -> Upstream:
+        """The hosts' side."""
+        return Upstream(
+            self.loop,
+            self.descriptors,
+            self.config.connect_timeout_s,
+            self.config.idle_s,
+            loop_monitor,
+            self.config.longest_body,
+        )
+
     def _make_engine(self, engine: type[Engine]) -> Engine:
         """The engine round a balancer of its own, under the cross-zone budget if there is one."""
         budget = None if self.zones is None else self.zones.crossing
--- a/quillroad/overload/admission_queue.py
+++ b/quillroad/overload/admission_queue.py
@@ -29,7 +29,7 @@
 
 from quillroad.overload.admission_tuning import Tuning
 from quillroad.overload.quota_bucket import QuotaBucket
-from quillroad.overload.route_queue import RouteQueue, Waiting, kept_fractions
+from quillroad.overload.route_queue import RouteQueue, Waiting, retained_fractions
 
 __all__ = ["Admission", "Lane", "LearnedTimes", "Waiting"]
 
@@ -76,16 +76,16 @@
 class Admission:
     """The queue in front of the core, and who may join it.
 
-    `lanes` are the routes. A request beyond its tenant's quota counts with `over_quota_weight` (0
-    to 1) of its route's priority weight. `quotas` are the tenants' rates at this gateway in
-    requests a second; with none there are no quotas. `cores` is the part of a core that the
-    platform allows (above 0). `capacity` is how many requests of all kinds may be in flight in the
-    gateway.
+    `routes` are in the order of their numbers. A request beyond its tenant's quota counts with
+    `over_quota_weight` (0 to 1) of its route's priority weight. `quotas` are the tenants' rates at
+    this gateway in requests a second; with none there are no quotas. `cores` is the part of a core
+    that the platform allows (above 0). `capacity` is how many requests of all kinds may be in
+    flight in the gateway.
     """
 
     def __init__(
         self,
-        lanes: Sequence[Lane],
+        routes: Sequence[Lane],
         over_quota_weight: float = 1.0,
         quotas: Sequence[float] = (),
         cores: float = 1.0,
@@ -93,9 +93,11 @@
         tuning: Tuning | None = None,
     ) -> None:
         self._tuning = tuning or Tuning()
-        self._queues = [RouteQueue(lane.within_s) for lane in lanes]
-        self._kept_fractions = kept_fractions([lane.worth for lane in lanes], over_quota_weight)
-        self._least_kept = min(self._kept_fractions)
+        self._queues = [RouteQueue(route.within_s) for route in routes]
+        self._retained_fractions = retained_fractions(
+            [route.worth for route in routes], over_quota_weight
+        )
+        self._least_retained = min(self._retained_fractions)
         self._squeezed = 0.0  # how far levels below a contended one are squeezed, 0 to 1
         self._quotas = [QuotaBucket(rate) for rate in quotas]
         self._capacity = max(1, capacity)
@@ -118,7 +120,7 @@
         return self._cost_s
 
     def _priority_level(self, now: float, route: int, tenant: int, takes: bool) -> int:
-        """Place in `_kept_fractions`: the routes within quota, then the routes beyond it."""
+        """Place in `_retained_fractions`: the routes within quota, then the routes beyond it."""
         within = not self._quotas or (
             0 <= tenant < len(self._quotas) and self._quotas[tenant].admits(now, takes)
         )
@@ -221,16 +223,16 @@
             return True
         if not self.waiting and 2 * in_flight <= self._capacity:
             return False
-        kept = self._kept_fractions[self._priority_level(now, route, tenant, takes)]
-        fraction = 1.0 - self._squeezed * (1.0 - kept)
-        room_s = tuning.max_queue_fraction * max(0.0, begin_by - now)
+        retained = self._retained_fractions[self._priority_level(now, route, tenant, takes)]
+        fraction = 1.0 - self._squeezed * (1.0 - retained)
+        available_s = tuning.max_queue_fraction * max(0.0, begin_by - now)
         ahead_s = self._predicted_wait_s(self._queues[route], begin_by)
         contended = tuning.contended_fraction * fraction
-        if kept > self._least_kept and (
-            ahead_s > contended * room_s or in_flight > contended * self._capacity
+        if retained > self._least_retained and (
+            ahead_s > contended * available_s or in_flight > contended * self._capacity
         ):
             self._squeezed = min(1.0, self._squeezed + tuning.squeeze_step)
-        too_long = ahead_s > 0.0 and ahead_s > fraction * room_s
+        too_long = ahead_s > 0.0 and ahead_s > fraction * available_s
         return too_long or in_flight > fraction * self._capacity
 
     def _predicted_wait_s(self, queue: RouteQueue, begin_by: float) -> float:
--- a/quillroad/overload/fast_path_parse.py
+++ b/quillroad/overload/fast_path_parse.py
@@ -43,11 +43,8 @@
     line, _, _ = head.partition(b"\r\n")
     if not line.endswith(b" HTTP/1.1"):
         return None
-    if line.startswith(b"GET /"):
-        path = line[5:-9]
-    elif line.startswith(b"POST /"):
-        path = line[6:-9]
-    else:
+    path = _path(line)
+    if path is None:
         return None
     lower = head.lower()
     size = _body_size(lower)
@@ -62,6 +59,15 @@
     )
 
 
+def _path(line: bytes) -> bytes | None:
+    """The path of a request line, without its first slash; None for other methods than two."""
+    if line.startswith(b"GET /"):
+        return line[len(b"GET /") : -len(b" HTTP/1.1")]
+    if line.startswith(b"POST /"):
+        return line[len(b"POST /") : -len(b" HTTP/1.1")]
+    return None
+
+
 def _body_size(lower_head: bytes) -> int | None:
     """Bytes of the body that a head in lower case announces; None where that is not plain."""
     if b"transfer-encoding" in lower_head:
--- a/quillroad/overload/route_queue.py
+++ b/quillroad/overload/route_queue.py
@@ -1,4 +1,4 @@
-"""The requests of one route that wait in the admission queue, and what each priority keeps of it.
+"""The requests of one route that wait in the admission queue, and what each priority retains of it.
 
 Free of I/O; times are seconds of one clock that never goes back.
 """
@@ -51,8 +51,8 @@
         return len(entries) * min(1.0, (begin_by - first) / (last - first))
 
 
-def kept_fractions(weights: Sequence[float], over_quota_weight: float) -> list[float]:
-    """What each priority level keeps of the queue when squeezed (above 0, up to 1).
+def retained_fractions(weights: Sequence[float], over_quota_weight: float) -> list[float]:
+    """What each priority level retains of the queue when squeezed (above 0, up to 1).
 
     Levels are the routes within quota, then the routes beyond it. Even steps from the highest
     weight to the lowest, equal for equal weights.
--- a/quillroad/run.py
+++ b/quillroad/run.py
@@ -35,7 +35,7 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    gateway = Gateway(config, loop, zones=zones, taken=inherited_count)
+    gateway = Gateway(config, loop, zones=zones, inherited_count=inherited_count)
     await gateway.start()
     if inherited_count:
         log.info(
