--- a/quillroad/upgrade/sibling_process.py
+++ b/quillroad/upgrade/sibling_process.py
@@ -20,7 +20,7 @@
 
 from quillroad import admin
 from quillroad.config import RESERVED, Config, ConfigError
-from quillroad.gateway import start_log
+from quillroad.logs import start_log
 from quillroad.overload.acceptor import open_listener
 from quillroad.upgrade.channel import close_all
 from quillroad.upgrade.messages import Ended, Hello, Message, Ready, Room, Welcome, batch_of
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,4 +1,4 @@
-"""Files for people: written off the loop, the newest state only, and bounded while the disk stands still."""
+"""Files for people: written off the event loop, the newest state only, with a bound on what waits."""
 
 from __future__ import annotations
 
@@ -10,14 +10,18 @@
 import pytest
 
 from quillroad import files
-from quillroad.files import MOST_LINES, Writer
+from quillroad.files import MAX_WAITING_LINES, Writer
 from tests.net import on_loop, until
 
 
 @on_loop
-async def test_a_disk_that_stands_still_holds_nothing_up_and_costs_states_in_between(
+async def test_a_disk_that_stands_still_holds_nothing_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The disk takes nothing for a while; a thousand states and ten thousand lines come meanwhile.
+
+    The loop goes on, memory stays bounded, and the newest state and the lines are there in the end.
+    """
     moves, written = threading.Event(), list[bytes]()
 
     def slow(path: Path, data: bytes) -> None:
@@ -28,7 +32,7 @@
     writer = Writer(asyncio.get_running_loop())
     for number in range(1000):
         writer.replace(tmp_path / "view", b"%d" % number)
-    for number in range(MOST_LINES + 5):
+    for number in range(MAX_WAITING_LINES + 5):
         writer.append(tmp_path / "changes", f"line {number}")
     assert writer.left_out == 5
     moves.set()
@@ -43,13 +47,14 @@
     writer.close()
     moves.set()
     await until(lambda: (tmp_path / "changes").read_text().endswith("last\n"))
-    assert len((tmp_path / "changes").read_text().splitlines()) == MOST_LINES + 1
+    assert len((tmp_path / "changes").read_text().splitlines()) == MAX_WAITING_LINES + 1
 
 
 @on_loop
-async def test_a_folder_that_went_away_is_said_and_nothing_more(
+async def test_a_missing_folder_is_said_in_the_log(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """A folder goes away while the gateway writes into it: the log says so, other files go on."""
     writer = Writer(asyncio.get_running_loop())
     writer.replace(tmp_path / "gone" / "view", b"x")
     await until(lambda: "cannot write" in caplog.text)
