--- a/quillroad/downstream/connection_limit.py
+++ b/quillroad/downstream/connection_limit.py
@@ -1,9 +1,10 @@
-"""Which client connection is taken, which ends for another, and who is told that there is no room. No I/O.
+"""Which client connection is taken, which ends for another, and who is told that there is no room.
+No I/O.
 
-Times are seconds of one clock that never goes back. Connections are whatever objects the caller has; `unread`
-says of one whether bytes have come that were not read yet. Whoever has sent a request is never ended for
-another: its connection is busy, or has bytes unread. Who finds no place waits in the kernel, where its age
-counts all the same.
+Times are seconds of one clock that never goes back. Connections are whatever objects the caller
+has; `unread` says of one whether bytes have come that were not read yet. Whoever has sent a request
+is never ended for another: its connection is busy, or has bytes unread. Who finds no place waits in
+the kernel, where its age counts all the same.
 """
 
 from __future__ import annotations
@@ -21,12 +22,13 @@
 RESTED_S = 0.02  # before which none ends for resting long: with 0.2 s incident re32883 fell from 0.96 to 0.78
 RESTING_PART = 0.4  # of the places: past it those at rest for longest end, for new ones to come
 WRITTEN_S = 2.1  # after which one that still writes, with nothing new, ends for another: clients may take 2 s
-# Of the places, beyond them, for those who write: they need no connection to a host yet, whose half of the
-# descriptors is theirs meanwhile. crowd+term+scrape: 16 a second that never ended held 48 of 75 places.
+# Of the places, beyond them, for those who write: they need no connection to a host yet, whose half
+# of the descriptors is theirs meanwhile. crowd+term+scrape: 16 a second that never ended held 48 of
+# 75 places.
 WRITING_PART = 0.5
 EXTRA_PART = 0.25  # of the places, beyond them: for those who are told that there is none
-# Connections beyond those, whose requests can't be told at a glance: 32 at most, and of few places a part, or
-# clients who say nothing would hold the hosts' half of the descriptors.
+# Connections beyond those, whose requests can't be told at a glance: 32 at most, and of few places
+# a part, or clients who say nothing would hold the hosts' half of the descriptors.
 STRAYS, STRAYS_PART = 32, 0.25
 LOOKED_AT = 8  # connections at most, of each kind, for one to end
 
@@ -107,9 +109,10 @@
         return len(self._stages) - min(len(self._writing), self._writing_most)
 
     def to_end(self, now: float) -> Connection | None:
-        """The connection to end for a new one: one that has its last answer, then one that says nothing, then
-        one that does not get on with what it began to say, then the one longest between two requests. None:
-        all others are too new to tell, or have asked for something."""
+        """The connection to end for a new one: one that has its last answer, then one that says
+        nothing, then one that does not get on with what it began to say, then the one longest
+        between two requests. None: all others are too new to tell, or have asked for something.
+        """
         settled = now - UNHEARD_S
         for connection, since in islice(self._since[ConnectionState.LEAVING].items(), 1):
             if since < settled:
@@ -134,16 +137,18 @@
         return self._held() < self._most
 
     def may_look(self) -> bool:
-        """Whether one more may be taken to see whether it can be told at once that there is no place, before
-        it is one of the connections. Guards those outside: a queue that nobody leaves would hold them for
-        longer than they wait for an answer."""
+        """Whether one more may be taken to see whether it can be told at once that there is no
+        place, before it is one of the connections. Guards those outside: a queue that nobody leaves
+        would hold them for longer than they wait for an answer.
+        """
         return self._held() < self._most + self._strays
 
     def overstayed(self, now: float) -> Connection | None:
-        """A connection to end though nobody is seen to wait: past so many at rest, the one that rested for
-        longest, if that is longer than a client takes to ask again. Guards against clients that ask once and
-        stay: those who share their connections among few would find none, and nobody would come for whom one
-        could be ended."""
+        """A connection to end though nobody is seen to wait: past so many at rest, the one that
+        rested for longest, if that is longer than a client takes to ask again. Guards against
+        clients that ask once and stay: those who share their connections among few would find none,
+        and nobody would come for whom one could be ended.
+        """
         if len(self._resting) <= self._resting_most:
             return None
         settled = now - RESTED_S
--- /dev/null
+++ b/quillroad/downstream/responses.py
@@ -0,0 +1,89 @@
+"""Bytes of responses to clients: status line, headers, body, and the framing of streamed bodies. No
+I/O.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
+
+
+class BodyStream(Protocol):
+    """The rest of a long answer, as the host gives it.
+
+    Whoever takes it sets `on_data` (gets the bytes) and `on_end` (gets whether all of them came),
+    calls `pause` while its own side is full and `abandon` when nobody wants the rest any more;
+    after that neither callback is called.
+    """
+
+    on_data: Callable[[bytes], None] | None
+    on_end: Callable[[bool], None] | None
+
+    def pause(self) -> None:
+        """Take nothing more from the host for now."""
+
+    def resume(self) -> None:
+        """Go on after `pause`."""
+
+    def abandon(self) -> None:
+        """Give the rest up."""
+
+
+def response(
+    status: int, body: bytes, content_type: bytes | None, retry_after_us: int | None, keep: bool
+) -> bytes:
+    """A whole response. `retry_after_us` is the wait told, in microseconds; `keep` says whether the
+    connection stays open.
+    """
+    lines = [b"HTTP/1.1 %d %b" % (status, REASONS[status])]
+    if content_type is not None:
+        lines.append(b"Content-Type: " + content_type)
+    if retry_after_us is not None:
+        lines.append(b"Retry-After: %.3f" % (retry_after_us / 1e6))
+    lines.append(b"Content-Length: %d" % len(body))
+    lines.append(b"Connection: keep-alive" if keep else b"Connection: close")
+    return b"\r\n".join(lines) + b"\r\n\r\n" + body
+
+
+def refusal(keep: bool, retry_after_us: int) -> bytes:
+    """A whole 503 that turns a request away; `retry_after_us` is the wait told, in microseconds, 0
+    for none.
+    """
+    return response(503, b"", None, retry_after_us or None, keep)
+
+
+def streamed_head(content_type: bytes | None, length: int, chunked: bool, keep: bool) -> bytes:
+    """The head of a 200 whose body follows.
+
+    `length` is the body's in bytes, -1 where the host has not told it; such a body is `chunked`, or
+    ends with the connection.
+    """
+    lines = [b"HTTP/1.1 200 OK"]
+    if content_type is not None:
+        lines.append(b"Content-Type: " + content_type)
+    if chunked:
+        lines.append(b"Transfer-Encoding: chunked")
+    elif length >= 0:
+        lines.append(b"Content-Length: %d" % length)
+    lines.append(b"Connection: keep-alive" if keep else b"Connection: close")
+    return b"\r\n".join(lines) + b"\r\n\r\n"
+
+
+def chunk(data: bytes) -> bytes:
+    """One chunk of a body in chunked coding; `data` is not empty."""
+    return b"%x\r\n%b\r\n" % (len(data), data)
--- a/quillroad/framing.py
+++ b/quillroad/framing.py
@@ -1,42 +1,65 @@
 """Where a request ends, beyond doubt. No I/O.
 
-Guards against a request hidden in the body of another: a host that goes by the other of two headers would run
-it. The parser has checks of its own, but what it is lenient about changes with its version.
+Two headers that name different ends let a request hide in the body of another (request smuggling):
+a host that goes by the other header would run it. The parser has checks of its own, but what it is
+lenient about changes with its version.
 """
 
 from __future__ import annotations
 
-FRAMED = (
-    8  # bytes of a message at most for each of its body: a chunk's extension reaches no callback
-)
+from quillroad.errors import BadRequestError, FramingError
 
+__all__ = ["FRAMED", "HEAD_LIMIT", "BadRequestError", "FramingError", "check_framing"]
 
-class BadRequestError(Exception):
-    """What came is no request; `status` says why."""
+# Bytes of a start line and all headers, of a request or a response: far more than clients and hosts
+# send.
+HEAD_LIMIT = 16 * 1024
+# Bytes of a message at most for each byte of its head's limit and body: chunk extensions and
+# trailers reach no callback of the parser, and without this one without end would be read for ever.
+FRAMED = 8
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status = status
+_LENGTH = b"content-length"
+_CODING = b"transfer-encoding"
+_LENGTH_DIGITS = 19  # of a Content-Length at most: more than any body, and within 64 bits
 
 
 def check_framing(version: str, headers: list[tuple[bytes, bytes]]) -> int:
-    """The length of the body that is told, in bytes; -1 for one in chunks. Raises `BadRequestError` unless it
-    is beyond doubt where the request ends."""
-    framing = [
-        (n.lower().replace(b"_", b"-").strip(), n, v) for n, v in headers if n[:1] in b"cCtT"
-    ]
-    lengths = [(n, v) for plain, n, v in framing if plain == b"content-length"]
-    codings = [(n, v) for plain, n, v in framing if plain == b"transfer-encoding"]
-    if any(b"_" in name or name != name.strip() for name, _ in lengths + codings):
-        raise BadRequestError(400, "a framing header spelt oddly")
-    if len(lengths) + len(codings) > 1:
-        raise BadRequestError(400, "two framing headers")
-    if lengths and not (lengths[0][1].isdigit() and len(lengths[0][1]) < 20):
-        raise BadRequestError(400, "bad Content-Length")
-    if codings and (codings[0][1].lower() != b"chunked" or version != "1.1"):
-        raise BadRequestError(400, "unknown Transfer-Encoding")
+    """The length of the body in bytes as its header tells it; 0 without one, -1 for a body in
+    chunks.
+
+    `version` is the protocol's ("1.0" or "1.1"). Raises `FramingError` unless it is beyond doubt
+    where the request ends.
+    """
+    framing = _framing_headers(headers)
+    length = 0
+    if framing:
+        for _, name, _ in framing:
+            if b"_" in name or name != name.strip():
+                raise FramingError("a framing header spelt oddly", name.decode("latin-1"), "-")
+        if len(framing) > 1:
+            raise FramingError("two framing headers", "Content-Length, Transfer-Encoding", "one")
+        plain, _, value = framing[0]
+        if plain == _LENGTH:
+            if not (value.isdigit() and len(value) <= _LENGTH_DIGITS):
+                raise FramingError("bad Content-Length", "Content-Length", "decimal digits")
+            length = int(value)
+        elif value.lower() == b"chunked" and version == "1.1":
+            length = -1
+        else:
+            raise FramingError("unknown Transfer-Encoding", "Transfer-Encoding", "chunked")
     if version not in ("1.0", "1.1"):
-        raise BadRequestError(400, "unknown version of HTTP")
-    if codings:
-        return -1
-    return int(lengths[0][1]) if lengths else 0
+        raise FramingError("unknown version of HTTP", "version", "1.0 or 1.1")
+    return length
+
+
+def _framing_headers(headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes, bytes]]:
+    """The headers that frame a body, also those that only a lenient host takes for such: plain
+    name, name as it came, value.
+    """
+    found: list[tuple[bytes, bytes, bytes]] = []
+    for name, value in headers:
+        if name[:1] in b"cCtT":
+            plain = name.lower().replace(b"_", b"-").strip()
+            if plain in (_LENGTH, _CODING):
+                found.append((plain, name, value))
+    return found
--- a/tests/downstream/test_departed_clients.py
+++ b/tests/downstream/test_departed_clients.py
@@ -81,7 +81,7 @@
             client.writer.write(b"".join(HEAD + b"a%d\r\n\r\n" % n for n in range(MANY)))
             await until(lambda: len(held.waiting) == 1)
             connection = w.gateway.server.connection_limit.connections()[0]
-            await until(lambda: connection._paused)
+            await until(lambda: connection.reading_paused)
             leave(client)
             await until(lambda: client.writer.transport.is_closing() or leave is half_close)
             await asyncio.sleep(0)  # the loop ends the socket a turn after the transport
--- a/tests/downstream/test_descriptors.py
+++ b/tests/downstream/test_descriptors.py
@@ -18,7 +18,7 @@
 import pytest
 
 from quillroad.config import RESERVED
-from quillroad.downstream import connection_limit, server
+from quillroad.downstream import connection_limit, server, time_limits
 from testbed.gateway import ROOT
 from tests.net import (
     Client,
@@ -189,7 +189,7 @@
 ) -> None:
     """With all descriptors taken there is none to take another in on: one of them ends first, or nobody comes
     in until they go by themselves."""
-    monkeypatch.setattr(server, "RECEIVE_S", 3600.0)
+    monkeypatch.setattr(time_limits, "RECEIVE_S", 3600.0)
     async with world(serve_ok, serve_ok, limits={"sockets": RESERVED + 16}) as w:
         few = [await w.client().__aenter__() for _ in range(2)]
         while (
@@ -213,7 +213,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Past their places clients hold descriptors of the hosts' half: who is let in needs one there."""
-    monkeypatch.setattr(server, "RECEIVE_S", 3600.0)
+    monkeypatch.setattr(time_limits, "RECEIVE_S", 3600.0)
     free = asyncio.Event()
 
     async def hold(message: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/downstream/test_gateway.py
+++ b/tests/downstream/test_gateway.py
@@ -13,9 +13,11 @@
 import quillroad.upstream.pool
 from quillroad.balancing.events import ClientDisconnected, Event, RequestArrived, TimerFired
 from quillroad.discovery.reducer import server_number
-from quillroad.downstream import connection_limit, server
+from quillroad.downstream import connection_limit, connection_output, time_limits
+from quillroad.downstream.connection import ClientConnection
 from quillroad.downstream.connection_limit import ConnectionState
-from quillroad.downstream.server import RECEIVE_S, UNREAD_S, ClientConnection
+from quillroad.downstream.state import PARTIAL
+from quillroad.downstream.time_limits import RECEIVE_S, UNREAD_S
 from quillroad.engine.engine import ClientRequest, OpenRequest, Reply, Requester
 from tests.net import (
     Client,
@@ -552,7 +554,9 @@
     async with world(serve_ok) as w, w.client() as client:
         client.writer.write(b"GET /status-check/k HTTP/1.1\r\nX:")
         await until(
-            lambda: any(c._partial for c in w.gateway.server.connection_limit.connections())
+            lambda: any(
+                c._parser.state in PARTIAL for c in w.gateway.server.connection_limit.connections()
+            )
         )
         for connection in w.gateway.server.connection_limit.connections():
             connection.last_change -= RECEIVE_S + 1
@@ -566,7 +570,7 @@
     async with world(say(answer(b"x" * 60_000))) as w, w.client() as client:
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         room = w.gateway.server.connection_limit
-        while not any(c._unread for c in room.connections()):
+        while not any(c.output_pending for c in room.connections()):
             client.send()
             await asyncio.sleep(0)
         for connection in room.connections():
@@ -664,10 +668,12 @@
         for _ in range(300):
             client.send()
         await w.hosts[0].came.get()
-        await until(lambda: all(c._paused for c in w.gateway.server.connection_limit.connections()))
+        await until(
+            lambda: all(c.reading_paused for c in w.gateway.server.connection_limit.connections())
+        )
         (connection,) = w.gateway.server.connection_limit.connections()
-        assert len(connection._backlog) < 20
-        assert connection._unfed
+        assert len(connection._parser.backlog) < 20
+        assert connection._parser.unparsed
 
 
 @pytest.mark.parametrize("start", [b"GET /status-check/k HTTP/1.1\r\nX:", b"G", b"\r\n", b""])
@@ -676,7 +682,7 @@
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The time counts from the first byte: one that trickles must not gain by each further byte."""
-    monkeypatch.setattr(server, "RECEIVE_S", 0.3)
+    monkeypatch.setattr(time_limits, "RECEIVE_S", 0.3)
     async with world(serve_ok) as w, w.client() as client:
         end = asyncio.ensure_future(at_end(client))
         while not end.done():
@@ -733,7 +739,7 @@
     async with world(serve_ok) as w, w.client() as once, w.client() as usual:
         for _ in range(2):
             assert (await usual.ask()).status == 200
-        monkeypatch.setattr(server, "IDLE_ONCE_S", -1.0)
+        monkeypatch.setattr(time_limits, "IDLE_ONCE_S", -1.0)
         assert (await once.ask()).status == 200
         assert await at_end(once) == b""
         assert (await usual.ask()).status == 200
@@ -742,7 +748,7 @@
 @on_loop
 async def test_clients_that_linger_over_an_error_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
     """Bad clients hold their connection for a while after their last answer: usual ones come before them."""
-    monkeypatch.setattr(server, "LINGER_S", 1000.0)
+    monkeypatch.setattr(connection_output, "LINGER_S", 1000.0)
     monkeypatch.setattr(connection_limit, "UNHEARD_S", -1.0)
     async with world(serve_ok, limits={"sockets": 24 + 16}) as w:
         bad = [await w.client().__aenter__() for _ in range(8)]
@@ -821,7 +827,7 @@
     async with world(say(answer(b"x" * 60_000))) as w, w.client() as client:
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         connection = await joined(w)
-        while not connection._unread:
+        while not connection.output_pending:
             client.send()
             await asyncio.sleep(0)
         assert w.gateway.server.connection_limit.stage(connection) is not ConnectionState.RESTING
--- a/tests/downstream/test_long_bodies.py
+++ b/tests/downstream/test_long_bodies.py
@@ -18,9 +18,10 @@
 from hypothesis import strategies as st
 
 from quillroad.config import SHORT_BODY
-from quillroad.downstream.server import UNREAD_S
+from quillroad.downstream.state import PARTIAL
+from quillroad.downstream.time_limits import UNREAD_S
 from quillroad.overload.socket_age import unacknowledged
-from quillroad.upstream.pool import SETTLE_S
+from quillroad.upstream.pool import SETTLE_S, Rest
 from tests.net import BOUND_S, Client, Message, World, hang, on_loop, reset, serve_ok, until, world
 
 OPS = {"admin_addr": "127.0.0.1:0"}  # what allows long bodies
@@ -94,8 +95,8 @@
         (connection,) = w.gateway.server.connection_limit.connections()
         transport = connection._transport
         assert transport is not None
-        rest = connection._rest
-        assert rest is not None
+        rest = connection._stream
+        assert isinstance(rest, Rest)
         await until(lambda: rest.paused)  # its client reads nothing: the host has to wait
         assert 0 < transport.get_write_buffer_size() < MOST_HELD
         assert await read_whole(client.reader) == BODY
@@ -119,8 +120,8 @@
         await client.reader.readuntil(b"\r\n\r\n")
         assert await client.reader.readexactly(SIZE - 1) == BODY[:-1]
         (connection,) = w.gateway.server.connection_limit.connections()
-        rest = connection._rest
-        assert rest is not None and rest.on_data is not None
+        rest = connection._stream
+        assert isinstance(rest, Rest) and rest.on_data is not None
         take = rest.on_data
 
         def full(data: bytes) -> None:
@@ -257,7 +258,9 @@
         client.writer.write(b"0\r\nSum: 1\r\n\r\n")
         assert (await client.receive()).status == 200
         assert w.hosts[0].seen[1].body == BODY[:300_000]
-        assert all(len(c._body) == 0 for c in w.gateway.server.connection_limit.connections())
+        assert all(
+            len(c._parser._body) == 0 for c in w.gateway.server.connection_limit.connections()
+        )
 
 
 @on_loop
@@ -352,11 +355,13 @@
     async with world(host(by_length(BODY)), **OPS) as w, w.client() as client:
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send()
-        await until(lambda: any(c._unread for c in w.gateway.server.connection_limit.connections()))
+        await until(
+            lambda: any(c.output_pending for c in w.gateway.server.connection_limit.connections())
+        )
         (connection,) = w.gateway.server.connection_limit.connections()
         connection.sweep(monotonic())  # how much is left is looked at
         connection.last_change -= UNREAD_S + 1
-        connection._left += 1  # it has taken something since
+        connection._unread_bytes += 1  # it has taken something since
         connection.sweep(monotonic())
         assert len(w.gateway.server.connection_limit) == 1
         connection.last_change -= UNREAD_S + 1
@@ -387,19 +392,21 @@
     async with world(serve_ok, **OPS) as w, w.client() as client:
         client.writer.write(head(95, 100_000)[:40])
         await until(
-            lambda: any(c._partial for c in w.gateway.server.connection_limit.connections())
+            lambda: any(
+                c._parser.state in PARTIAL for c in w.gateway.server.connection_limit.connections()
+            )
         )
         (connection,) = w.gateway.server.connection_limit.connections()
         connection.last_change -= 2.1
         connection.sweep(monotonic())
         client.writer.write(head(95, 100_000)[40:] + BODY[:99_000])
-        await until(lambda: connection._size == 99_000)
+        await until(lambda: connection._parser.size == 99_000)
         connection.last_change -= 2.0  # 4.1 s in all: longer than a head has
         connection.sweep(monotonic())
         client.writer.write(BODY[99_000:100_000])
         assert (await client.receive()).status == 200
         client.writer.write(head(96, 100_000)[:40])
-        await until(lambda: connection._partial)
+        await until(lambda: connection._parser.state in PARTIAL)
         connection.last_change -= 2.6
         connection.sweep(monotonic())
         assert (await client.receive()).status == 408
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -27,10 +27,10 @@
     ("file", "line", "slower", "what"),
     [
         (
-            "quillroad/downstream/server.py",
-            "        single: dict[bytes, bytes] = {}",  # headers copied once more
-            '        headers = [(bytes(n + b""), bytes(v + b"")) for n, v in headers]\n'
-            "        single: dict[bytes, bytes] = {}",
+            "quillroad/downstream/request_validation.py",
+            "    values: dict[bytes, bytes] = {}",  # headers copied once more
+            '    headers = [(bytes(n + b""), bytes(v + b"")) for n, v in headers]\n'
+            "    values: dict[bytes, bytes] = {}",
             "instructions",
         ),
         (
@@ -42,10 +42,12 @@
             "instructions",
         ),
         (
-            "quillroad/downstream/server.py",
-            'self._transport.write(b"\\r\\n".join(lines) + b"\\r\\n\\r\\n" + body)',
-            'self._transport.write(b"\\r\\n".join(lines))\n'
-            '        self._sock.getpeername() and os.write(self._sock.fileno(), b"\\r\\n\\r\\n" + body)',
+            "quillroad/downstream/connection_output.py",
+            "self._transport.write(message)",
+            'head, _, body = message.partition(b"\\r\\n\\r\\n")\n'
+            "        self._transport.write(head)\n"
+            '        rest = b"\\r\\n\\r\\n" + body\n'
+            '        self._sock.getpeername() and __import__("os").write(self._sock.fileno(), rest)',
             "writes",
         ),  # one system call more
     ],
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,7 +12,9 @@
 
 import pytest
 
-from quillroad.downstream import server
+from quillroad.downstream import connection_output
+from quillroad.downstream.connection import ClientConnection
+from quillroad.downstream.state import NOT_BEGUN, ReadState
 from quillroad.gateway import ACCEPT_S, END_S, FLUSH_S
 from quillroad.overload.acceptor import Acceptor, open_listener
 from tests.net import (
@@ -40,19 +42,19 @@
 )
 
 
-async def not_reading(client: Client, connection: server.ClientConnection) -> int:
+async def not_reading(client: Client, connection: ClientConnection) -> int:
     """Ask until a part of an answer can't leave the process; returns how many answers were asked for."""
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     asked = 0
-    while not connection._unread:
+    while not connection.output_pending:
         asked += 1
         seen = connection.brought
         client.send()
-        await until(lambda: connection.brought > seen and not connection._serving)  # noqa: B023
+        await until(lambda: connection.brought > seen and connection._answering in NOT_BEGUN)  # noqa: B023
     return asked
 
 
-async def narrow(w: World) -> tuple[socket.socket, server.ClientConnection]:
+async def narrow(w: World) -> tuple[socket.socket, ClientConnection]:
     """The one client, and its connection: between them the kernel holds little of an answer."""
     raw = socket.socket()
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -96,14 +98,16 @@
 async def test_a_last_answer_is_not_cut_short(monkeypatch: pytest.MonkeyPatch) -> None:
     """With its last answer half in this process a connection is not yet one to end for another, and the time
     in which a client may read why it ends has not begun."""
-    monkeypatch.setattr(server, "LINGER_S", 0.005)
+    monkeypatch.setattr(connection_output, "LINGER_S", 0.005)
     host = say(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + BODY)
     async with world(host) as w:
         loop, (raw, connection) = asyncio.get_running_loop(), await narrow(w)
         await loop.sock_sendall(
             raw, (HEAD.format(9000, "z1") + "Connection: close\r\n\r\n").encode()
         )
-        await until(lambda: connection._ended and connection._unread)
+        await until(
+            lambda: connection._parser.state is ReadState.ENDED and connection.output_pending
+        )
         for _ in range(5):
             await asyncio.sleep(0.01)  # the time to linger, several times over
         assert w.gateway.server.connection_limit.to_end(time.monotonic() + 1000.0) is not connection
@@ -119,7 +123,9 @@
         await loop.sock_sendall(
             raw, (HEAD.format(9000, "y1") + "\r\nwhat is this\r\n\r\n").encode()
         )
-        await until(lambda: connection._ended and connection._unread)
+        await until(
+            lambda: connection._parser.state is ReadState.ENDED and connection.output_pending
+        )
         got = await to_the_end(raw)
         first, _, second = got.partition(BODY)
         assert first.startswith(b"HTTP/1.1 200") and second.startswith(b"HTTP/1.1 400")
