--- a/quillroad/downstream/connection.py
+++ b/quillroad/downstream/connection.py
@@ -27,11 +27,10 @@
     ReadState,
 )
 from quillroad.downstream.time_limits import (
-    LINGER_BYTES,
     idle_limit_s,
     receive_limit_s,
 )
-from quillroad.engine.engine import ClientRequest, Reply
+from quillroad.engine.engine import Reply
 from quillroad.errors import RequestTimeoutError
 from quillroad.overload.admission_queue import Waiting
 from quillroad.overload.fast_path_parse import preview_request
@@ -54,7 +53,6 @@
         super().__init__(server, sock)
         self._advancing = False
         self._read_before = False
-        self._discarded = 0  # bytes that came after the last answer
         # Of the request that is queued or served.
         self._waiting: Waiting | None = None  # its place in the queue for the core
         self._began_at = 0.0  # when the core got round to it
@@ -73,7 +71,7 @@
         """The transport is gone: everything that was under way for the client ends."""
         self._transport = None
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.DISCONNECT]
-        self._held += self._parser.close()
+        self._reserved += self._parser.close()
         self._release_body()
         if self._stream is not None:
             stream = self._stream
@@ -131,12 +129,6 @@
         """The client has closed: the transport closes too, and an open request departs."""
         return False
 
-    def _discard(self, size: int) -> None:
-        """Throw away what comes after the last answer, up to a limit."""
-        self._discarded += size
-        if self._discarded > LINGER_BYTES:
-            self.abort()
-
     def _settle_age(self) -> bool:
         """Let deadlines count from when the bytes came in; True where they are not to be looked at
         now.
@@ -181,7 +173,7 @@
         self._parser.completed += 1
         if self._transport is None:
             return
-        self._transport.write(self._server.refusal())
+        self._transport.write(self._server.rejection())
         if self._server.draining:
             self._close()
         elif not self.output_pending:
@@ -202,13 +194,13 @@
                 if parser.expects_continue() and self._transport is not None:
                     parser.continue_sent = True
                     self._transport.write(CONTINUE)
-        wait = bool(parser.unparsed)
-        if wait != self.reading_paused:
-            self._pause_reading(wait)
+        paused = bool(parser.unparsed)
+        if paused != self.reading_paused:
+            self._pause_reading(paused)
 
     def _queue(self, since: float, wait_s: float, route: int, tenant: int) -> bool:
         """Wait for the core's turn; False if there will be none in time."""
-        self._waiting = self._server.turns.queue(self, since, wait_s, route, tenant)
+        self._waiting = self._server.scheduler.queue(self, since, wait_s, route, tenant)
         if self._waiting is None:
             return False
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.QUEUE]
@@ -232,8 +224,7 @@
             elif not self._queue(
                 request.since, request.expires - request.since, request.route, request.tenant
             ):
-                self._take(backlog.popleft())
-                self._refuse()
+                self._serve(backlog.popleft(), rejected=True)
         finally:
             self._advancing = False
 
@@ -242,7 +233,7 @@
         if self._transport is None:
             return
         self._waiting = None
-        self._answering = ANSWER_AFTER[self._answering][AnswerEvent.TURN]
+        self._answering = ANSWER_AFTER[self._answering][AnswerEvent.DISPATCH]
         if self._parser.unparsed:
             self._advancing = True
             try:
@@ -252,42 +243,36 @@
         if self._parser.backlog:
             self._serve(self._parser.backlog.popleft())
 
-    def _take(self, pending: PendingRequest) -> None:
-        """From here on the request is owed its answer."""
+    def _serve(self, pending: PendingRequest, rejected: bool = False) -> None:
+        """Begin a request, which is owed its answer from here on."""
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.SERVE]
         self._keep = pending.keep
         self._version = pending.version
-        self._held = pending.held
+        self._reserved = pending.reserved
         self._route = pending.route
-
-    def _refuse(self) -> None:
-        self.answer(Reply(503, None, self._server.retry_after_us))
-
-    def _serve(self, pending: PendingRequest) -> None:
-        self._take(pending)
         request = pending.request
         if request is None:
-            if pending.status >= 400 and pending.status != 503:
-                log.info("%d: %s", pending.status, pending.why)
-            retry_after_us = self._server.retry_after_us if pending.route >= 0 else 0
-            self.answer(Reply(pending.status, None, retry_after_us))
+            self._answer_error(pending)
+            return
+        if rejected:
+            self._reject()
             return
-        if self._server.engine.is_open(request.id):
+        engine = self._server.engine
+        if engine.is_open(request.id):
             log.info("400: the id of an open request")
             self.answer(Reply(400))
             return
+        since = request.since
         self._began_at = monotonic()
         # It lay in the kernel, or waited for the answers before it, until nothing could come in
         # time.
-        wait_s = request.expires - request.since
-        if self._server.admission.hopeless(self._began_at, request.since, wait_s, request.route):
-            self._refuse()
+        if self._server.admission.hopeless(
+            self._began_at, since, request.expires - since, request.route
+        ):
+            self._reject()
             return
-        self._open(request)
-
-    def _open(self, request: ClientRequest) -> None:
         try:
-            opened = self._server.engine.accept(request, partial(self._final, request.route), self)
+            opened = engine.accept(request, partial(self._final, request.route), self)
         except Exception:  # one request's fault must not cost the others theirs
             log.exception("request %s failed", request.id)
             if self._answering is AnswerState.SERVING:
@@ -296,18 +281,28 @@
         if self._answering is AnswerState.SERVING:  # not answered already
             self._opened = opened
 
+    def _reject(self) -> None:
+        self.answer(Reply(503, None, self._server.retry_after_us))
+
+    def _answer_error(self, pending: PendingRequest) -> None:
+        """Answer what never became a request, or the health check."""
+        if pending.status >= 400 and pending.status != 503:
+            log.info("%d: %s", pending.status, pending.why)
+        retry_after_us = self._server.retry_after_us if pending.route >= 0 else 0
+        self.answer(Reply(pending.status, None, retry_after_us))
+
     def _final(self, route: int, reply: Reply) -> None:
         """The end of a request that was taken on."""
         if reply.answer is not None:
             self._server.admission.answered(route, monotonic() - self._began_at)
         self.answer(reply)
 
-    def sweep(self, now: float) -> None:
+    def enforce_time_limits(self, now: float) -> None:
         """End what takes too long: clients that come and say nothing would hold all descriptors."""
         parser = self._parser
         waited_s = now - self.last_change
         if self.output_pending and self._transport is not None:
-            self._sweep_output(self._transport, now)
+            self._enforce_output_limit(self._transport, now)
         elif parser.state in PARTIAL and self._answering in NOT_BEGUN:
             longest_body = self._server.validator.longest_body
             if waited_s > receive_limit_s(longest_body, parser.state, parser.size):
@@ -318,8 +313,13 @@
 
     # What its output half says of it.
 
-    def _mark_resting(self) -> None:
-        self._server.rests(self)
+    def _written(self, keep: bool, ahead: bool) -> None:
+        if not keep:
+            self._close()
+        elif ahead:
+            self._server.loop.call_soon(self._advance)
+        elif not self.output_pending:
+            self._server.rests(self)
 
     def _mark_leaving(self) -> None:
         self._server.mark_leaving(self)
--- a/quillroad/downstream/connection_output.py
+++ b/quillroad/downstream/connection_output.py
@@ -20,8 +20,8 @@
     response,
     streamed_head,
 )
-from quillroad.downstream.state import ANSWER_AFTER, PARTIAL, AnswerEvent, AnswerState
-from quillroad.downstream.time_limits import LINGER_S, UNREAD_S
+from quillroad.downstream.state import ANSWER_AFTER, AnswerEvent, AnswerState
+from quillroad.downstream.time_limits import LINGER_BYTES, LINGER_S, UNREAD_S
 from quillroad.engine.engine import OpenRequest, Reply
 from quillroad.overload.socket_age import has_ended, unacknowledged
 
@@ -51,6 +51,7 @@
         self.output_pending = False
         self.last_change = monotonic()
         self._unread_bytes = 0  # of an answer that its client had not taken, at the last look
+        self._discarded = 0  # bytes that came after the last answer
         # Of the request that is served or streamed.
         self._opened: OpenRequest | None = None
         self._stream: BodyStream | None = None  # what is left of its long answer
@@ -58,16 +59,14 @@
         self._keep = True
         self._version = "1.1"
         self._route = -1  # its route while it is owed an answer; -1: none
-        self._held = 0  # bytes of its body in the budget of long ones
+        self._reserved = 0  # bytes of its body in the budget of long ones
 
     # What the other half does.
 
-    def _advance(self) -> None:
-        """Go on to the next request."""
-        raise NotImplementedError
-
-    def _mark_resting(self) -> None:
-        """Tell the server that the connection is between two requests."""
+    def _written(self, keep: bool, ahead: bool) -> None:
+        """An answer is on its way: `keep` says whether the connection stays, `ahead` whether it has
+        more requests.
+        """
         raise NotImplementedError
 
     def _mark_leaving(self) -> None:
@@ -93,7 +92,7 @@
                 return
         self._opened = None
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.FINISH]
-        if self._held:
+        if self._reserved:
             self._release_body()
         self.last_change = monotonic()
         if self._route >= 0:
@@ -103,28 +102,18 @@
         if self._transport is None:
             return
         # What was sent ahead has been taken and is owed an answer: the last one says `close`.
-        parser = self._parser
-        ahead = bool(parser.backlog) or bool(parser.unparsed) or parser.state in PARTIAL
+        ahead = self._parser.has_more()
         keep = self._keep and (ahead or not self._server.draining)
         retry_after_us = None
         if reply.retry_after_us:
-            retry_after_us = self._server.spread.over(reply.retry_after_us)
+            retry_after_us = self._server.retry_after_jitter.over(reply.retry_after_us)
         message = response(reply.status, body, content_type, retry_after_us, keep)
         self._transport.write(message)
         self._written(keep, ahead)
 
-    def _written(self, keep: bool, ahead: bool) -> None:
-        """The answer is on its way: the next one, rest, or the end."""
-        if not keep:
-            self._close()
-        elif ahead:
-            self._server.loop.call_soon(self._advance)
-        elif not self.output_pending:
-            self._mark_resting()
-
     def _release_body(self) -> None:
-        self._server.buffers.give(self._held)
-        self._held = 0
+        self._server.buffers.give(self._reserved)
+        self._reserved = 0
 
     # A long answer, which goes on as it comes.
 
@@ -135,7 +124,7 @@
         told length.
         """
         self._opened = None
-        if self._held:
+        if self._reserved:
             self._release_body()
         self.last_change = monotonic()
         if self._transport is None:
@@ -184,11 +173,7 @@
             return
         if self._chunked:
             self._transport.write(LAST_CHUNK)
-        parser = self._parser
-        self._written(
-            self._keep,
-            bool(parser.backlog) or bool(parser.unparsed) or parser.state in PARTIAL,
-        )
+        self._written(self._keep, self._parser.has_more())
 
     def break_off(self) -> None:
         """The process ends: a long answer on its way ends so that its client can tell that it is
@@ -209,7 +194,7 @@
         could take the answer along, so the sending side ends first and what still comes is thrown
         away for a while.
         """
-        self._held += self._parser.clear_backlog()
+        self._reserved += self._parser.clear_backlog()
         self._parser.end()
         if self._transport is not None:
             self._pause_reading(False)
@@ -224,11 +209,17 @@
         process.
         """
         if self.output_pending and self._transport is not None:
-            # `sweep` ends one that takes nothing.
+            # `enforce_time_limits` ends one that takes nothing.
             self._server.loop.call_later(LINGER_S, self._linger)
         else:
             self.abort()
 
+    def _discard(self, size: int) -> None:
+        """Throw away what comes after the last answer, up to a limit."""
+        self._discarded += size
+        if self._discarded > LINGER_BYTES:
+            self.abort()
+
     def abort(self) -> None:
         """End it at once. The loop gets round to the close a turn later only, and turns of a busy
         core are long: a client would go on sending meanwhile, and be reset.
@@ -250,7 +241,7 @@
         self.abort()
         return True
 
-    def _sweep_output(self, transport: asyncio.Transport, now: float) -> None:
+    def _enforce_output_limit(self, transport: asyncio.Transport, now: float) -> None:
         """End the connection of a client that takes nothing of its answer; a slow one does get on."""
         unread = transport.get_write_buffer_size() + unacknowledged(self._sock)
         if unread != self._unread_bytes:
@@ -264,8 +255,11 @@
         self.output_pending = True
         self.last_change = monotonic()
 
-    def _pause_reading(self, wait: bool) -> None:
-        if wait != self.reading_paused and self._transport is not None:
-            self.reading_paused = wait
-            self.blind = self.blind or wait
-            (self._transport.pause_reading if wait else self._transport.resume_reading)()
+    def _pause_reading(self, paused: bool) -> None:
+        if paused != self.reading_paused and self._transport is not None:
+            self.reading_paused = paused
+            if paused:
+                self.blind = True
+                self._transport.pause_reading()
+            else:
+                self._transport.resume_reading()
--- a/quillroad/downstream/turn_away.py
+++ b/quillroad/downstream/early_rejection.py
@@ -1,4 +1,4 @@
-"""Refusals that cost little: made ahead, or sent to a connection that never comes up."""
+"""Rejections that cost little: made ahead, or sent to a connection that never comes up."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from quillroad.downstream.connection_limit import ConnectionLimit
 from quillroad.downstream.request_validation import RequestValidator
-from quillroad.downstream.responses import refusal
+from quillroad.downstream.responses import rejection
 from quillroad.overload.acceptor import Acceptor
 from quillroad.overload.admission_queue import Admission
 from quillroad.overload.fast_path_parse import LONGEST, preview_request
@@ -20,7 +20,7 @@
     from quillroad.downstream.connection import ClientConnection
 
 # Made ahead: a Fibonacci number of golden-ratio steps fills the circle of times evenly.
-REFUSALS = 233
+REJECTIONS = 233
 # Of waiting in the kernel, from which on accepts get more of the time: clients begin to give up.
 OUTSIDE_S = 0.5
 # Part of the process's CPU time for turning away those outside, and in place of it while they wait
@@ -28,20 +28,20 @@
 CPU_PART = 0.05
 LATE_CPU_PART = 0.15
 # CPU time that turning one away is taken to need, and that may be saved up for a crowd.
-TURN_AWAY_CPU_S = 80e-6
+REJECT_CPU_S = 80e-6
 SAVED_CPU_S = 0.005
 
 
-class Refusals:
+class Rejections:
     """Whole responses that turn a request away, with `Retry-After` times spread over clients.
 
     `retry_after_us` is the longest wait told, in microseconds, 0 for none.
     """
 
-    def __init__(self, spread: Spread, retry_after_us: int) -> None:
-        self._spread = spread
+    def __init__(self, jitter: Spread, retry_after_us: int) -> None:
+        self._jitter = jitter
         self._retry_after_us = retry_after_us
-        self._made = [refusal(True, spread.over(retry_after_us)) for _ in range(REFUSALS)]
+        self._made = [rejection(True, jitter.over(retry_after_us)) for _ in range(REJECTIONS)]
         self._next = 0
 
     def keep_alive(self) -> bytes:
@@ -51,10 +51,10 @@
 
     def closing(self) -> bytes:
         """One for a connection that ends with it."""
-        return refusal(False, self._spread.over(self._retry_after_us))
+        return rejection(False, self._jitter.over(self._retry_after_us))
 
 
-class TurnAway:
+class EarlyRejection:
     """Refuses at the accept, within a part of the CPU time: refusals must not use up a core with a
     ration.
 
@@ -67,14 +67,14 @@
         admission: Admission,
         connection_limit: ConnectionLimit[ClientConnection],
         acceptor: Acceptor[ClientConnection],
-        refusals: Refusals,
+        rejections: Rejections,
         on_end: Callable[[int, int], None],
     ) -> None:
         self._validator = validator
         self._admission = admission
         self._connection_limit = connection_limit
         self._acceptor = acceptor
-        self._refusals = refusals
+        self._rejections = rejections
         self._on_end = on_end
         self._saved_s = 0.0  # CPU time left for turning away
         self._counted_s = 0.0  # CPU time that the process had used when that was counted
@@ -87,7 +87,7 @@
         self._counted_s = now_s
         return self._saved_s > 0.0
 
-    def turn_away(self, sock: socket.socket, now: float, full: bool) -> bool:
+    def reject(self, sock: socket.socket, now: float, full: bool) -> bool:
         """Answer a connection's one request with a refusal and close it, all at once, if it would
         be refused or all is `full`: it never comes up. False, with nothing read, where it would not
         be, or where something else has come. `now` is the monotonic time in seconds.
@@ -96,21 +96,21 @@
             sock.setblocking(False)
             data = sock.recv(LONGEST, socket.MSG_PEEK)
             if data:
-                route = self._refused_route(sock, data, now, full)
+                route = self._rejected_route(sock, data, now, full)
                 if route is None:
                     return False
                 self._on_end(route, 503)
                 sock.recv(LONGEST)  # a close on unread bytes would take the answer along
-                sock.send(self._refusals.closing())
+                sock.send(self._rejections.closing())
         except BlockingIOError:
             return False
         except OSError:
             pass  # its client has gone
         sock.close()
-        self._saved_s -= TURN_AWAY_CPU_S
+        self._saved_s -= REJECT_CPU_S
         return True
 
-    def _refused_route(
+    def _rejected_route(
         self, sock: socket.socket, data: bytes, now: float, full: bool
     ) -> int | None:
         """The route of a request that is to be refused; None where it is not, or cannot be told."""
@@ -126,6 +126,6 @@
         wait_s = validator.wait_s(route, seen.wait_ms)
         tenant = validator.tenant(seen.tenant)
         limit = self._connection_limit
-        held = limit.places + 1 if full else limit.busy + 1
-        refused = self._admission.turns_away(now, now - age_s, wait_s, route, tenant, held)
-        return route if refused else None
+        in_use = limit.places + 1 if full else limit.busy + 1
+        rejected = self._admission.turns_away(now, now - age_s, wait_s, route, tenant, in_use)
+        return route if rejected else None
--- a/quillroad/downstream/request_parser.py
+++ b/quillroad/downstream/request_parser.py
@@ -15,7 +15,7 @@
 
 from quillroad.config import SHORT_BODY
 from quillroad.downstream.request_validation import RequestValidator
-from quillroad.downstream.state import READ_AFTER, ReadEvent, ReadState
+from quillroad.downstream.state import PARTIAL, READ_AFTER, ReadEvent, ReadState
 from quillroad.engine.engine import ClientRequest
 from quillroad.errors import (
     BadRequestError,
@@ -28,12 +28,17 @@
 from quillroad.overload.body_budget import Buffers
 from quillroad.overload.heap import steady
 
+HEAD = ReadState.HEAD  # by itself, as it is looked at for each header
 log = logging.getLogger("quillroad.downstream")
 
 UP_PATH = b"/up"  # of the platform's health check
 MAX_AHEAD = 2  # requests parsed ahead on one connection: clients wait for one answer at a time
+HEADER_PUNCTUATION = 4  # bytes beside name and value: colon, space, CR, LF
 SLICE_BYTES = 2048  # parsed at a time, a few requests: one read can hold hundreds
 BODY_SLICE_BYTES = 64 * 1024  # of a body, which holds no other request
+STEP_BYTES = tuple(
+    BODY_SLICE_BYTES if state is ReadState.BODY else SLICE_BYTES for state in ReadState
+)
 
 
 class PendingRequest:
@@ -41,7 +46,7 @@
 
     `request` is None for an error and for the health check, which are answered with `status`; `why`
     goes to the log. `keep` says whether the connection may stay open after the answer, `version` is
-    the protocol's. `route` is -1 where none is known, and `held` the bytes of the body that count
+    the protocol's. `route` is -1 where none is known, and `reserved` the bytes of the body that count
     in the budget of long ones.
     """
 
@@ -53,7 +58,7 @@
         why: str = "",
         version: str = "1.1",
         route: int = -1,
-        held: int = 0,
+        reserved: int = 0,
     ) -> None:
         self.request = request
         self.status = status
@@ -61,7 +66,7 @@
         self.why = why
         self.version = version
         self.route = route if request is None else request.route
-        self.held = held
+        self.reserved = reserved
 
 
 class RequestParser:
@@ -93,7 +98,9 @@
         self._body = bytearray()
         self.size = 0  # bytes of the head, or of the body once that has begun
         self._uncounted = 0  # bytes read of a request that reached no callback which ended it
-        self._body_held = 0  # bytes of the body that comes in, taken from the budget of long ones
+        self._body_reserved = (
+            0  # bytes of the body that comes in, taken from the budget of long ones
+        )
         self.continue_sent = False
 
     def append(self, data: bytes) -> None:
@@ -106,7 +113,7 @@
         must.
         """
         while self.unparsed and len(self.backlog) < MAX_AHEAD and self._parser is not None:
-            step = BODY_SLICE_BYTES if self.state is ReadState.BODY else SLICE_BYTES
+            step = STEP_BYTES[self.state]
             data = self.unparsed[self.parsed : self.parsed + step]
             self.parsed += step
             if self.parsed >= len(self.unparsed):
@@ -116,7 +123,9 @@
             try:
                 self._parser.feed_data(data)
                 if completed == self.completed and self.state is not ReadState.BETWEEN:
-                    self._check_progress(len(data))
+                    self._uncounted += len(data)
+                    if self._uncounted > HEAD_LIMIT:
+                        self._check_uncounted()
             except httptools.HttpParserUpgrade:
                 # The offer is not taken up: the request is served, and what follows is not HTTP any
                 # more.
@@ -125,12 +134,11 @@
             except (httptools.HttpParserError, BadRequestError) as error:
                 self._reject(error)
 
-    def _check_progress(self, read: int) -> None:
-        """Count bytes that ended no request. A header without end, or an endless extension of a
+    def _check_uncounted(self) -> None:
+        """Bound the bytes that end no request. A header without end, or an endless extension of a
         chunk, reaches no callback: without this they would be read for as long as they come.
         """
-        self._uncounted += read
-        if self.state is ReadState.HEAD and self._uncounted > HEAD_LIMIT:
+        if self.state is ReadState.HEAD:
             raise HeadTooLongError(HEAD_LIMIT)
         most = FRAMED * (HEAD_LIMIT + self.size)
         if self._uncounted > most:
@@ -154,10 +162,10 @@
         body.
         """
         self._body = bytearray()
-        held = self._body_held
-        self._body_held = 0
+        reserved = self._body_reserved
+        self._body_reserved = 0
         self.backlog.append(
-            PendingRequest(None, error.status, False, str(error), route=route, held=held)
+            PendingRequest(None, error.status, False, str(error), route=route, reserved=reserved)
         )
         self.end()
 
@@ -169,9 +177,9 @@
 
     def clear_backlog(self) -> int:
         """Drop what has not begun; returns the bytes that its bodies hold of the budget."""
-        held = sum(pending.held for pending in self.backlog)
+        reserved = sum(pending.reserved for pending in self.backlog)
         self.backlog.clear()
-        return held
+        return reserved
 
     def close(self) -> int:
         """End with the connection; returns the bytes that are to go back to the budget.
@@ -181,9 +189,13 @@
         """
         self.end()
         self._parser = None
-        held = self._body_held + self.clear_backlog()
-        self._body_held = 0
-        return held
+        reserved = self._body_reserved + self.clear_backlog()
+        self._body_reserved = 0
+        return reserved
+
+    def has_more(self) -> bool:
+        """Whether something of a request has come that is owed an answer yet."""
+        return bool(self.backlog) or bool(self.unparsed) or self.state in PARTIAL
 
     def expects_continue(self) -> bool:
         """Whether the client waits for word that it may send the body that comes next (RFC 9110,
@@ -218,11 +230,12 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A whole header, or a trailer, which must not stand in for a header that was checked."""
-        if self.state is not ReadState.HEAD:
+        if self.state is not HEAD:
             return
         self._headers.append((name, value.strip()))
-        self.size += len(name) + len(value) + 4
-        if self.size > HEAD_LIMIT:
+        size = self.size + len(name) + len(value) + HEADER_PUNCTUATION
+        self.size = size
+        if size > HEAD_LIMIT:
             raise self._failed(HeadTooLongError(HEAD_LIMIT))
 
     def on_headers_complete(self) -> None:
@@ -246,7 +259,7 @@
             if self.size > self._validator.longest_body:
                 raise self._failed(BodyTooLongError("body too long", self._validator.longest_body))
             # What came before it grew long was in no budget.
-            self._hold(self.size if before <= SHORT_BODY else len(body))
+            self._reserve(self.size if before <= SHORT_BODY else len(body))
         self._body += body
 
     def on_message_complete(self) -> None:
@@ -267,11 +280,11 @@
                 pending = PendingRequest(request, 200, keep, version=parser.get_http_version())
         except BadRequestError as bad:
             pending = PendingRequest(None, bad.status, keep, str(bad))
-        if self._body_held:
+        if self._body_reserved:
             # The long body is the request's alone now, which has an end.
             self._body = bytearray()
-            pending.held = self._body_held
-            self._body_held = 0
+            pending.reserved = self._body_reserved
+            self._body_reserved = 0
         self.backlog.append(pending)
 
     def _failed(self, error: BadRequestError) -> BadRequestError:
@@ -281,9 +294,9 @@
         self._error = error
         return error
 
-    def _hold(self, size: int) -> None:
+    def _reserve(self, size: int) -> None:
         """Take so many bytes more from the budget of long bodies."""
         steady()
         if not self._buffers.take(size):
             raise self._failed(BodyMemoryError())
-        self._body_held += size
+        self._body_reserved += size
--- a/quillroad/downstream/request_turns.py
+++ b/quillroad/downstream/request_scheduler.py
@@ -21,7 +21,7 @@
 HOLD_S = 0.02
 
 
-class RequestTurns:
+class RequestScheduler:
     """Who of the connections waits for the core, and who begins next.
 
     `scheduled` says whether a turn is about to run.
@@ -54,9 +54,9 @@
         """
         limit = self._connection_limit
         state = limit.stage(connection)
-        held = limit.busy + (state is not ConnectionState.BUSY)
+        in_use = limit.busy + (state is not ConnectionState.BUSY)
         now = monotonic()
-        waiting = self._admission.join(now, since, wait_s, route, tenant, held, connection)
+        waiting = self._admission.join(now, since, wait_s, route, tenant, in_use, connection)
         if waiting is not None:
             if state is not None:
                 limit.moves(connection, ConnectionState.BUSY, monotonic())
@@ -68,9 +68,9 @@
         """Let a turn run if something waits: the engine may have room for more."""
         if self._admission.waiting and not self.scheduled:
             self.scheduled = True
-            self._loop.call_soon(self._turn)
+            self._loop.call_soon(self._run)
 
-    def _turn(self) -> None:
+    def _run(self) -> None:
         """Begin what has waited, for a slice of time; then sockets are read again, answers of hosts
         among them.
         """
@@ -82,10 +82,10 @@
         self._admission.used(now, process_time())
         self._loop_monitor.busy = self._admission.busy
         end = now + self._admission.slice_s(now)
-        held = False
+        at_capacity = False
         while now < end:
-            held = self._holds()
-            if held:
+            at_capacity = self._holds()
+            if at_capacity:
                 break
             item = self._admission.take()
             if item is None:
@@ -95,13 +95,13 @@
         self._admission.sliced(now)
         if not self._admission.waiting:
             return
-        if held:
-            self._wait_for_room(now)
+        if at_capacity:
+            self._wait_for_capacity(now)
         else:
             self.scheduled = True
-            self._loop.call_soon(self._turn)
+            self._loop.call_soon(self._run)
 
-    def _wait_for_room(self, now: float) -> None:
+    def _wait_for_capacity(self, now: float) -> None:
         """Begin nothing until the engine tells of room, or the core gets less busy meanwhile;
         whoever can no longer be answered in time is let go, to be refused.
         """
@@ -125,7 +125,7 @@
         """
         return self._admission.busy and self._engine.queued > len(self._engine.hosts)
 
-    def log_refusals(self) -> None:
+    def log_rejections(self) -> None:
         """One line when refusals begin, and one when they have ended."""
         refused = self._admission.refused - self._refused
         self._refused = self._admission.refused
--- a/quillroad/downstream/request_validation.py
+++ b/quillroad/downstream/request_validation.py
@@ -57,13 +57,13 @@
         segments = url.partition(b"?")[0].split(b"/")
         return self.route(segments[1]) if len(segments) > 1 else None
 
-    def wait_s(self, route: int, told_ms: int | None) -> float:
+    def wait_s(self, route: int, timeout_ms: int | None) -> float:
         """Seconds that a client waits for its answer: what it told, its route's deadline at the
         most.
         """
-        if told_ms is None:
+        if timeout_ms is None:
             return self._deadlines_s[route]
-        return min(told_ms / 1000, self._deadlines_s[route])
+        return min(timeout_ms / 1000, self._deadlines_s[route])
 
     def tenant(self, name: bytes) -> int:
         """The number of the tenant of this name; -1 for an unknown one."""
@@ -82,18 +82,13 @@
         `headers` are pairs of name and stripped value as they came, `since` is the monotonic time
         (s) at which the request came. Raises `BadRequestError`.
         """
-        segments = url.partition(b"?")[0].split(b"/")
-        if len(segments) < 2 or segments[0] or not segments[1]:
-            raise UnknownPathError()
-        route = self.route(segments[1])
-        if route is None:
-            raise UnknownRouteError(400 if len(segments) == 3 else 404)
+        route, key = self._read_path(url)
         forwarded = [b"%b %b HTTP/1.1" % (method, url)]
         values = _read_headers(headers, forwarded)
         idempotency = self._idempotencies[route]
         idempotent = idempotency is Idempotency.IDEMPOTENT
         keyed = idempotency is Idempotency.KEYED
-        wait_ms = _check_rules(method, bool(body), values, idempotent, keyed)
+        _check_rules(method, bool(body), values, idempotent, keyed)
         if not idempotent:
             forwarded.append(b"Content-Length: %d" % len(body))
         hint = values.get(b"work-hint", b"")
@@ -101,11 +96,11 @@
             id=values[b"request-id"].decode("latin-1"),
             route=route,
             tenant=self._tenants.get(values.get(b"tenant", b"").decode("latin-1"), -1),
-            key=unquote(segments[-1].decode("latin-1"))
-            if len(segments) > 2 and segments[-1]
-            else None,
+            key=key,
             since=since,
-            expires=min(since + self.wait_s(route, wait_ms), self.answers_by),
+            expires=min(
+                since + min(_timeout_ms(values) / 1000, self._deadlines_s[route]), self.answers_by
+            ),
             repeat=values.get(b"client-retry") == b"1",
             work_us=int(hint) if hint.isdigit() and len(hint) <= WORK_HINT_DIGITS else None,
             head=b"\r\n".join(forwarded) + b"\r\n",
@@ -113,6 +108,18 @@
             body=b"" if idempotent else body if len(body) > SHORT_BODY else bytes(body),
         )
 
+    def _read_path(self, url: bytes) -> tuple[int, str | None]:
+        """The route that a URL names, and the key of what is asked for; None without one."""
+        segments = url.partition(b"?")[0].split(b"/")
+        if len(segments) < 2 or segments[0] or not segments[1]:
+            raise UnknownPathError()
+        route = self.route(segments[1])
+        if route is None:
+            raise UnknownRouteError(400 if len(segments) == 3 else 404)
+        if len(segments) == 2 or not segments[-1]:
+            return route, None
+        return route, unquote(segments[-1].decode("latin-1"))
+
 
 def _read_headers(headers: list[tuple[bytes, bytes]], forwarded: list[bytes]) -> dict[bytes, bytes]:
     """Values by lower-case name, the last of each; lines that go on to the host are added to
@@ -131,10 +138,11 @@
 
 def _check_rules(
     method: bytes, has_body: bool, values: dict[bytes, bytes], idempotent: bool, keyed: bool
-) -> int:
-    """Check a request against its route's idempotency; returns the client's waiting time in ms."""
-    if method != (b"GET" if idempotent else b"POST"):
-        raise WrongMethodError("GET" if idempotent else "POST")
+) -> None:
+    """Check a request against its route's idempotency."""
+    expected = b"GET" if idempotent else b"POST"
+    if method != expected:
+        raise WrongMethodError(expected.decode())
     if idempotent and has_body:
         raise UnexpectedBodyError()
     if keyed != bool(values.get(b"idempotency-key")):
@@ -145,7 +153,13 @@
         )
     if not values.get(b"request-id"):
         raise HeaderError("no Request-Id", "Request-Id", "an id")
-    wait = values.get(b"request-timeout-ms", b"")
-    if not wait.isdigit() or len(wait) > TIMEOUT_DIGITS or (wait_ms := int(wait)) == 0:
-        raise HeaderError("bad Request-Timeout-Ms", "Request-Timeout-Ms", "milliseconds above 0")
-    return wait_ms
+
+
+def _timeout_ms(values: dict[bytes, bytes]) -> int:
+    """How long the client says that it waits, in ms."""
+    value = values.get(b"request-timeout-ms", b"")
+    if value.isdigit() and len(value) <= TIMEOUT_DIGITS:
+        timeout_ms = int(value)
+        if timeout_ms > 0:
+            return timeout_ms
+    raise HeaderError("bad Request-Timeout-Ms", "Request-Timeout-Ms", "milliseconds above 0")
--- a/quillroad/downstream/responses.py
+++ b/quillroad/downstream/responses.py
@@ -50,17 +50,22 @@
     """A whole response. `retry_after_us` is the wait told, in microseconds; `keep` says whether the
     connection stays open.
     """
-    lines = [b"HTTP/1.1 %d %b" % (status, REASONS[status])]
-    if content_type is not None:
-        lines.append(b"Content-Type: " + content_type)
-    if retry_after_us is not None:
-        lines.append(b"Retry-After: %.3f" % (retry_after_us / 1e6))
-    lines.append(b"Content-Length: %d" % len(body))
-    lines.append(b"Connection: keep-alive" if keep else b"Connection: close")
-    return b"\r\n".join(lines) + b"\r\n\r\n" + body
-
-
-def refusal(keep: bool, retry_after_us: int) -> bytes:
+    type_line = b"" if content_type is None else b"Content-Type: %b\r\n" % content_type
+    retry_line = (
+        b"" if retry_after_us is None else b"Retry-After: %.3f\r\n" % (retry_after_us / 1e6)
+    )
+    return b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\nConnection: %b\r\n\r\n%b" % (
+        status,
+        REASONS[status],
+        type_line,
+        retry_line,
+        len(body),
+        b"keep-alive" if keep else b"close",
+        body,
+    )
+
+
+def rejection(keep: bool, retry_after_us: int) -> bytes:
     """A whole 503 that turns a request away; `retry_after_us` is the wait told, in microseconds, 0
     for none.
     """
--- a/quillroad/downstream/server.py
+++ b/quillroad/downstream/server.py
@@ -11,9 +11,9 @@
 from quillroad.config import RESERVED, Config, Descriptors
 from quillroad.downstream.connection import ClientConnection
 from quillroad.downstream.connection_limit import UNHEARD_S, ConnectionLimit, ConnectionState
-from quillroad.downstream.request_turns import HOLD_S, RequestTurns
+from quillroad.downstream.early_rejection import EarlyRejection, Rejections
+from quillroad.downstream.request_scheduler import HOLD_S, RequestScheduler
 from quillroad.downstream.request_validation import RequestValidator
-from quillroad.downstream.turn_away import Refusals, TurnAway
 from quillroad.engine.engine import Engine
 from quillroad.overload.acceptor import Acceptor
 from quillroad.overload.admission_queue import Admission, Lane
@@ -26,25 +26,25 @@
 # Connections past the descriptors' limit at the most, for those that end others or are turned away.
 # With what is no connection (15 of one process) and the accept at hand they are within RESERVED.
 EXCESS = RESERVED // 4
-# Connections to hosts that make room in a turn at the most: it doubles up to here while that is too
-# few.
-MOST_FREED = 64
-# After which one makes room again: the need has passed meanwhile.
-FREED_S = 0.05
+# Idle connections to hosts that are dropped for clients at a time: it doubles up to here while that
+# is too few.
+MOST_DROPPED = 64
+# After which it begins at one again: the need has passed meanwhile.
+DROPPED_S = 0.05
 # Connections that end with an answer at the most: with one, their number would never fall.
 OVERSTAYED = 2
 # The gateway's seed spreads its Retry-After times against those of others: a prime keeps neighbours
 # apart.
-SPREAD_MODULUS = 997
+JITTER_MODULUS = 997
 
 
 class Server:
     """All client connections of the gateway.
 
-    `make_room` ends an idle connection to a host, and says whether there was one. `retry_after_us`
-    is the wait told with a refusal (µs, 0 for none), `streams` the long answers on their way,
-    `draining` whether the last answer on each connection says that it closes. `on_end` is told of
-    each request's end: route and status.
+    `drop_idle_upstream` ends an idle connection to a host, and says whether there was one.
+    `retry_after_us` is the wait told with a refusal (µs, 0 for none), `streams` the long answers on
+    their way, `draining` whether the last answer on each connection says that it closes. `on_end`
+    is told of each request's end: route and status.
     """
 
     def __init__(
@@ -53,40 +53,37 @@
         config: Config,
         engine: Engine,
         descriptors: Descriptors,
-        make_room: Callable[[], bool],
+        drop_idle_upstream: Callable[[], bool],
         loop_monitor: EventLoopMonitor,
     ) -> None:
         self.loop = loop
         self.engine = engine
         self.loop_monitor = loop_monitor
         self._descriptors = descriptors
-        self._make_room = make_room
-        settings = config.settings
-        self.retry_after_us = settings.max_retry_after_us if settings.retry_after_allowed else 0
+        self._drop_idle_upstream = drop_idle_upstream
+        self._dropped = 1  # connections to hosts that were dropped at a time last
+        self._dropped_at = 0.0  # when, in monotonic time (s)
         self.draining = False
         self.streams = 0
         self.on_end: Callable[[int, int], None] | None = None
-        self._freed = 1  # connections to hosts that made room last
-        self._freed_at = 0.0  # when, in monotonic time (s)
-        self.validator = RequestValidator(config)
         self.buffers = Buffers(config.buffers)
-        self.spread = Spread(config.seed % SPREAD_MODULUS / SPREAD_MODULUS)
-        self._refusals = Refusals(self.spread, self.retry_after_us)
-        self.admission = _admission(config, _places(descriptors))
-        self.connection_limit: ConnectionLimit[ClientConnection] = ConnectionLimit(
-            _places(descriptors), ClientConnection.unread
-        )
-        self.turns = RequestTurns(loop, loop_monitor, engine, self.admission, self.connection_limit)
-        engine.on_capacity = self.turns.schedule
-        self._acceptor: Acceptor[ClientConnection] = Acceptor(
-            loop, self._take, self._may_accept, self.mark_closed
-        )
-        self._turn_away = TurnAway(
+        self.validator = RequestValidator(config)
+        self.retry_after_us = _retry_after_us(config)
+        self.retry_after_jitter = Spread(config.seed % JITTER_MODULUS / JITTER_MODULUS)
+        self._rejections = Rejections(self.retry_after_jitter, self.retry_after_us)
+        places = _client_connections(descriptors)
+        self.admission = _admission(config, places)
+        self.connection_limit = ConnectionLimit[ClientConnection](places, ClientConnection.unread)
+        limit = self.connection_limit
+        self.scheduler = RequestScheduler(loop, loop_monitor, engine, self.admission, limit)
+        engine.on_capacity = self.scheduler.schedule
+        self._acceptor = Acceptor(loop, self._take, self._may_accept, self.mark_closed)
+        self._early_rejection = EarlyRejection(
             self.validator,
             self.admission,
-            self.connection_limit,
+            limit,
             self._acceptor,
-            self._refusals,
+            self._rejections,
             self._request_ended,
         )
 
@@ -126,7 +123,7 @@
 
     def resize(self) -> None:
         """The number of descriptors has changed."""
-        places = _places(self._descriptors)
+        places = _client_connections(self._descriptors)
         self.connection_limit.resize(places)
         self.admission.resize(places)
 
@@ -136,12 +133,12 @@
         """
         limit = self.connection_limit
         free = limit.has_place() or limit.may_exceed() or limit.to_end(monotonic()) is not None
-        if not free and not (limit.may_look() and self._turn_away.has_time()):
+        if not free and not (limit.may_look() and self._early_rejection.has_time()):
             return False
         if self._descriptors.spare() > -EXCESS:
             return True
         if limit.has_place():
-            self._free()
+            self._drop_upstream()
         elif (one := limit.to_end(monotonic())) is not None:
             # Ended at the accept it would need a descriptor more for that moment, which there is
             # not: nobody would come in until those who hold them all go by themselves.
@@ -149,15 +146,18 @@
             self._acceptor.soon = True
         return False
 
-    def _free(self) -> None:
-        """Let connections to hosts make room. What they hold is free in the next turn, and no
-        client is taken on it before; twice as many go with each turn in which that was too few.
+    def _drop_upstream(self) -> None:
+        """Drop idle connections to hosts for clients that wait. Their descriptors are free in the
+        loop's next turn, and no client is taken on them before; twice as many go with each turn in
+        which that was too few.
         """
         now = monotonic()
-        self._freed = min(2 * self._freed, MOST_FREED) if now - self._freed_at < FREED_S else 1
-        self._freed_at = now
-        for _ in range(self._freed):
-            if not self._make_room():
+        self._dropped = (
+            min(2 * self._dropped, MOST_DROPPED) if now - self._dropped_at < DROPPED_S else 1
+        )
+        self._dropped_at = now
+        for _ in range(self._dropped):
+            if not self._drop_idle_upstream():
                 break
             self._acceptor.soon = True
 
@@ -185,7 +185,7 @@
             one = limit.to_end(now)
             # Those who have said nothing yet may never: they are no reason to refuse one who has.
             full = limit.busy >= limit.places and not limit.may_exceed()
-            if one is None and self._turn_away.turn_away(sock, now, full):
+            if one is None and self._early_rejection.reject(sock, now, full):
                 return None
         connection = ClientConnection(self, sock)
         self._descriptors.used += 1
@@ -257,9 +257,9 @@
         limit = self.connection_limit
         return self.admission.waiting > 0 or 2 * limit.busy > limit.places
 
-    def refusal(self) -> bytes:
+    def rejection(self) -> bytes:
         """A whole answer that turns a request away."""
-        return self._refusals.closing() if self.draining else self._refusals.keep_alive()
+        return self._rejections.closing() if self.draining else self._rejections.keep_alive()
 
     # Time limits and the end.
 
@@ -267,8 +267,8 @@
         """Called now and then: end what takes too long."""
         now = monotonic()
         for connection in self.connection_limit.connections():
-            connection.sweep(now)
-        self.turns.log_refusals()
+            connection.enforce_time_limits(now)
+        self.scheduler.log_rejections()
 
     def stop_listening(self) -> None:
         """The front has stopped sending connections: no more are taken, and idle ones end."""
@@ -291,7 +291,7 @@
                 connection.abort()
 
 
-def _places(descriptors: Descriptors) -> int:
+def _client_connections(descriptors: Descriptors) -> int:
     """For clients; the other half is the hosts': each request needs one there."""
     return max(1, descriptors.limit // 2)
 
@@ -303,6 +303,12 @@
     return route.deadline_us
 
 
+def _retry_after_us(config: Config) -> int:
+    """The longest wait told with a refusal; 0 where none may be told."""
+    settings = config.settings
+    return settings.max_retry_after_us if settings.retry_after_allowed else 0
+
+
 def _admission(config: Config, places: int) -> Admission:
     """The admission queue as the settings have it."""
     settings = config.settings
--- a/quillroad/downstream/state.py
+++ b/quillroad/downstream/state.py
@@ -13,7 +13,7 @@
 `AnswerState` is what the connection owes its client:
 
     IDLE      --QUEUE------> QUEUED     a request waits for the gateway's core
-    QUEUED    --TURN-------> IDLE       the core has time for it
+    QUEUED    --DISPATCH---> IDLE       the core has time for it
     IDLE      --SERVE------> SERVING    it is with the engine, or is answered at once
     SERVING   --FINISH-----> IDLE
     SERVING   --STREAM-----> STREAMING  a long answer goes on as it comes
@@ -80,7 +80,7 @@
     """What happens to a request and its answer."""
 
     QUEUE = 0
-    TURN = 1  # the core has time for what was queued
+    DISPATCH = 1  # the core has time for what was queued
     SERVE = 2
     STREAM = 3
     FINISH = 4
@@ -156,7 +156,7 @@
     Transitions(
         AnswerState.QUEUED,
         {
-            AnswerEvent.TURN: AnswerState.IDLE,
+            AnswerEvent.DISPATCH: AnswerState.IDLE,
             AnswerEvent.DISCONNECT: AnswerState.CLOSED,
         },
     ),
--- a/quillroad/framing.py
+++ b/quillroad/framing.py
@@ -35,23 +35,31 @@
     if framing:
         for _, name, _ in framing:
             if b"_" in name or name != name.strip():
-                raise FramingError("a framing header spelt oddly", name.decode("latin-1"), "-")
+                raise FramingError(
+                    "a framing header spelt oddly", name.decode("latin-1"), "its usual spelling"
+                )
         if len(framing) > 1:
             raise FramingError("two framing headers", "Content-Length, Transfer-Encoding", "one")
         plain, _, value = framing[0]
-        if plain == _LENGTH:
-            if not (value.isdigit() and len(value) <= _LENGTH_DIGITS):
-                raise FramingError("bad Content-Length", "Content-Length", "decimal digits")
-            length = int(value)
-        elif value.lower() == b"chunked" and version == "1.1":
-            length = -1
-        else:
-            raise FramingError("unknown Transfer-Encoding", "Transfer-Encoding", "chunked")
+        length = _content_length(value) if plain == _LENGTH else _chunked(value, version)
     if version not in ("1.0", "1.1"):
         raise FramingError("unknown version of HTTP", "version", "1.0 or 1.1")
     return length
 
 
+def _content_length(value: bytes) -> int:
+    if value.isdigit() and len(value) <= _LENGTH_DIGITS:
+        return int(value)
+    raise FramingError("bad Content-Length", "Content-Length", "decimal digits")
+
+
+def _chunked(value: bytes, version: str) -> int:
+    """-1, the length of a body in chunks."""
+    if value.lower() == b"chunked" and version == "1.1":
+        return -1
+    raise FramingError("unknown Transfer-Encoding", "Transfer-Encoding", "chunked, with HTTP/1.1")
+
+
 def _framing_headers(headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes, bytes]]:
     """The headers that frame a body, also those that only a lenient host takes for such: plain
     name, name as it came, value.
--- a/scripts/compile.py
+++ b/scripts/compile.py
@@ -41,8 +41,8 @@
     "quillroad/downstream/request_parser.py",
     "quillroad/downstream/connection_output.py",
     "quillroad/downstream/connection.py",
-    "quillroad/downstream/request_turns.py",
-    "quillroad/downstream/turn_away.py",
+    "quillroad/downstream/request_scheduler.py",
+    "quillroad/downstream/early_rejection.py",
     "quillroad/downstream/server.py",
     "quillroad/upstream/pool.py",
     "quillroad/upgrade/shared.py",  # it extends engine and server, which only compiled classes can
--- a/tests/downstream/test_long_bodies.py
+++ b/tests/downstream/test_long_bodies.py
@@ -359,13 +359,13 @@
             lambda: any(c.output_pending for c in w.gateway.server.connection_limit.connections())
         )
         (connection,) = w.gateway.server.connection_limit.connections()
-        connection.sweep(monotonic())  # how much is left is looked at
+        connection.enforce_time_limits(monotonic())  # how much is left is looked at
         connection.last_change -= UNREAD_S + 1
         connection._unread_bytes += 1  # it has taken something since
-        connection.sweep(monotonic())
+        connection.enforce_time_limits(monotonic())
         assert len(w.gateway.server.connection_limit) == 1
         connection.last_change -= UNREAD_S + 1
-        connection.sweep(monotonic())
+        connection.enforce_time_limits(monotonic())
         assert len(w.gateway.server.connection_limit) == 0
 
 
@@ -398,17 +398,17 @@
         )
         (connection,) = w.gateway.server.connection_limit.connections()
         connection.last_change -= 2.1
-        connection.sweep(monotonic())
+        connection.enforce_time_limits(monotonic())
         client.writer.write(head(95, 100_000)[40:] + BODY[:99_000])
         await until(lambda: connection._parser.size == 99_000)
         connection.last_change -= 2.0  # 4.1 s in all: longer than a head has
-        connection.sweep(monotonic())
+        connection.enforce_time_limits(monotonic())
         client.writer.write(BODY[99_000:100_000])
         assert (await client.receive()).status == 200
         client.writer.write(head(96, 100_000)[:40])
         await until(lambda: connection._parser.state in PARTIAL)
         connection.last_change -= 2.6
-        connection.sweep(monotonic())
+        connection.enforce_time_limits(monotonic())
         assert (await client.receive()).status == 408
 
 
--- a/tests/overload/test_arrivals.py
+++ b/tests/overload/test_arrivals.py
@@ -315,7 +315,7 @@
             (True, 1000.0, 503),
         ):
             admission.waiting = int(pressed)  # one that is not there, ahead of all
-            w.gateway.server.turns.scheduled = (
+            w.gateway.server.scheduler.scheduled = (
                 pressed  # an alarm of the module must not take it out
             )
             admission._queues[0].entries.extend([Waiting(None, 0.0, 0.0)] * pressed)
@@ -333,7 +333,7 @@
             assert admission.refused - refused == (2 if pressed else 0)
             assert (await client.ask("/no-such/k")).status == 400
             assert (await client.ask("/up", method="GET")).status == 200
-            admission.waiting, w.gateway.server.turns.scheduled = 0, False
+            admission.waiting, w.gateway.server.scheduler.scheduled = 0, False
         assert not w.gateway.engine._open
 
 
@@ -361,7 +361,7 @@
     async with world(serve_ok) as w:
         server, turns = w.gateway.server, list[float]()
         held = True
-        monkeypatch.setattr(server.turns, "_holds", lambda: held)
+        monkeypatch.setattr(server.scheduler, "_holds", lambda: held)
         monkeypatch.setattr(server.admission, "sliced", turns.append)
         clients = [await w.client().__aenter__() for _ in range(20)]
         for number, client in enumerate(clients):
