--- /dev/null
+++ b/tests/downstream/test_endpoint_changes.py
@@ -0,0 +1,113 @@
+"""Hosts that drain, leave, move or warm up while requests are under way."""
+
+from __future__ import annotations
+
+import time
+
+import pytest
+
+from quillroad.discovery.reducer import server_number
+from tests.net import (
+    FakeHost,
+    NeverUp,
+    answer,
+    hang,
+    on_loop,
+    serve_ok,
+    told_settings,
+    until,
+    world,
+)
+
+
+@pytest.mark.parametrize("lifecycle", ["draining", "removed"])
+@on_loop
+async def test_a_drained_host_gets_nothing_new(lifecycle: str) -> None:
+    """A host that is drained or removed must see no request more than it had when the news arrived."""
+    async with world(serve_ok, serve_ok) as w, w.client() as client:
+        leaving = w.hosts[0]
+        while not leaving.seen:
+            await client.ask()
+        w.discovery.tell(leaving.entry(lifecycle=lifecycle))
+        hosts, number = w.gateway.engine.hosts, server_number(leaving.name)
+        await until(lambda: number not in hosts or not hosts[number].ready)
+        await client.ask()  # what was on its way has arrived by now
+        before = len(leaving.seen)
+        for _ in range(30):
+            assert (await client.ask()).status == 200
+        assert len(leaving.seen) == before
+
+
+@on_loop
+async def test_requests_at_a_drained_host_are_still_answered() -> None:
+    """A drain must not cut off what the host has begun."""
+    async with world(hang) as w, w.client() as client:
+        client.send()
+        await w.hosts[0].came.get()
+        w.discovery.tell(w.hosts[0].entry(lifecycle="draining"))
+        await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
+        w.hosts[0].writers[0].write(answer(b"finished"))
+        assert (await client.receive()).body == b"finished"
+
+
+@on_loop
+async def test_a_drain_during_a_connect_moves_the_request() -> None:
+    """The connection to the drained host never comes up: the request goes to another host."""
+    dead = NeverUp()
+    async with world() as w, w.client() as client:
+        stuck = FakeHost("s-stuck")
+        stuck.address = dead.address
+        w.discovery.tell(stuck.entry())
+        await until(lambda: len(w.gateway.engine.hosts) == 1)
+        client.send()
+        await until(lambda: any(h.connecting for h in w.gateway.engine.hosts.values()))
+        good = await FakeHost("s-good").start()
+        w.discovery.tell(stuck.entry(lifecycle="draining"), good.entry())
+        assert (await client.receive()).status == 200
+        assert len(good.seen) == 1
+    dead.close()
+
+
+@on_loop
+async def test_a_host_at_a_new_address_is_reached_there() -> None:
+    """Connections to the old address are dropped, or requests would go on to whoever has it now."""
+    async with world(serve_ok) as w, w.client() as client:
+        await client.ask()
+        moved = await FakeHost("s-0").start()
+        w.discovery.tell(moved.entry())
+        await w.hosts[0].closed.get()
+        assert (await client.ask()).status == 200
+        assert len(moved.seen) == 1
+
+
+@on_loop
+async def test_start_times_before_this_process_began_count() -> None:
+    """A start of a second ago is cold, one of an hour ago is warm, also before this process began."""
+    rules = {"cold": 60_000_000, "cold_from": 0.3, "fall_multiple": 3.0}
+    async with world(serve_ok, settings=told_settings(guarantees=rules)) as w:
+        now_ms = time.time_ns() // 1_000_000
+        assert abs(w.gateway.engine.now_us() / 1000 - now_ms) < 60_000
+        young, old = await FakeHost("s-young").start(), await FakeHost("s-old").start()
+        w.discovery.tell(
+            young.entry(startedAtMs=now_ms - 1000), old.entry(startedAtMs=now_ms - 3_600_000)
+        )
+        await until(lambda: len(w.gateway.engine.hosts) == 3)
+        balancer = w.gateway.engine._balancer
+        assert [s.spec.id for s in balancer.cold] == [server_number("s-young")]
+
+
+@on_loop
+async def test_a_warming_host_is_not_overloaded() -> None:
+    """Fifty requests come at once: the warming host may not get more than its slow-start share."""
+    rules = {"cold": 60_000_000, "cold_from": 0.3, "fall_multiple": 1.0}
+    async with world(hang, hang, settings=told_settings(guarantees=rules)) as w:
+        cold = await FakeHost("s-cold", hang).start()
+        w.discovery.tell(cold.entry(startedAtMs=time.time_ns() // 1_000_000))
+        await until(lambda: len(w.gateway.engine.hosts) == 3)
+        clients = [await w.client().__aenter__() for _ in range(50)]
+        for client in clients:
+            client.send()
+        await until(lambda: len(w.hosts[0].seen) + len(w.hosts[1].seen) >= 6)
+        assert len(cold.seen) <= 1
+        for client in clients:
+            client.writer.close()
