--- a/quillroad/downstream/connection_output.py
+++ b/quillroad/downstream/connection_output.py
@@ -242,7 +242,7 @@
         return True
 
     def _enforce_output_limit(self, transport: asyncio.Transport, now: float) -> None:
-        """End the connection of a client that takes nothing of its answer; a slow one does get on."""
+        """End the connection of a client that takes nothing of its answer; a slow one goes on."""
         unread = transport.get_write_buffer_size() + unacknowledged(self._sock)
         if unread != self._unread_bytes:
             self._unread_bytes = unread
--- a/quillroad/downstream/request_parser.py
+++ b/quillroad/downstream/request_parser.py
@@ -46,8 +46,8 @@
 
     `request` is None for an error and for the health check, which are answered with `status`; `why`
     goes to the log. `keep` says whether the connection may stay open after the answer, `version` is
-    the protocol's. `route` is -1 where none is known, and `reserved` the bytes of the body that count
-    in the budget of long ones.
+    the protocol's. `route` is -1 where none is known, and `reserved` the bytes of the body that
+    count in the budget of long ones.
     """
 
     def __init__(
--- a/quillroad/downstream/request_validation.py
+++ b/quillroad/downstream/request_validation.py
@@ -22,8 +22,8 @@
 AT_MOST_ONCE = frozenset((b"request-id", b"idempotency-key", b"request-timeout-ms"))
 # Of one connection only (RFC 9110, 7.6.1), or written anew for the host.
 HOP_BY_HOP = frozenset(
-    b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect content-length "
-    b"request-timeout-ms proxy-authorization proxy-authenticate".split()
+    b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect "
+    b"content-length request-timeout-ms proxy-authorization proxy-authenticate".split()
 )
 TIMEOUT_DIGITS = 12  # of Request-Timeout-Ms at most: thirty years
 WORK_HINT_DIGITS = 11  # of Work-Hint at most (µs): a longer one is left out
@@ -46,7 +46,7 @@
         self.answers_by = math.inf
 
     def route(self, segment: bytes) -> int | None:
-        """The number of the route that the first segment of a path names; None where it names none."""
+        """The number of the route that the first segment of a path names; None for none."""
         name = segment.decode("latin-1")
         return self._routes.get(unquote(name) if "%" in name else name)
 
--- a/tests/downstream/clients.py
+++ b/tests/downstream/clients.py
@@ -15,8 +15,9 @@
 
 
 async def at_end(client: Client) -> bytes:
-    """All that comes until the gateway ends the connection; nothing if it ends by a reset, as it may where
-    the client was still sending."""
+    """All that comes until the gateway ends the connection; nothing if it ends by a reset, as it
+    may where the client was still sending.
+    """
     try:
         return await client.reader.read()
     except ConnectionResetError:
--- a/tests/downstream/test_bad_requests.py
+++ b/tests/downstream/test_bad_requests.py
@@ -89,7 +89,9 @@
 )
 @on_loop
 async def test_unreadable_bytes_cost_their_own_connection_only(data: bytes, status: int) -> None:
-    """Bytes that are no HTTP, or whose end is in doubt: one error, then the close; others are served."""
+    """Bytes that are no HTTP, or whose end is in doubt: one error, then the close; others are
+    served.
+    """
     async with world(serve_ok) as w, w.client() as client, w.client() as other:
         client.writer.write(data)
         assert (await client.receive()).status == status
--- a/tests/downstream/test_connection_limit.py
+++ b/tests/downstream/test_connection_limit.py
@@ -1,4 +1,6 @@
-"""Room for client connections: which is taken, which ends for another, who finds no place. No sockets."""
+"""Room for client connections: which is taken, which ends for another, who finds no place. No
+sockets.
+"""
 
 from __future__ import annotations
 
--- a/tests/downstream/test_connection_places.py
+++ b/tests/downstream/test_connection_places.py
@@ -88,7 +88,9 @@
 
 @on_loop
 async def test_silent_connections_do_not_take_the_descriptors_for_hosts() -> None:
-    """Each may have its first request on the way; but the hosts' part of the descriptors is not theirs."""
+    """Each may have its first request on the way; but the hosts' part of the descriptors is not
+    theirs.
+    """
     async with world(serve_ok, limits={"sockets": 24 + 16}) as w, w.client() as usual:
         assert (await usual.ask()).status == 200
         silent = [await w.client().__aenter__() for _ in range(30)]
@@ -104,7 +106,9 @@
 async def test_connections_that_linger_after_an_error_end_for_new_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Bad clients hold their connection for a while after their last answer: usual ones come before them."""
+    """Bad clients hold their connection for a while after their last answer: usual ones come before
+    them.
+    """
     monkeypatch.setattr(connection_output, "LINGER_S", 1000.0)
     monkeypatch.setattr(connection_limit, "UNHEARD_S", -1.0)
     async with world(serve_ok, limits={"sockets": 24 + 16}) as w:
@@ -121,8 +125,9 @@
 
 @on_loop
 async def test_the_longest_idle_connection_ends_once_many_are_idle() -> None:
-    """An incident: 128 of these held all the connections that clients may have for 2 s each, and two of three
-    requests found none. The longest idle ends as soon as there are many."""
+    """An incident: 128 of these held all the connections that clients may have for 2 s each, and
+    two of three requests found none. The longest idle ends as soon as there are many.
+    """
     async with world(serve_ok, limits={"sockets": 24 + 40}) as w, w.client() as usual:
         stayed = [await w.client().__aenter__() for _ in range(15)]
         for client in stayed:
--- a/tests/downstream/test_departed_clients.py
+++ b/tests/downstream/test_departed_clients.py
@@ -1,5 +1,6 @@
-"""A client that has closed has gone: no attempt begins for it, first or further, however it left and whatever
-kept the gateway from reading that."""
+"""A client that has closed has gone: no attempt begins for it, first or further, however it left
+and whatever kept the gateway from reading that.
+"""
 
 from __future__ import annotations
 
@@ -73,8 +74,9 @@
 async def test_who_sent_ahead_and_left_gets_no_further_attempt(
     leave: Leave, outcome: bytes
 ) -> None:
-    """join+brink: clients that send much at once and go. Reading is paused for them, so their close was not
-    seen: the next request, or the next try of the first, went to a host."""
+    """join+brink: clients that send much at once and go. Reading is paused for them, so their close
+    was not seen: the next request, or the next try of the first, went to a host.
+    """
     held = Held()
     async with world(held, held) as w:
         async with Client(w.gateway.port) as client:
@@ -95,7 +97,9 @@
 @pytest.mark.parametrize("linger", [False, True])
 @on_loop
 async def test_who_left_before_the_loop_came_round_gets_no_attempt(late: str, linger: bool) -> None:
-    """Both its request and its close lie in the kernel by then, and a connection to the host is at hand."""
+    """Both its request and its close lie in the kernel by then, and a connection to the host is at
+    hand.
+    """
     async with world(serve_ok) as w:
         async with w.client() as client:
             assert (await client.ask()).status == 200
--- a/tests/downstream/test_descriptors.py
+++ b/tests/downstream/test_descriptors.py
@@ -1,5 +1,6 @@
-"""Idle clients that fill every place, while discovery is away: what keeps a gateway alive has descriptors of
-its own."""
+"""Idle clients that fill every place, while discovery is away: what keeps a gateway alive has
+descriptors of its own.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +41,9 @@
 
 
 async def served(port: int) -> bool:
-    """Whether one request on a new connection is served, as clients try: again where they find no place."""
+    """Whether one request on a new connection is served, as clients try: again where they find no
+    place.
+    """
     for _ in range(200):
         try:
             async with asyncio.timeout(2.0), Client(port) as client:
@@ -108,9 +111,10 @@
 async def test_a_burst_of_clients_onto_a_pool_of_hosts_connections_stays_within_the_limit(
     tmp_path: Path,
 ) -> None:
-    """Connections to hosts make room for clients, but hold their descriptors until they are closed: all that
-    come in one turn of the loop must not count on what is still open, nor on what the process was started
-    with."""
+    """Connections to hosts make room for clients, but hold their descriptors until they are closed:
+    all that come in one turn of the loop must not count on what is still open, nor on what the
+    process was started with.
+    """
     hosts = [await FakeHost(f"s-{i}").start() for i in range(4)]
     discovery = await FakeDiscovery(*(host.entry() for host in hosts)).start()
     port = free_port()
@@ -131,7 +135,8 @@
     def held() -> int:
         return len(os.listdir(f"/proc/{process.pid}/fd"))
 
-    # Few clients whose requests come so fast that hardly a connection has settled for the next: a full pool.
+    # Few clients whose requests come so fast that hardly a connection has settled for the next: a
+    # full pool.
     assert await served(port)
     base = held()
     few = [await Client(port).__aenter__() for _ in range(4)]
@@ -187,8 +192,9 @@
 async def test_silent_clients_past_the_limit_end_for_one_who_asks(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With all descriptors taken there is none to take another in on: one of them ends first, or nobody comes
-    in until they go by themselves."""
+    """With all descriptors taken there is none to take another in on: one of them ends first, or
+    nobody comes in until they go by themselves.
+    """
     monkeypatch.setattr(time_limits, "RECEIVE_S", 3600.0)
     async with world(serve_ok, serve_ok, limits={"sockets": RESERVED + 16}) as w:
         few = [await w.client().__aenter__() for _ in range(2)]
--- a/tests/downstream/test_long_answers.py
+++ b/tests/downstream/test_long_answers.py
@@ -33,7 +33,9 @@
 
 
 async def read_whole(reader: asyncio.StreamReader) -> bytes:
-    """The body of one answer, however it is framed; raises IncompleteReadError for one that is not whole."""
+    """The body of one answer, however it is framed; raises IncompleteReadError for one that is not
+    whole.
+    """
     head = (await reader.readuntil(b"\r\n\r\n")).lower()
     assert head.startswith(b"http/1.1 200 "), head
     if b"transfer-encoding: chunked" in head:
@@ -64,7 +66,9 @@
 async def test_a_long_answer_passes_whole_and_little_of_it_is_in_memory(
     pieces: list[bytes], end: bool
 ) -> None:
-    """The client reads nothing at first: the host has to wait, or the answer would pile up in memory."""
+    """The client reads nothing at first: the host has to wait, or the answer would pile up in
+    memory.
+    """
     async with world(host(pieces, end), **OPS) as w, w.client() as client:
         client.send()
         await until(lambda: w.gateway.server.streams == 1)
@@ -84,7 +88,9 @@
 
 @on_loop
 async def test_a_host_connection_paused_by_its_last_bytes_is_read_again() -> None:
-    """The last bytes of an answer pause the host's connection: left paused it would never be used again."""
+    """The last bytes of an answer pause the host's connection: left paused it would never be used
+    again.
+    """
     last = asyncio.Event()
 
     async def behave(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -139,7 +145,9 @@
 
 @on_loop
 async def test_a_long_answer_cut_off_by_the_end_of_the_process_is_noticed() -> None:
-    """Its end is the connection's for a client of HTTP/1.0, and the system closes in good order at exit."""
+    """Its end is the connection's for a client of HTTP/1.0, and the system closes in good order at
+    exit.
+    """
     pieces = [b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", BODY[:200_000]]
     async with world(host(pieces), **OPS) as w, w.client() as client:
         head = b"GET /status-check/k HTTP/1.0\r\nRequest-Id: a1\r\nRequest-Timeout-Ms: 900\r\n\r\n"
@@ -154,7 +162,9 @@
 
 @on_loop
 async def test_a_client_that_leaves_half_way_costs_its_own_connections_only() -> None:
-    """A client closes in the middle of its answer: its connection to the host ends, all others serve on."""
+    """A client closes in the middle of its answer: its connection to the host ends, all others
+    serve on.
+    """
     async with world(host(by_length(BODY)), **OPS) as w, w.client() as other:
         async with w.client() as client:
             client.send()
@@ -238,7 +248,9 @@
 
 @on_loop
 async def test_a_slow_reader_is_told_from_one_that_does_not_read() -> None:
-    """Both have bytes unread for longer than the limit; only the one that takes none of them is ended."""
+    """Both have bytes unread for longer than the limit; only the one that takes none of them is
+    ended.
+    """
     async with world(host(by_length(BODY)), **OPS) as w, w.client() as client:
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send()
--- a/tests/downstream/test_no_double_effect.py
+++ b/tests/downstream/test_no_double_effect.py
@@ -24,7 +24,9 @@
 )
 @on_loop
 async def test_a_non_idempotent_request_is_not_sent_again_once_it_may_have_run(behave: Any) -> None:
-    """The host resets the connection, or says 500 or 503 with no promise: the effect may have happened."""
+    """The host resets the connection, or says 500 or 503 with no promise: the effect may have
+    happened.
+    """
     async with world(behave, behave) as w, w.client() as client:
         assert (await client.ask("/audit/k", b"x")).status == 502
         assert sum(len(host.seen) for host in w.hosts) == 1
--- a/tests/downstream/test_one_answer.py
+++ b/tests/downstream/test_one_answer.py
@@ -26,7 +26,9 @@
 
 @on_loop
 async def test_a_host_that_does_not_answer_costs_one_response_only() -> None:
-    """A late answer of the host must not become the response to the next request on that connection."""
+    """A late answer of the host must not become the response to the next request on that
+    connection.
+    """
     async with world(hang) as w, w.client() as client:
         got = await client.ask(Request_Timeout_Ms="300")
         assert got.status == 503  # safe to repeat, so a refusal is allowed
@@ -93,7 +95,9 @@
 @pytest.mark.plain
 @on_loop
 async def test_an_exception_while_learning_from_an_answer_leaves_nothing_behind() -> None:
-    """The client has its answer, so nothing else would ever end the balancer's record of that request."""
+    """The client has its answer, so nothing else would ever end the balancer's record of that
+    request.
+    """
     async with world(serve_ok) as w, w.client() as client:
         balancer = w.gateway.engine._balancer
         learn, balancer.learn = balancer.learn, lambda *_: 1 / 0  # type: ignore[method-assign, assignment]
--- a/tests/downstream/test_state.py
+++ b/tests/downstream/test_state.py
@@ -33,7 +33,8 @@
     world,
 )
 
-# Written here once more, by hand: a table that is changed has to be changed in two places on purpose.
+# Written here once more, by hand: a table that is changed has to be changed in two places on
+# purpose.
 READS: dict[tuple[ReadState, ReadEvent], ReadState] = {
     (ReadState.BETWEEN, ReadEvent.BEGIN): ReadState.HEAD,
     (ReadState.HEAD, ReadEvent.HEAD_COMPLETE): ReadState.BODY,
@@ -114,7 +115,9 @@
 
 
 class Recorded(dict[Any, Any]):
-    """One row of a table that notes, by name, each transition looked up and each that is not allowed."""
+    """One row of a table that notes, by name, each transition looked up and each that is not
+    allowed.
+    """
 
     def __init__(self, row: Any, seen: set[str], refused: list[TransitionError]) -> None:
         super().__init__(row)
@@ -236,8 +239,9 @@
 def test_real_connections_take_only_allowed_transitions(
     scene: Callable[[World, Client], Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A transition that the table does not allow raises in a callback of the event loop, where it would
-    cost one connection and be seen by nobody: here it fails the test."""
+    """A transition that the table does not allow raises in a callback of the event loop, where it
+    would cost one connection and be seen by nobody: here it fails the test.
+    """
     seen, refused = record(monkeypatch)
 
     @on_loop
@@ -269,7 +273,8 @@
                 await scene(w, client)
 
     play()
-    # These need a fault of the gateway, or two processes and a client that leaves between two calls.
+    # These need a fault of the gateway, or two processes and a client that leaves between two
+    # calls.
     rare = {
         "AnswerState.IDLE FINISH",
         "AnswerState.MIGRATING DISCONNECT",
@@ -285,7 +290,9 @@
 async def test_a_request_that_cannot_begin_is_answered_and_its_connection_serves_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A fault at the beginning of a request used to be answered from a state that nobody had thought of."""
+    """A fault at the beginning of a request used to be answered from a state that nobody had
+    thought of.
+    """
     seen, refused = record(monkeypatch)
     async with world(serve_ok) as w, w.client() as client:
         with monkeypatch.context() as patch:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,5 +1,6 @@
-"""The end of a process under everything that can be under way, and the end of one connection with its answer
-still leaving."""
+"""The end of a process under everything that can be under way, and the end of one connection with
+its answer still leaving.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +44,9 @@
 
 
 async def not_reading(client: Client, connection: ClientConnection) -> int:
-    """Ask until a part of an answer can't leave the process; returns how many answers were asked for."""
+    """Ask until a part of an answer can't leave the process; returns how many answers were asked
+    for.
+    """
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     asked = 0
     while not connection.output_pending:
@@ -96,8 +99,9 @@
 
 @on_loop
 async def test_a_last_answer_is_not_cut_short(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With its last answer half in this process a connection is not yet one to end for another, and the time
-    in which a client may read why it ends has not begun."""
+    """With its last answer half in this process a connection is not yet one to end for another, and
+    the time in which a client may read why it ends has not begun.
+    """
     monkeypatch.setattr(connection_output, "LINGER_S", 0.005)
     host = say(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + BODY)
     async with world(host) as w:
@@ -176,7 +180,9 @@
 
 @on_loop
 async def test_answers_and_the_process_end_before_sigkill_by_a_margin() -> None:
-    """Counted from SIGTERM, whatever the longest deadline: what is left to the process covers its own end."""
+    """Counted from SIGTERM, whatever the longest deadline: what is left to the process covers its
+    own end.
+    """
     async with world(serve_ok) as w:
         longest_s = max(route.deadline_us for route in w.gateway.config.settings.routes) / 1e6
         before = time.monotonic()
@@ -191,7 +197,8 @@
 
 DEADLINE_S = 1.2
 KILL_S = DEADLINE_S + 0.7  # SIGKILL comes no sooner
-# Of processes that wait for a core, on a machine whose cores are all busy; the bound itself has a test above
+# Of processes that wait for a core, on a machine whose cores are all busy; the bound itself has a
+# test above
 LAG_S = 2.0
 
 
@@ -215,9 +222,10 @@
 @pytest.mark.parametrize("then", ["nothing", "SIGTERM again", "SIGHUP"])
 @on_loop_within(40.0)
 async def test_a_process_ends_in_time_with_everything_under_way(tmp_path: Path, then: str) -> None:
-    """All hosts hang. In flight, queued, half read, sent ahead, on a connection that has just come, on a
-    resting one right before its close: each gets one whole answer before SIGKILL would come, and the process
-    has ended by then."""
+    """All hosts hang. In flight, queued, half read, sent ahead, on a connection that has just come,
+    on a resting one right before its close: each gets one whole answer before SIGKILL would come,
+    and the process has ended by then.
+    """
     hosts = [await FakeHost(f"s-{i}", slowly).start() for i in range(2)]
     discovery = await FakeDiscovery(*(host.entry() for host in hosts)).start()
     port = free_port()
--- a/tests/test_stalled.py
+++ b/tests/test_stalled.py
@@ -15,8 +15,9 @@
 @pytest.mark.parametrize("opened", ["before", "meanwhile"])
 @on_loop
 async def test_a_drain_from_a_stall_is_heard_before_requests_are_sent(opened: str) -> None:
-    """With nothing open no beat tells of the stall. The drain was told when it was written: by now the time
-    in which sends to its host may go on is over."""
+    """With nothing open no beat tells of the stall. The drain was told when it was written: by now
+    the time in which sends to its host may go on is over.
+    """
     async with world(serve_ok, serve_ok) as w:
         leaves, stays = w.hosts
         while not (leaves.seen and stays.seen):  # there are connections at hand to both
