--- a/quillroad/downstream/__init__.py
+++ b/quillroad/downstream/__init__.py
@@ -0,0 +1,4 @@
+"""The client side.
+
+Listener, connections, request parser, responses, and which connections there may be.
+"""
