--- a/quillroad/cli/__init__.py
+++ b/quillroad/cli/__init__.py
@@ -1,5 +1,4 @@
-"""The command line: one file a command, each of which calls one function of the package that it belongs
-to."""
+"""The command line: one file a command, each of which calls the package that it belongs to."""
 
 from quillroad.cli.main import main
 
--- a/quillroad/cli/check.py
+++ b/quillroad/cli/check.py
@@ -7,7 +7,8 @@
 
 import click
 
-from quillroad.config import ConfigError, ConsulHosts, StaticHosts
+from quillroad.cli.exit_status import ExitStatus
+from quillroad.config import Config, ConfigError, ConsulHosts, StaticHosts
 from quillroad.config.file import load_file
 
 
@@ -19,10 +20,17 @@
         config = load_file(file)
     except ConfigError as error:
         print(f"quillroad: {error}", file=sys.stderr)
-        return 2
+        return ExitStatus.BAD_INPUT
+    route_count = len(config.settings.routes)
+    print(f"{file}: in order: {route_count} classes, {_describe_hosts(config)}")
+    return ExitStatus.OK
+
+
+def _describe_hosts(config: Config) -> str:
+    """Return where the hosts come from, for people."""
     hosts = config.hosts
-    told = f"{len(hosts.hosts)} hosts" if isinstance(hosts, StaticHosts) else "no hosts"
+    if isinstance(hosts, StaticHosts):
+        return f"{len(hosts.hosts)} hosts"
     if isinstance(hosts, ConsulHosts):
-        told = f"{hosts.service} by {len(hosts.agents)} agents"
-    print(f"{file}: in order: {len(config.settings.routes)} classes, {told}")
-    return 0
+        return f"{hosts.service} by {len(hosts.agents)} agents"
+    return "no hosts"
--- a/quillroad/cli/demo.py
+++ b/quillroad/cli/demo.py
@@ -1,10 +1,13 @@
-"""`quillroad demo`: a gateway between stand-in hosts and clients for some seconds, every request accounted
-for."""
+"""`quillroad demo`: a gateway between stand-in hosts and clients for some seconds.
+
+Every request is accounted for: what clients sent and got, and what hosts received.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import tempfile
+from collections.abc import Mapping, Sequence
 from pathlib import Path
 
 import click
@@ -13,81 +16,121 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from testbed.account import Work, percentile, tally
+from quillroad.cli.exit_status import ExitStatus
+from testbed.account import Tally, Work, percentile, tally
+from testbed.clients import Load
 from testbed.schedule import steady
 from testbed.stage import Stage
 
-WORKS = [
+ROUTES = [
     Work("status-check", 0.58, 1.4, 2.0),
     Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
 ]
-SLOW, HANGS, DRAINS = 1, 2, 3  # which hosts do what
+ROUTE_SHARES = (3, 1)  # requests of each route, in their proportion
+HOST_COUNT = 6
+SLOW_HOST = 1
+HANGING_HOST = 2
+DRAINED_HOST = 3
+ANSWER_S = 0.02  # seconds that a host takes for an answer
+SLOW_ANSWER_S = 0.4  # of the slow host: within the objectives, but only just
+BEHAVIOURS = {
+    SLOW_HOST: "answers after 400 ms",
+    HANGING_HOST: "answers nothing",
+    DRAINED_HOST: "drains half way",
+}
+ORDINARY_BEHAVIOUR = "answers after 20 ms"
+DRAIN_GRACE_S = 0.5  # after a drain was told, for the last request to be received
+PROGRESS_INTERVAL_S = 0.1  # between two steps of the progress bar
+MIN_WIDTH = 100  # columns, so that the tables do not wrap where the output is no terminal
+MAX_BROKEN_LINES = 10  # shown of the rules that were broken
+ROUTE_COLUMNS = (
+    "class",
+    "sent",
+    "in aim",
+    "after it",
+    "refused",
+    "failed",
+    "unanswered",
+    "p50 ms",
+    "p99 ms",
+)
+HOST_COLUMNS = ("host", "does", "received", "after its drain")
 
 
-@click.command()
+@click.command(
+    help="Run a gateway on loopback: six hosts, one slow, one that answers nothing, "
+    "one that drains half way."
+)
 @click.option("--seconds", type=click.FloatRange(1.0, 60.0), default=6.0, show_default=True)
 @click.option("--rate", type=click.FloatRange(10.0, 1000.0), default=150.0, show_default=True)
 def demo(seconds: float, rate: float) -> int:
-    """Run a gateway on loopback: six hosts, one slow, one that answers nothing, one that drains half way."""
+    """Send `rate` requests a second for `seconds`, and show what became of them."""
     return uvloop.run(_run(seconds, rate))
 
 
 async def _run(seconds: float, rate: float) -> int:
-    console = Console(width=max(100, Console().width))
+    """Play the demo; the status is 1 where a rule was broken."""
+    console = Console(width=max(MIN_WIDTH, Console().width))
     with tempfile.TemporaryDirectory() as folder:
-        async with Stage(Path(folder), WORKS, hosts=6, delay=0.02) as stage:
-            stage.hosts[SLOW].delay, stage.hosts[HANGS].hangs = 0.4, True
-            load = stage.load(shares=(3, 1))
-            sending = asyncio.ensure_future(load.open_loop(steady(rate, seconds)))
-            drained = 0.0
-            with Progress(console=console, transient=True) as progress:
-                shown = progress.add_task("sending", total=int(rate * seconds))
-                while not sending.done():
-                    await asyncio.wait({sending}, timeout=0.1)
-                    progress.update(shown, completed=len(load.records))
-                    if not drained and len(load.records) > rate * seconds / 2:
-                        drained = stage.tell(stage.hosts[DRAINS], lifecycle="draining")
-            await sending
-            rows, broken = tally(load.records, WORKS), stage.broken(load)
-            classes = Table(
-                "class",
-                "sent",
-                "in aim",
-                "after it",
-                "refused",
-                "failed",
-                "unanswered",
-                "p50 ms",
-                "p99 ms",
-            )
-            for name, row in rows.items():
-                classes.add_row(
-                    name,
-                    *(str(n) for n in (row.sent, row.in_aim, row.served, row.refused, row.failed)),
-                    str(row.unanswered),
-                    f"{percentile(row.took, 0.5) * 1e3:.0f}",
-                    f"{percentile(row.took, 0.99) * 1e3:.0f}",
-                )
-            hosts = Table("host", "does", "received", "after its drain")
-            does = {
-                SLOW: "answers after 400 ms",
-                HANGS: "answers nothing",
-                DRAINS: "drains half way",
-            }
-            for number, host in enumerate(stage.hosts):
-                late = (
-                    sum(1 for r in host.receipts if r.at > drained + 0.5) if number == DRAINS else 0
-                )
-                hosts.add_row(
-                    host.name,
-                    does.get(number, "answers after 20 ms"),
-                    str(len(host.receipts)),
-                    str(late) if number == DRAINS else "",
-                )
-            console.print(classes, hosts)
-            for line in broken[:10]:
-                console.print(f"broken: {line}")
-            console.print(
-                "a rule was broken" if broken else "every request accounted for, no rule broken"
-            )
-            return 1 if broken else 0
+        async with Stage(Path(folder), ROUTES, hosts=HOST_COUNT, delay=ANSWER_S) as stage:
+            stage.hosts[SLOW_HOST].delay = SLOW_ANSWER_S
+            stage.hosts[HANGING_HOST].hangs = True
+            load = stage.load(shares=ROUTE_SHARES)
+            drained_at = await _send(console, stage, load, seconds, rate)
+            broken = stage.broken(load)
+            console.print(_route_table(tally(load.records, ROUTES)), _host_table(stage, drained_at))
+            return _conclude(console, broken)
+
+
+def _conclude(console: Console, broken: Sequence[str]) -> int:
+    """Show the rules that were broken, if any; return the status to exit with."""
+    for line in broken[:MAX_BROKEN_LINES]:
+        console.print(f"broken: {line}")
+    if broken:
+        console.print("a rule was broken")
+        return ExitStatus.FAILED
+    console.print("every request accounted for, no rule broken")
+    return ExitStatus.OK
+
+
+async def _send(console: Console, stage: Stage, load: Load, seconds: float, rate: float) -> float:
+    """Send all requests, and drain a host half way; return when (monotonic clock, seconds)."""
+    request_count = rate * seconds
+    drained_at = 0.0
+    sending = asyncio.ensure_future(load.open_loop(steady(rate, seconds)))
+    with Progress(console=console, transient=True) as progress:
+        bar = progress.add_task("sending", total=int(request_count))
+        while not sending.done():
+            await asyncio.wait({sending}, timeout=PROGRESS_INTERVAL_S)
+            progress.update(bar, completed=len(load.records))
+            if not drained_at and len(load.records) > request_count / 2:
+                drained_at = stage.tell(stage.hosts[DRAINED_HOST], lifecycle="draining")
+    await sending
+    return drained_at
+
+
+def _route_table(rows: Mapping[str, Tally]) -> Table:
+    """Return what became of the requests of each route."""
+    table = Table(*ROUTE_COLUMNS)
+    for name, row in rows.items():
+        counts = (row.sent, row.in_aim, row.served, row.refused, row.failed, row.unanswered)
+        table.add_row(
+            name,
+            *(str(count) for count in counts),
+            f"{percentile(row.took, 0.5) * 1e3:.0f}",
+            f"{percentile(row.took, 0.99) * 1e3:.0f}",
+        )
+    return table
+
+
+def _host_table(stage: Stage, drained_at: float) -> Table:
+    """Return what each host received, and what the drained one did after its drain."""
+    table = Table(*HOST_COLUMNS)
+    for number, host in enumerate(stage.hosts):
+        after_drain = ""
+        if number == DRAINED_HOST:
+            last_allowed = drained_at + DRAIN_GRACE_S
+            after_drain = str(sum(receipt.at > last_allowed for receipt in host.receipts))
+        behaviour = BEHAVIOURS.get(number, ORDINARY_BEHAVIOUR)
+        table.add_row(host.name, behaviour, str(len(host.receipts)), after_drain)
+    return table
--- a/quillroad/cli/fleet.py
+++ b/quillroad/cli/fleet.py
@@ -12,14 +12,13 @@
 from rich.console import Console
 from rich.table import Table
 
+from quillroad.cli.exit_status import ExitStatus
 from quillroad.membership.local_health import HealthState
 from quillroad.membership.member_table import MemberState
 from quillroad.membership.report import Report, read_report
 
 STALE_S = 10.0  # after which a report says nothing of the present
 MIN_WIDTH = 110  # columns, so that the table does not wrap where the output is no terminal
-EXIT_UNREADABLE = 1
-EXIT_DIFFERING = 3
 SIGNS = {
     MemberState.ALIVE.reported_name: "+",
     MemberState.SUSPECT.reported_name: "?",
@@ -60,9 +59,9 @@
     else:
         _print_tables(views, differences)
     if len(views) < len(reports):
-        return EXIT_UNREADABLE
+        return ExitStatus.FAILED
     unsound = any(view.state != HealthState.HEALTHY for view in views)
-    return EXIT_DIFFERING if differences or unsound else 0
+    return ExitStatus.DIFFERING if differences or unsound else ExitStatus.OK
 
 
 def _read_all(paths: Sequence[Path]) -> list[Report]:
--- a/quillroad/cli/main.py
+++ b/quillroad/cli/main.py
@@ -2,42 +2,42 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from pathlib import Path
+from typing import Any
 
 import click
 
 from quillroad.cli.check import check
 from quillroad.cli.demo import demo
+from quillroad.cli.exit_status import ExitStatus
 from quillroad.cli.fleet import fleet as show_fleet
 from quillroad.cli.run import run_file
 from quillroad.cli.upgrade import rollback, status, upgrade
 from quillroad.cli.zones import zones as show_zones
 
+Command = Callable[..., Any]
 
-@click.group(invoke_without_command=True)
-@click.option(
-    "--config",
-    type=click.Path(path_type=Path),
-    envvar="QUILLROAD_CONFIG",
-    help="file to run by (TOML)",
-)
-@click.option(
-    "--upgrades",
-    type=click.Path(path_type=Path),
-    envvar="QUILLROAD_UPGRADES",
-    help="file that turns upgrades without loss on (TOML)",
+
+def _file_option(option: str, variable: str, help_text: str) -> Callable[[Command], Command]:
+    """Return an option that names a file, and the environment variable that stands in for it."""
+    return click.option(option, type=click.Path(path_type=Path), envvar=variable, help=help_text)
+
+
+@click.group(
+    invoke_without_command=True,
+    help="A gateway that serves by a configuration file. "
+    "Without arguments it is what the platform starts.",
 )
-@click.option(
-    "--zones",
-    type=click.Path(path_type=Path),
-    envvar="QUILLROAD_ZONES",
-    help="file that holds traffic to other zones to a budget (TOML)",
+@_file_option("--config", "QUILLROAD_CONFIG", "file to run by (TOML)")
+@_file_option("--upgrades", "QUILLROAD_UPGRADES", "file that turns upgrades without loss on (TOML)")
+@_file_option(
+    "--zones", "QUILLROAD_ZONES", "file that holds traffic to other zones to a budget (TOML)"
 )
-@click.option(
+@_file_option(
     "--fleet",
-    type=click.Path(path_type=Path),
-    envvar="QUILLROAD_FLEET",
-    help="file that turns the view of which gateways are there on (TOML)",
+    "QUILLROAD_FLEET",
+    "file that turns the view of which gateways are there on (TOML)",
 )
 @click.pass_context
 def commands(
@@ -47,28 +47,27 @@
     zones: Path | None,
     fleet: Path | None,
 ) -> None:
-    """A gateway that serves by a configuration file. Without arguments it is what the platform starts."""
+    """Run a gateway where no command is given; a command runs in place of it."""
     if context.invoked_subcommand is None:
         if config is None:
             raise click.UsageError("--config or a command is needed")
         context.exit(run_file(config, upgrades, zones, fleet))
 
 
-commands.add_command(check)
-commands.add_command(demo)
-commands.add_command(show_fleet)
-commands.add_command(show_zones)
-for command in (upgrade, rollback, status):
+for command in (check, demo, show_fleet, show_zones, upgrade, rollback, status):
     commands.add_command(command)
 
 
 def main() -> int:
-    """Returns the status to exit with: 2 for a configuration or a command line that cannot work."""
+    """Run the command line; return the status to exit with.
+
+    It is 2 for a configuration or a command line that cannot work.
+    """
     try:
         result = commands.main(prog_name="quillroad", standalone_mode=False)
     except click.ClickException as error:
         error.show()
-        return 2
+        return ExitStatus.BAD_INPUT
     except click.Abort:
-        return 130
-    return result if isinstance(result, int) else 0
+        return ExitStatus.INTERRUPTED
+    return result if isinstance(result, int) else ExitStatus.OK
--- a/quillroad/cli/upgrade.py
+++ b/quillroad/cli/upgrade.py
@@ -1,4 +1,8 @@
-"""`quillroad upgrade`, `rollback` and `status`: say a command to the gateway whose socket a file names."""
+"""`quillroad upgrade`, `rollback` and `status`: one command line to the gateway's control socket.
+
+The file that turns upgrades on names the socket. A command is one line of text; the gateway answers
+with lines, and closes the connection after the last.
+"""
 
 from __future__ import annotations
 
@@ -8,41 +12,59 @@
 
 import click
 
+from quillroad.cli.exit_status import ExitStatus
 from quillroad.config import ConfigError
 from quillroad.upgrade.settings import load_upgrades
 
-WAIT_S = (
-    4200.0  # for an upgrade to hold or fail: the longest times that a file can tell, and some more
-)
+ANSWER_TIMEOUT_S = 4200.0
+"""Seconds between two parts of the answer: above the longest time that a file can set for one step
+of an upgrade (an hour, `canary.time`)."""
+CHUNK_BYTES = 4096
+"""Of the answer, read at once: some lines."""
+DESCRIPTOR_LIMIT = 1 << 20
+"""Above any process's limit of descriptors: the file is read for its socket, not to serve by."""
 
 
 def say(control: Path, command: str) -> int:
-    """Print what the gateway answers; status 0 only where that is no error."""
+    """Send a command to the socket `control` and print the answer; return the status to exit with.
+
+    It is 0 only where the last line of the answer is no error.
+    """
     with socket.socket(socket.AF_UNIX) as sock:
-        sock.settimeout(WAIT_S)
+        sock.settimeout(ANSWER_TIMEOUT_S)
         try:
             sock.connect(str(control))
             sock.sendall(f"{command}\n".encode())
-            text = ""
-            while data := sock.recv(4096):
-                print(data.decode(), end="", flush=True)
-                text += data.decode()
+            answer = _print_answer(sock)
         except OSError as error:
             print(f"quillroad: no gateway at {control}: {error.strerror or error}", file=sys.stderr)
-            return 1
-    last = text.rstrip().rpartition("\n")[2]
-    return 1 if not last or last.startswith("error") else 0
+            return ExitStatus.FAILED
+    last_line = answer.rstrip().rpartition("\n")[2]
+    if not last_line or last_line.startswith("error"):
+        return ExitStatus.FAILED
+    return ExitStatus.OK
+
+
+def _print_answer(sock: socket.socket) -> str:
+    """Print what comes as it comes, until the gateway closes; return all of it."""
+    answer = ""
+    while data := sock.recv(CHUNK_BYTES):
+        print(data.decode(), end="", flush=True)
+        answer += data.decode()
+    return answer
 
 
-def _say(upgrades: Path, name: str, command: str) -> int:
+def _say_by_file(upgrades: Path, name: str, command: str) -> int:
+    """Send a command to the gateway `name` whose socket the file `upgrades` names."""
     try:
-        return say(load_upgrades(upgrades, 1 << 20, name).control, command)
+        settings = load_upgrades(upgrades, DESCRIPTOR_LIMIT, name)
     except ConfigError as error:
         print(f"quillroad: {error}", file=sys.stderr)
-        return 2
+        return ExitStatus.BAD_INPUT
+    return say(settings.control, command)
 
 
-_file = click.option(
+_upgrades_option = click.option(
     "--upgrades",
     type=click.Path(path_type=Path),
     envvar="QUILLROAD_UPGRADES",
@@ -50,31 +72,31 @@
     help="the file that the gateway was started with",
 )
 
-_name = click.option(
+_name_option = click.option(
     "--name", default="", help="of the gateway, where `control` in that file has {name}"
 )
 
 
 @click.command()
-@_file
-@_name
+@_upgrades_option
+@_name_option
 @click.option("--check", is_flag=True, help="only start it, let it prove itself, and end it again")
 def upgrade(upgrades: Path, name: str, check: bool) -> int:
     """Start the build that is on the disk now and let it take over; wait until it holds."""
-    return _say(upgrades, name, "check" if check else "upgrade")
+    return _say_by_file(upgrades, name, "check" if check else "upgrade")
 
 
 @click.command()
-@_file
-@_name
+@_upgrades_option
+@_name_option
 def rollback(upgrades: Path, name: str) -> int:
     """Give up an upgrade on its way, or go back while the process before stands by."""
-    return _say(upgrades, name, "rollback")
+    return _say_by_file(upgrades, name, "rollback")
 
 
 @click.command()
-@_file
-@_name
+@_upgrades_option
+@_name_option
 def status(upgrades: Path, name: str) -> int:
     """Who serves, who stands by, and what became of the last upgrade."""
-    return _say(upgrades, name, "status")
+    return _say_by_file(upgrades, name, "status")
--- a/quillroad/cli/zones.py
+++ b/quillroad/cli/zones.py
@@ -12,109 +12,162 @@
 from rich.live import Live
 from rich.table import Table
 
-from quillroad.zones.report import Report, read_report
+from quillroad.cli.exit_status import ExitStatus
+from quillroad.zones.report import MINUTES, Report, RouteLine, ZoneLine, read_report
 
-STALE_S = 10.0  # after which a report says nothing of now
+STALE_S = 10.0
+"""Age in seconds from which a report says nothing of the present; written each second by default."""
+MIN_WIDTH = 110
+"""Columns, so that the tables do not wrap where the output is no terminal."""
+WATCH_INTERVAL_S = 1.0
+"""Between two looks at the file: as often as it is written by default."""
+REASONS = ("spill", "lost", "copy", "bound")
+ROUTE_COLUMNS = (
+    "class",
+    "crossed",
+    *REASONS,
+    "past budget",
+    "refused for it",
+    "when lost",
+    "next in",
+)
+ZONE_COLUMNS = (
+    "class",
+    "zone",
+    "received",
+    "answered",
+    "turned away",
+    "called off",
+    "lost",
+    "failed",
+    "open",
+    "never left",
+    "bytes out",
+    "bytes in",
+)
 
 
 @click.command()
 @click.argument("report", type=click.Path(path_type=Path))
 @click.option("--watch", is_flag=True, help="show it again every second, until interrupted")
 @click.option(
-    "--minutes", type=click.IntRange(0, 60), default=0, help="and so many minutes, one by one"
+    "--minutes", type=click.IntRange(0, MINUTES), default=0, help="and so many minutes, one by one"
 )
 def zones(report: Path, watch: bool, minutes: int) -> int:
     """What left the zone by class, and why, from the REPORT file of a gateway."""
-    console = Console(width=max(110, Console().width))
+    console = Console(width=max(MIN_WIDTH, Console().width))
     try:
-        if not watch:
-            console.print(*shown(read_report(report.read_bytes()), minutes, time.time()))
-            return 0
-        with Live(console=console) as live:
-            while True:
-                live.update(Group(*shown(read_report(report.read_bytes()), minutes, time.time())))
-                time.sleep(1.0)
+        if watch:
+            _watch(console, report, minutes)
+        else:
+            console.print(*render(read_report(report.read_bytes()), minutes, time.time()))
+        return ExitStatus.OK
     except KeyboardInterrupt:
-        return 0
+        return ExitStatus.OK
     except OSError as error:
         print(f"quillroad: cannot read {report}: {error.strerror}", file=sys.stderr)
     except msgspec.MsgspecError as error:
         print(f"quillroad: {report} is no report: {error}", file=sys.stderr)
-    return 1
+    return ExitStatus.FAILED
+
 
+def _watch(console: Console, file: Path, minutes: int) -> None:
+    """Show the report again and again; ends by an exception only."""
+    with Live(console=console) as live:
+        while True:
+            report = read_report(file.read_bytes())
+            live.update(Group(*render(report, minutes, time.time())))
+            time.sleep(WATCH_INTERVAL_S)
 
-def shown(told: Report, minutes: int, now: float) -> list[Table | str]:
-    """The report as tables, its state first."""
-    age = now - told.at
-    state = "LOST" if told.lost else "well"
-    lines: list[Table | str] = [
-        f"{told.gateway}: zone {told.home} is {state}; {told.used:.0%} of the budget is used"
-        + (", crossings go PAST it" if told.past else "")
-        + (f"; this is {age:.0f} s old" if age > STALE_S else "")
+
+def render(report: Report, minutes: int, now: float) -> list[Table | str]:
+    """Return the report as tables, its state first, as of `now` (seconds since 1970).
+
+    With `minutes` there is a table of so many of the last minutes, too.
+    """
+    parts: list[Table | str] = [
+        _state_line(report, now),
+        _route_table(report),
+        _zone_table(report),
     ]
-    classes = Table(
-        "class",
-        "crossed",
-        "spill",
-        "lost",
-        "copy",
-        "bound",
-        "past budget",
-        "refused for it",
-        "when lost",
-        "next in",
+    if minutes:
+        parts.append(_minute_table(report, minutes))
+    return parts
+
+
+def _state_line(report: Report, now: float) -> str:
+    state = "LOST" if report.local_zone_lost else "well"
+    line = (
+        f"{report.gateway}: zone {report.local_zone} is {state}; "
+        f"{report.budget_used:.0%} of the budget is used"
     )
-    for line, wait in zip(told.classes, told.wait_s, strict=True):
-        reasons = [str(line.reasons.get(name, 0)) for name in ("spill", "lost", "copy", "bound")]
-        free = "never" if wait < 0 else f"{wait:.1f} s" if wait else "now"
-        classes.add_row(
-            line.name,
-            str(line.crossed),
-            *reasons,
-            str(line.past),
-            str(line.refused),
-            line.when_lost,
-            free,
-        )
-    cells = Table(
-        "class",
-        "zone",
-        "received",
-        "answered",
-        "turned away",
-        "called off",
-        "lost",
-        "failed",
-        "open",
-        "never left",
-        "bytes out",
-        "bytes in",
+    if report.is_over_budget:
+        line += ", crossings go PAST it"
+    age_s = now - report.at
+    if age_s > STALE_S:
+        line += f"; this is {age_s:.0f} s old"
+    return line
+
+
+def _route_table(report: Report) -> Table:
+    """Return what each route sent to other zones, and why."""
+    table = Table(*ROUTE_COLUMNS)
+    for route, allowed_in_s in zip(report.classes, report.allowed_in_s, strict=True):
+        table.add_row(*_route_row(route, allowed_in_s))
+    return table
+
+
+def _route_row(route: RouteLine, allowed_in_s: float) -> list[str]:
+    return [
+        route.name,
+        str(route.crossed),
+        *(str(route.reasons.get(reason, 0)) for reason in REASONS),
+        str(route.past),
+        str(route.refused),
+        route.when_lost,
+        _duration(allowed_in_s),
+    ]
+
+
+def _duration(seconds: float) -> str:
+    """Return a time to come for people; the report has a negative one for never."""
+    if seconds < 0:
+        return "never"
+    return f"{seconds:.1f} s" if seconds else "now"
+
+
+def _zone_table(report: Report) -> Table:
+    """Return what became of the attempts of each route at each zone."""
+    table = Table(*ZONE_COLUMNS)
+    for route in report.classes:
+        for zone in route.zones:
+            table.add_row(route.name, *_zone_row(zone))
+    return table
+
+
+def _zone_row(zone: ZoneLine) -> list[str]:
+    counts = (
+        zone.received,
+        zone.answered,
+        zone.rejected,
+        zone.cancelled,
+        zone.lost,
+        zone.failed,
+        zone.in_flight,
+        zone.not_sent,
+        zone.bytes_out,
+        zone.bytes_in,
     )
-    for line in told.classes:
-        for one in line.zones:
-            counts = (
-                one.received,
-                one.answered,
-                one.turned_away,
-                one.cancelled,
-                one.lost,
-                one.failed,
-                one.open,
-                one.unsent,
-                one.bytes_out,
-                one.bytes_in,
-            )
-            cells.add_row(
-                line.name, f"{one.zone}{' (home)' if one.home else ''}", *map(str, counts)
-            )
-    lines += [classes, cells]
-    if minutes:
-        table = Table(
-            "minute", *(f"{line.name}: crossed / past / refused" for line in told.classes)
-        )
-        for minute in told.minutes[-minutes:]:
-            counts3 = zip(minute.crossed, minute.past, minute.refused, strict=True)
-            at = time.strftime("%H:%M", time.localtime(minute.at))
-            table.add_row(at, *(" / ".join(map(str, counts)) for counts in counts3))
-        lines.append(table)
-    return lines
+    return [f"{zone.zone}{' (home)' if zone.is_local else ''}", *map(str, counts)]
+
+
+def _minute_table(report: Report, minutes: int) -> Table:
+    """Return the last `minutes` minutes, a line each, in local time."""
+    table = Table(
+        "minute", *(f"{route.name}: crossed / past / refused" for route in report.classes)
+    )
+    for minute in report.minutes[-minutes:]:
+        by_route = zip(minute.crossed, minute.over_budget, minute.rejected, strict=True)
+        started_at = time.strftime("%H:%M", time.localtime(minute.start_s))
+        table.add_row(started_at, *(" / ".join(map(str, counts)) for counts in by_route))
+    return table
--- a/quillroad/zones/__init__.py
+++ b/quillroad/zones/__init__.py
@@ -1,7 +1,10 @@
-"""Traffic that crosses zones: counted, held to a budget, reported. Off unless a file turns it on; needs
-`msgspec`. The decisions are the module's (`quillroad/balancing/zone_routing.py`); `ledger` counts
-what went over the
-sockets, `report` joins both, `zones` is the side towards loop and disk."""
+"""Cross-zone traffic of one gateway: counted, held to a budget and reported.
+
+Off unless a file turns it on; needs `msgspec`. The decisions are in
+`quillroad/balancing/zone_routing.py`. Here `traffic` counts what went over the sockets, `report`
+joins both into one document, `report_writer` puts it on the disk, and `zones` holds these parts
+together for the gateway.
+"""
 
 from quillroad.zones.zones import Zones
 
--- a/quillroad/zones/zones.py
+++ b/quillroad/zones/zones.py
@@ -1,4 +1,8 @@
-"""The side towards loop and disk: watches attempts, writes the report, reads the file again."""
+"""The cross-zone budget of one gateway: its parts, and how they are fed.
+
+Watches the engine's attempts, tells the balancer the bytes that crossed, and reads the file again
+on a reload.
+"""
 
 from __future__ import annotations
 
@@ -15,129 +19,117 @@
 from quillroad.balancing.zone_routing import CrossZoneBudget
 from quillroad.config import Config, ConfigError
 from quillroad.engine.engine import Engine
-from quillroad.files import put
 from quillroad.upstream.pool import Answer, Done, Host
-from quillroad.zones.ledger import Ledger
-from quillroad.zones.report import Minutes, Report, make_report
+from quillroad.zones.report import MinuteHistory, Report, ReportedGateway, make_report
+from quillroad.zones.report_writer import ReportWriter
 from quillroad.zones.settings import ZoneSettings, load_zones
+from quillroad.zones.traffic import TrafficCounters
 
 log = logging.getLogger("quillroad.zones")
 
 
 class Zones:
-    """Of one gateway. Raises ConfigError, with the file's name, where that cannot work."""
+    """Counts, budget and report of one gateway.
+
+    `crossing` is the budget that the balancer takes. `serves` says whether this process is the one
+    that serves: with two processes of one gateway only that one writes reports. Raises
+    `ConfigError` with the file's name where the file cannot work.
+    """
 
     def __init__(self, path: Path, config: Config, loop: asyncio.AbstractEventLoop) -> None:
-        self._path, self._config, self._loop = path, config, loop
-        self._told = _load(path, config)
-        self.names = [route.name for route in config.settings.routes]
-        self.crossing = CrossZoneBudget(self._told.budget)
-        self.ledger = Ledger(len(self.names), len(config.zones))
-        self._minutes = Minutes(len(self.names))
-        self._since = time.time()
+        self._path = path
+        self._config = config
+        self._settings = _load(path, config)
+        self._gateway = ReportedGateway(
+            name=config.name,
+            route_names=[route.name for route in config.settings.routes],
+            zone_names=config.zones,
+            local_zone=config.settings.zone,
+            since=time.time(),
+        )
+        route_count = len(self._gateway.route_names)
+        self.crossing = CrossZoneBudget(self._settings.limits)
+        self._counters = TrafficCounters(route_count, len(config.zones))
+        self._minutes = MinuteHistory(route_count)
         self._engine: Engine | None = None
-        self._writer: asyncio.Task[None] | None = None
-        self._writing = False
-        self._failing = False
-        self.serves: Callable[[], bool] = lambda: (
-            True
-        )  # with two processes only the one that serves reports
+        self.serves: Callable[[], bool] = lambda: True
+        self._writer = ReportWriter(
+            loop,
+            encode=lambda: msgspec.json.encode(self.report()),
+            path=lambda: self._settings.report_file,
+            interval_s=lambda: self._settings.report_interval_s,
+            is_serving=self._is_serving,
+        )
+
+    def _is_serving(self) -> bool:
+        return self.serves()  # asked each time: the worker process sets `serves` after the start
 
     def attach(self, engine: Engine) -> None:
         """Watch an engine's attempts."""
         self._engine = engine
-        engine.attempt_observer = self._observe
+        engine.attempt_observer = self._on_sent
 
-    def _observe(self, route: int, host: Host, size: int, done: Done) -> Done:
-        self.ledger.sent(route, host.zone, size)
-        return partial(self._ended, route, host.zone, size, done)
+    def _on_sent(self, route: int, host: Host, request_bytes: int, done: Done) -> Done:
+        """Count an attempt; returns what the engine calls at its end in place of `done`."""
+        self._counters.count_sent(route, host.zone, request_bytes)
+        return partial(self._on_ended, route, host.zone, request_bytes, done)
 
-    def _ended(
+    def _on_ended(
         self,
         route: int,
         zone: int,
-        size: int,
+        request_bytes: int,
         done: Done,
         outcome: Outcome,
         answer: Answer | None,
         at: float,
     ) -> None:
-        carried = self.ledger.ended(
-            route, zone, outcome, size, 0 if answer is None else len(answer.body)
-        )
-        if carried and zone != self._config.settings.zone and self._engine is not None:
+        answer_bytes = 0 if answer is None else len(answer.body)
+        carried = self._counters.count_ended(route, zone, outcome, request_bytes, answer_bytes)
+        if carried and zone != self._gateway.local_zone and self._engine is not None:
             self._engine.feed(CrossZoneBytes(carried))
         done(outcome, answer, at)
 
     def report(self) -> Report:
-        """As things are now."""
+        """Return the report as things are now; needs `attach` before."""
         assert self._engine is not None
         now = time.time()
-        self._minutes.told(now, self.crossing.counts)
+        self._minutes.update(now, self.crossing.counts)
         return make_report(
+            self._gateway,
             self.crossing,
-            self.ledger,
+            self._counters,
             self._minutes,
-            self.names,
-            self._config.zones,
-            self._config.settings.zone,
-            self._config.name,
-            self._since,
-            now,
-            self._engine.now_us(),
+            at=now,
+            now_us=self._engine.now_us(),
         )
 
     def reload(self) -> None:
-        """Read the file again: what was counted stays. Raises ConfigError where it cannot work."""
-        told = _load(self._path, self._config)
-        if told.budget != self._told.budget:
-            log.info("zone budget: share=%g per_second=%g", told.budget.share, told.budget.per_s)
-        self._told, self.crossing.budget = told, told.budget
+        """Read the file again; what was counted stays. Raises `ConfigError` and changes nothing."""
+        settings = _load(self._path, self._config)
+        limits = settings.limits
+        if limits != self._settings.limits:
+            log.info("zone budget: share=%g per_second=%g", limits.share, limits.per_s)
+        self._settings = settings
+        self.crossing.budget = limits
 
     def start(self) -> None:
-        self._writer = self._loop.create_task(self._write())
-
-    async def _write(self) -> None:
-        while True:
-            told = self._told
-            if told.report is not None and self.serves():
-                data = msgspec.json.encode(self.report())
-                self._writing = True
-                # In a thread: a disk that hangs must not stop the loop. One write at a time.
-                write = self._loop.run_in_executor(None, put, told.report, data)
-                write.add_done_callback(self._written)
-                await asyncio.wait({write})
-            await asyncio.sleep(told.every_s)
-
-    def _written(self, write: asyncio.Future[None]) -> None:
-        self._writing = False
-        error = None if write.cancelled() else write.exception()
-        if (error is not None) is not self._failing:
-            self._failing = error is not None
-            if error is not None:
-                log.error("the report cannot be written: %s", error)
-            else:
-                log.info("the report is written again")
+        """Write reports from now on."""
+        self._writer.start()
 
     def stop(self) -> None:
-        """Write the last report, unless the disk hangs."""
-        if self._writer is None:
+        """Say the counts in the log and write the last report."""
+        if not self._writer.is_started:
             return
-        self._writer.cancel()
-        self._writer = None
-        for name, sent in zip(self.names, self.crossing.counts, strict=True):
+        for name, counts in zip(self._gateway.route_names, self.crossing.counts, strict=True):
             log.info(
                 "%s: crossed=%d past=%d refused=%d",
                 name,
-                sent.total,
-                sent.over_budget,
-                sent.rejected,
+                counts.total,
+                counts.over_budget,
+                counts.rejected,
             )
-        if self._told.report is not None and not self._writing and self.serves():
-            try:
-                put(self._told.report, msgspec.json.encode(self.report()))
-            except OSError as error:
-                log.error("the report cannot be written: %s", error)
+        self._writer.stop()
 
 
 def _load(path: Path, config: Config) -> ZoneSettings:
--- a/tests/recordings/zones.py
+++ b/tests/recordings/zones.py
@@ -11,16 +11,17 @@
     CrossZoneReason,
     RouteAllowance,
 )
-from quillroad.zones.ledger import Ledger
 from quillroad.zones.report import (
-    ClassLine,
-    Minute,
-    Minutes,
+    MinuteHistory,
+    MinuteLine,
     Report,
+    ReportedGateway,
+    RouteLine,
     ZoneLine,
     make_report,
     read_report,
 )
+from quillroad.zones.traffic import TrafficCounters
 from tests.recordings.kinds import Documents
 
 NAMES, ZONES, HOME = ("status-check", "seat-checkout"), ("east", "west"), 0
@@ -41,7 +42,7 @@
     8.5,
     [9.5, -1.0],
     [
-        ClassLine(
+        RouteLine(
             "status-check",
             10,
             {"spill": 11, "lost": 12, "copy": 13, "bound": 14},
@@ -51,9 +52,9 @@
             0.17,
             [ZoneLine("west", True, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28)],
         ),
-        ClassLine("seat-checkout", 30, {}, 31, 32, "spend", 0.33, []),
+        RouteLine("seat-checkout", 30, {}, 31, 32, "spend", 0.33, []),
     ],
-    [Minute(1_700_000_040, [34, 35], [36, 37], [38, 39])],
+    [MinuteLine(1_700_000_040, [34, 35], [36, 37], [38, 39])],
 )
 
 
@@ -64,7 +65,7 @@
         CrossZoneLimits(0.05, classes, 2_000_000, 40.0, 5_000.0, 0.6, 3_000_000)
     )
     crossing.update_local_zone(NOW_US, 1, 4)
-    ledger, minutes = Ledger(len(NAMES), len(ZONES)), Minutes(len(NAMES))
+    counters, minutes = TrafficCounters(len(NAMES), len(ZONES)), MinuteHistory(len(NAMES))
     for number in range(60):
         crossing.note_first_attempt(NOW_US)
         crossing.note_bytes(NOW_US, number)
@@ -72,24 +73,20 @@
         for _ in range(1 + reason):
             crossing.spend(NOW_US, reason % 2, reason)
     crossing.note_rejection(0)
-    minutes.told(MINUTE_S, crossing.counts)
+    minutes.update(MINUTE_S, crossing.counts)
     crossing.note_rejection(1)
-    minutes.told(MINUTE_S + 60.0, crossing.counts)
+    minutes.update(MINUTE_S + 60.0, crossing.counts)
     for place, outcome in enumerate(Outcome):
         zone = (0, 1, -1)[place % 3]
         for _ in range(1 + place):
-            ledger.sent(place % 2, zone, 100 + place)
-            ledger.ended(place % 2, zone, outcome, 100 + place, 200 + place)
-        ledger.sent(place % 2, zone, 300)
+            counters.count_sent(place % 2, zone, 100 + place)
+            counters.count_ended(place % 2, zone, outcome, 100 + place, 200 + place)
+        counters.count_sent(place % 2, zone, 300)
     return make_report(
+        ReportedGateway("n2", NAMES, ZONES, HOME, 1_700_000_000.125),
         crossing,
-        ledger,
+        counters,
         minutes,
-        NAMES,
-        ZONES,
-        HOME,
-        "n2",
-        1_700_000_000.125,
         1_700_000_123.5,
         NOW_US,
     )
--- a/tests/zones/test_crossing.py
+++ b/tests/zones/test_cross_zone_budget.py
@@ -19,8 +19,8 @@
     CrossZoneReason,
     RouteAllowance,
 )
-from quillroad.zones.ledger import ENDS, Ledger
-from quillroad.zones.report import MINUTES, Minutes
+from quillroad.zones.report import MINUTES, MinuteHistory
+from quillroad.zones.traffic import END_BY_OUTCOME, AttemptEnd, TrafficCounters
 from tests.balancing.helpers import BalancerDriver, route, settings
 
 SPENDS, REFUSES = RouteAllowance(), RouteAllowance(spends=False, keep=0.5)
@@ -217,25 +217,26 @@
     assert crossing.counts[0].by_reason[CrossZoneReason.BOUND] == 1
 
 
-def test_the_ledger_knows_every_end_and_charges_what_left() -> None:
-    ledger = Ledger(1, 2)
-    assert set(ENDS) == set(Outcome)
+def test_every_outcome_is_counted_and_bytes_only_of_what_was_sent() -> None:
+    counters = TrafficCounters(1, 2)
+    assert set(END_BY_OUTCOME) == set(Outcome)
     for outcome in Outcome:
-        ledger.sent(0, AWAY, 100)
-        carried = ledger.ended(0, AWAY, outcome, 100, 7 if outcome is Outcome.SUCCESS else 0)
-        assert carried == (
-            0 if ENDS[outcome] == "unsent" else 107 if outcome is Outcome.SUCCESS else 100
-        )
-    cell = ledger.cell(0, AWAY)
-    assert (cell.open, cell.received, cell.unsent) == (0, 6, 2)
-    assert (cell.bytes_out, cell.bytes_in) == (600, 7)
+        counters.count_sent(0, AWAY, 100)
+        answer_bytes = 7 if outcome is Outcome.SUCCESS else 0
+        carried = counters.count_ended(0, AWAY, outcome, 100, answer_bytes)
+        not_sent = END_BY_OUTCOME[outcome] is AttemptEnd.NOT_SENT
+        assert carried == (0 if not_sent else 107 if outcome is Outcome.SUCCESS else 100)
+    traffic = counters.traffic(0, AWAY)
+    not_sent_count = traffic.ended[AttemptEnd.NOT_SENT]
+    assert (traffic.in_flight, traffic.received, not_sent_count) == (0, 6, 2)
+    assert (traffic.bytes_out, traffic.bytes_in) == (600, 7)
 
 
 def test_minutes_add_up_and_are_bounded() -> None:
-    crossing, minutes = CrossZoneBudget(budget(1.0, SPENDS)), Minutes(1)
+    crossing, minutes = CrossZoneBudget(budget(1.0, SPENDS)), MinuteHistory(1)
     for minute in range(3 * MINUTES):
         for _ in range(minute % 3):
             crossing.spend(1, 0, CrossZoneReason.BOUND)
-        minutes.told(1000.0 + 60 * minute, crossing.counts)
+        minutes.update(1000.0 + 60 * minute, crossing.counts)
     lines = minutes.lines()
     assert len(lines) == MINUTES and [line.crossed[0] for line in lines[:4]] == [0, 1, 2, 0]
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -82,10 +82,12 @@
     for zone in ("east", "west"):
         cells = [line for one in told.classes for line in one.zones if line.zone == zone]
         assert sum(cell.received for cell in cells) == zones.received(zone)
-        assert sum(cell.open for cell in cells) == 0
+        assert sum(cell.in_flight for cell in cells) == 0
     for one in told.classes:
         assert (
-            one.crossed == sum(one.reasons.values()) == sum(c.sent for c in one.zones if not c.home)
+            one.crossed
+            == sum(one.reasons.values())
+            == sum(c.sent for c in one.zones if not c.is_local)
         )
     assert sum(sum(minute.crossed) for minute in told.minutes) == sum(
         one.crossed for one in told.classes
@@ -119,7 +121,7 @@
         rows = await zones.send(load, 3.0)
         told = await zones.report()
         status, checkout = told.classes
-        assert told.lost and told.home == "east"
+        assert told.local_zone_lost and told.local_zone == "east"
         # Most of the checkouts went past the budget; the others were held to it and refused.
         assert rows["seat-checkout"].in_aim > 0.8 * rows["seat-checkout"].sent and checkout.past > 0
         assert status.past == 0 and 0 < status.refused <= rows["status-check"].refused
@@ -134,7 +136,7 @@
             host.hangs = False
             if how == "refuses connects":
                 await host.start(host.port)
-        while (await zones.report()).lost:
+        while (await zones.report()).local_zone_lost:
             await zones.send(load, 0.3)
         west = zones.received("west")
         rows = await zones.send(load, 1.0)
@@ -163,7 +165,7 @@
             assert (await zones.report()).share == 0.05
         zones.budget.write_text(zones.text.replace("0.05", "1.0").replace("keep = 0.5", ""))
         os.kill(stage.gateway.pid, signal.SIGHUP)
-        while (await zones.report()).classes[0].keep:
+        while (await zones.report()).classes[0].reserve:
             await asyncio.sleep(0)
         rows = await zones.send(load, 0.5)
         assert rows["status-check"].in_aim == rows["status-check"].sent
@@ -199,8 +201,10 @@
         before = await zones.report()
         assert (await stage.gateway.say("upgrade"))[-1] == "done"
         after = await zones.report()
-        assert after.since > before.since and after.used == pytest.approx(before.used, rel=0.1)
-        assert before.used > 0.5
+        assert after.since > before.since and after.budget_used == pytest.approx(
+            before.budget_used, rel=0.1
+        )
+        assert before.budget_used > 0.5
         await zones.send(load, 0.5)
         accounted(zones, load)
 
