--- a/quillroad/cli/demo.py
+++ b/quillroad/cli/demo.py
@@ -72,13 +72,15 @@
     """Play the demo; the status is 1 where a rule was broken."""
     console = Console(width=max(MIN_WIDTH, Console().width))
     with tempfile.TemporaryDirectory() as folder:
-        async with Stage(Path(folder), ROUTES, hosts=HOST_COUNT, delay=ANSWER_S) as stage:
-            stage.hosts[SLOW_HOST].delay = SLOW_ANSWER_S
-            stage.hosts[HANGING_HOST].hangs = True
-            load = stage.load(shares=ROUTE_SHARES)
-            drained_at = await _send(console, stage, load, seconds, rate)
-            broken = stage.broken(load)
-            console.print(_route_table(tally(load.records, ROUTES)), _host_table(stage, drained_at))
+        async with Stage(Path(folder), ROUTES, hosts=HOST_COUNT, delay=ANSWER_S) as testbed:
+            testbed.hosts[SLOW_HOST].delay = SLOW_ANSWER_S
+            testbed.hosts[HANGING_HOST].hangs = True
+            load = testbed.load(shares=ROUTE_SHARES)
+            drained_at = await _send(console, testbed, load, seconds, rate)
+            broken = testbed.broken(load)
+            console.print(
+                _route_table(tally(load.records, ROUTES)), _host_table(testbed, drained_at)
+            )
             return _conclude(console, broken)
 
 
@@ -93,7 +95,7 @@
     return ExitStatus.OK
 
 
-async def _send(console: Console, stage: Stage, load: Load, seconds: float, rate: float) -> float:
+async def _send(console: Console, testbed: Stage, load: Load, seconds: float, rate: float) -> float:
     """Send all requests, and drain a host half way; return when (monotonic clock, seconds)."""
     request_count = rate * seconds
     drained_at = 0.0
@@ -104,7 +106,7 @@
             await asyncio.wait({sending}, timeout=PROGRESS_INTERVAL_S)
             progress.update(bar, completed=len(load.records))
             if not drained_at and len(load.records) > request_count / 2:
-                drained_at = stage.tell(stage.hosts[DRAINED_HOST], lifecycle="draining")
+                drained_at = testbed.tell(testbed.hosts[DRAINED_HOST], lifecycle="draining")
     await sending
     return drained_at
 
@@ -123,10 +125,10 @@
     return table
 
 
-def _host_table(stage: Stage, drained_at: float) -> Table:
+def _host_table(testbed: Stage, drained_at: float) -> Table:
     """Return what each host received, and what the drained one did after its drain."""
     table = Table(*HOST_COLUMNS)
-    for number, host in enumerate(stage.hosts):
+    for number, host in enumerate(testbed.hosts):
         after_drain = ""
         if number == DRAINED_HOST:
             last_allowed = drained_at + DRAIN_GRACE_S
--- a/tests/zones/test_cross_zone_budget.py
+++ b/tests/zones/test_cross_zone_budget.py
@@ -1,4 +1,4 @@
-"""The budget for other zones: alone, and in the module."""
+"""The cross-zone budget: alone, and in the balancer."""
 
 from __future__ import annotations
 
@@ -19,12 +19,10 @@
     CrossZoneReason,
     RouteAllowance,
 )
-from quillroad.zones.report import MINUTES, MinuteHistory
-from quillroad.zones.traffic import END_BY_OUTCOME, AttemptEnd, TrafficCounters
 from tests.balancing.helpers import BalancerDriver, route, settings
 
 SPENDS, REFUSES = RouteAllowance(), RouteAllowance(spends=False, keep=0.5)
-HOME, AWAY = 0, 1
+LOCAL, REMOTE = 0, 1
 
 
 def budget(share: float = 0.1, *classes: RouteAllowance, **changes: float) -> CrossZoneLimits:
@@ -46,7 +44,7 @@
 
 
 @given(steps, st.floats(0.0, 1.0), st.sampled_from([0.0, 5.0]))
-def test_what_is_within_the_budget_never_passes_it(
+def test_attempts_within_the_budget_never_exceed_it(
     told: list[tuple[int, str, int, CrossZoneReason, int]], share: float, per_s: float
 ) -> None:
     crossing = CrossZoneBudget(budget(share, per_s=per_s))
@@ -79,7 +77,7 @@
     assert crossing.used(now + 60_000_000) < 1e-6  # all of it comes back
 
 
-def test_a_class_leaves_its_part_and_copies_half() -> None:
+def test_a_route_leaves_its_reserve_and_hedges_leave_half() -> None:
     crossing = CrossZoneBudget(budget(0.1))
     for _ in range(1000):
         crossing.note_first_attempt(1)
@@ -97,7 +95,7 @@
     assert crossing.wait_us(1, 0) > 0 and crossing.wait_us(1, 1) > crossing.wait_us(1, 0)
 
 
-def test_the_wait_told_is_when_the_next_one_is_allowed() -> None:
+def test_the_next_attempt_is_allowed_after_the_wait() -> None:
     crossing = CrossZoneBudget(budget(0.0, REFUSES, per_s=10.0))
     assert crossing.wait_us(1, 0) == math.inf  # no share at all
     crossing = CrossZoneBudget(CrossZoneLimits(1.0, (REFUSES,), window_us=1_000_000, per_s=20.0))
@@ -110,7 +108,7 @@
     assert crossing.allows(wait + 10, 0, CrossZoneReason.SPILL)
 
 
-def test_bytes_are_held_to_their_rate() -> None:
+def test_bytes_are_limited_to_their_rate() -> None:
     crossing = CrossZoneBudget(budget(1.0, SPENDS, bytes_per_s=1000.0))
     crossing.note_first_attempt(1)
     assert crossing.allows(1, 0, CrossZoneReason.SPILL)
@@ -124,7 +122,7 @@
     )
 
 
-def test_a_lost_zone_is_held_lost_for_a_while_and_both_are_told_once() -> None:
+def test_a_lost_zone_stays_lost_for_the_hold_time_and_each_change_is_logged_once() -> None:
     crossing = CrossZoneBudget(budget())
     lines = [
         crossing.update_local_zone(at * 50_000, well, 4)
@@ -136,8 +134,10 @@
     )  # no host at all is lost, too
 
 
-def work(*classes: RouteAllowance, share: float = 0.05) -> tuple[BalancerDriver, CrossZoneBudget]:
-    """Four servers at home, four away; a route a class."""
+def balancer_with(
+    *classes: RouteAllowance, share: float = 0.05
+) -> tuple[BalancerDriver, CrossZoneBudget]:
+    """A balancer with four local and four remote hosts, and a route for each allowance."""
     crossing = CrossZoneBudget(budget(share, *classes))
     routes = [route(priority_weight=1.0 + i) for i in range(len(classes))]
     listed = [Endpoint(100 + i, zone=i % 2) for i in range(8)]
@@ -148,32 +148,35 @@
     return [action.endpoint % 2 for action in stage.log if isinstance(action, SendAttempt)]
 
 
-def test_nothing_leaves_a_zone_that_has_room() -> None:
-    stage, crossing = work(SPENDS)
+def test_nothing_leaves_a_zone_with_free_capacity() -> None:
+    stage, crossing = balancer_with(SPENDS)
     for _ in range(300):
         number = stage.arrive()
         stage.pass_time(2_000)
         stage.done(number, Outcome.SUCCESS)
-    assert set(zones_of(stage)) == {HOME} and crossing.counts[0].total == 0
+    assert set(zones_of(stage)) == {LOCAL} and crossing.counts[0].total == 0
 
 
-def test_a_full_zone_spills_within_the_budget_and_the_rest_waits_at_home() -> None:
-    stage, crossing = work(REFUSES, share=0.0)
+def test_a_full_zone_spills_within_the_budget_and_the_rest_is_queued() -> None:
+    stage, crossing = balancer_with(REFUSES, share=0.0)
     for _ in range(100):
         stage.arrive()
-    assert set(zones_of(stage)) == {HOME} and stage.balancer.queued > 0
-    stage, crossing = work(REFUSES, share=0.5)
+    assert set(zones_of(stage)) == {LOCAL} and stage.balancer.queued > 0
+    stage, crossing = balancer_with(REFUSES, share=0.5)
     for _ in range(100):
         stage.arrive()
-    assert 0 < zones_of(stage).count(AWAY) == crossing.counts[0].by_reason[CrossZoneReason.SPILL]
+    assert 0 < zones_of(stage).count(REMOTE) == crossing.counts[0].by_reason[CrossZoneReason.SPILL]
     assert crossing.counts[0].over_budget == 0
 
 
 @pytest.mark.parametrize("how", ["drained", "gone"])
-def test_a_lost_zone_spends_or_refuses_as_its_classes_were_told(how: str) -> None:
-    """The hard case: only the other zone is well. One class goes past the budget, the other is refused at
-    once."""
-    stage, crossing = work(SPENDS, RouteAllowance(spends=False), share=0.0)
+def test_with_the_local_zone_lost_each_route_spends_or_rejects_by_its_settings(how: str) -> None:
+    """All local hosts drain or are removed, and only the remote zone is healthy.
+
+    The route that may spend goes past the budget with each request; the other one's requests are
+    rejected at once, since a wait for a zone that is lost only costs the client its deadline.
+    """
+    stage, crossing = balancer_with(SPENDS, RouteAllowance(spends=False), share=0.0)
     state = EndpointStatus.DRAINING if how == "drained" else EndpointStatus.REMOVED
     stage.feed(
         EndpointUpdate(
@@ -186,7 +189,7 @@
         stage.pass_time(2_000)
         stage.done(number, Outcome.SUCCESS)
     refusals = [action for action in stage.log if isinstance(action, Reject)]
-    assert (zones_of(stage).count(AWAY), len(refusals)) == (20, 20)
+    assert (zones_of(stage).count(REMOTE), len(refusals)) == (20, 20)
     assert (crossing.counts[0].over_budget, crossing.counts[1].rejected) == (20, 20)
     assert stage.balancer.queued == 0
     told = [action.text for action in stage.log if isinstance(action, LogMessage)]
@@ -195,48 +198,23 @@
     )
 
 
-def test_a_repeat_bound_to_the_other_zone_goes_there_whatever_the_budget() -> None:
+def test_a_retry_bound_to_the_remote_zone_ignores_the_budget() -> None:
     crossing = CrossZoneBudget(budget(0.0, SPENDS))
     told = settings(
         route(Idempotency.KEYED, deduplication_scope=DeduplicationScope.ZONE), max_attempts=4
     )
     listed = [
-        Endpoint(100, EndpointStatus.DRAINING, HOME),
-        Endpoint(101, zone=AWAY),
-        Endpoint(103, zone=AWAY),
+        Endpoint(100, EndpointStatus.DRAINING, LOCAL),
+        Endpoint(101, zone=REMOTE),
+        Endpoint(103, zone=REMOTE),
     ]
     stage = BalancerDriver(told, listed, crossing=crossing)
     number = stage.arrive()
     stage.feed(
-        EndpointUpdate(UpdateKind.INCREMENTAL, (Endpoint(100, zone=HOME),))
-    )  # home is back, and can't have it
+        EndpointUpdate(UpdateKind.INCREMENTAL, (Endpoint(100, zone=LOCAL),))
+    )  # the local host is back, but may not get the retry
     stage.balancer.routes[0].retry_budget.tokens = 5.0
     stage.done(number, Outcome.ERROR)
     stage.pass_time(100_000)
-    assert [server % 2 for server in stage.sends[number]] == [AWAY, AWAY]
+    assert [server % 2 for server in stage.sends[number]] == [REMOTE, REMOTE]
     assert crossing.counts[0].by_reason[CrossZoneReason.BOUND] == 1
-
-
-def test_every_outcome_is_counted_and_bytes_only_of_what_was_sent() -> None:
-    counters = TrafficCounters(1, 2)
-    assert set(END_BY_OUTCOME) == set(Outcome)
-    for outcome in Outcome:
-        counters.count_sent(0, AWAY, 100)
-        answer_bytes = 7 if outcome is Outcome.SUCCESS else 0
-        carried = counters.count_ended(0, AWAY, outcome, 100, answer_bytes)
-        not_sent = END_BY_OUTCOME[outcome] is AttemptEnd.NOT_SENT
-        assert carried == (0 if not_sent else 107 if outcome is Outcome.SUCCESS else 100)
-    traffic = counters.traffic(0, AWAY)
-    not_sent_count = traffic.ended[AttemptEnd.NOT_SENT]
-    assert (traffic.in_flight, traffic.received, not_sent_count) == (0, 6, 2)
-    assert (traffic.bytes_out, traffic.bytes_in) == (600, 7)
-
-
-def test_minutes_add_up_and_are_bounded() -> None:
-    crossing, minutes = CrossZoneBudget(budget(1.0, SPENDS)), MinuteHistory(1)
-    for minute in range(3 * MINUTES):
-        for _ in range(minute % 3):
-            crossing.spend(1, 0, CrossZoneReason.BOUND)
-        minutes.update(1000.0 + 60 * minute, crossing.counts)
-    lines = minutes.lines()
-    assert len(lines) == MINUTES and [line.crossed[0] for line in lines[:4]] == [0, 1, 2, 0]
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -1,4 +1,4 @@
-"""Two zones of stand-ins, one of which fails: what crosses, what is refused, and totals that match."""
+"""A gateway with hosts in two zones: what crosses as one fails, what is rejected, and the totals."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 """
 
 
-class Zones:
+class TwoZones:
     """A gateway in `east`, with as many hosts there as in `west`."""
 
     def __init__(self, folder: Path, upgrades: str = "", text: str = FILE) -> None:
@@ -77,7 +77,7 @@
         return tally(load.records[before:], WORKS)
 
 
-def matches(zones: Zones, told: Report) -> None:
+def check_totals(zones: TwoZones, told: Report) -> None:
     """The report's totals are what the stand-ins counted, and what was decided is what was sent."""
     for zone in ("east", "west"):
         cells = [line for one in told.classes for line in one.zones if line.zone == zone]
@@ -94,7 +94,7 @@
     )
 
 
-def accounted(zones: Zones, load: Load) -> None:
+def check_accounted(zones: TwoZones, load: Load) -> None:
     whole = total(tally(load.records, WORKS).values())
     assert whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed
     assert (whole.late, whole.unanswered) == (0, 0) and zones.stage.broken(load) == []
@@ -102,8 +102,16 @@
 
 @pytest.mark.parametrize("how", ["hangs", "refuses connects", "drains"])
 @on_loop
-async def test_a_zone_that_fails_is_left_by_those_who_may(tmp_path: Path, how: str) -> None:
-    zones = Zones(tmp_path)
+async def test_routes_that_may_cross_leave_a_failing_zone_and_come_back(
+    tmp_path: Path, how: str
+) -> None:
+    """All hosts of the gateway's zone hang, refuse connections or drain, and later come back.
+
+    Checkouts may go past the budget and succeed in the other zone; status checks are held to it and
+    rejected. Once the zone is back, traffic stays in it again, and the report's totals are those of
+    the hosts.
+    """
+    zones = TwoZones(tmp_path)
     async with zones.stage as stage:
         load = stage.load(shares=(3, 1))
         west = -1
@@ -142,17 +150,21 @@
         rows = await zones.send(load, 1.0)
         assert rows["status-check"].in_aim > 0.9 * rows["status-check"].sent
         assert zones.received("west") - west <= 0.2 * total(rows.values()).sent
-        accounted(zones, load)
-        matches(zones, await zones.report())
+        check_accounted(zones, load)
+        check_totals(zones, await zones.report())
     for line in ("zone lost", "zone budget passed", "zone regained"):
         assert line in stage.log
 
 
 @on_loop
-async def test_a_budget_is_raised_in_an_outage_and_a_bad_file_changes_nothing(
+async def test_a_reload_raises_the_budget_in_an_outage_and_a_bad_file_changes_nothing(
     tmp_path: Path,
 ) -> None:
-    zones = Zones(tmp_path)
+    """In an outage of the zone an operator raises the budget, at first with a typing error.
+
+    The bad file changes nothing and is said in the log. After the good one no request is rejected.
+    """
+    zones = TwoZones(tmp_path)
     async with zones.stage as stage:
         for host in zones.hosts("east"):
             stage.tell(host, lifecycle="draining")
@@ -169,13 +181,14 @@
             await asyncio.sleep(0)
         rows = await zones.send(load, 0.5)
         assert rows["status-check"].in_aim == rows["status-check"].sent
-        accounted(zones, load)
+        check_accounted(zones, load)
     assert "the old configuration stands: zones.toml: budget.share" in stage.log
 
 
 @on_loop
 async def test_a_report_that_cannot_be_written_costs_no_request(tmp_path: Path) -> None:
-    zones = Zones(tmp_path, text=FILE.replace("{report}", "{report}.d/r"))
+    """The folder of the report is renamed under load, and made again: only the log shows it."""
+    zones = TwoZones(tmp_path, text=FILE.replace("{report}", "{report}.d/r"))
     folder = Path(f"{zones.file}.d")
     folder.mkdir()
     async with zones.stage as stage:
@@ -190,9 +203,13 @@
 
 
 @on_loop
-async def test_the_budget_that_is_used_moves_with_an_upgrade(tmp_path: Path) -> None:
+async def test_an_upgrade_hands_over_the_used_budget(tmp_path: Path) -> None:
+    """A gateway is upgraded in an outage, with much of its budget used.
+
+    A successor that began with an unused budget would send as much once more.
+    """
     upgrades = '[canary]\ntime = "300 ms"\n[times]\nstart = "5 s"'
-    zones = Zones(tmp_path, upgrades, FILE.replace("2 s", "600 s", 1))
+    zones = TwoZones(tmp_path, upgrades, FILE.replace("2 s", "600 s", 1))
     async with zones.stage as stage:
         for host in zones.hosts("east"):
             stage.tell(host, lifecycle="draining")
@@ -206,7 +223,7 @@
         )
         assert before.budget_used > 0.5
         await zones.send(load, 0.5)
-        accounted(zones, load)
+        check_accounted(zones, load)
 
 
 def test_the_command_shows_a_report(
