--- a/quillroad/cli/zones.py
+++ b/quillroad/cli/zones.py
@@ -16,7 +16,7 @@
 from quillroad.zones.report import MINUTES, Report, RouteLine, ZoneLine, read_report
 
 STALE_S = 10.0
-"""Age in seconds from which a report says nothing of the present; written each second by default."""
+"""Age in seconds from which a report says nothing of the present: ten times the usual interval."""
 MIN_WIDTH = 110
 """Columns, so that the tables do not wrap where the output is no terminal."""
 WATCH_INTERVAL_S = 1.0
--- a/quillroad/zones/settings.py
+++ b/quillroad/zones/settings.py
@@ -20,9 +20,9 @@
 MICROSECONDS = 1e6
 """In a second: the file's times are read in seconds, the balancer counts microseconds."""
 WINDOW_BOUNDS_S = (1.0, 3600.0)
-"""Under a second a window holds too few requests for a share; over an hour it outlives an outage."""
+"""Below a second a window holds too few requests for a share; above an hour it outlives outages."""
 HOLD_BOUNDS_S = (0.0, 600.0)
-"""A zone held lost for longer than ten minutes would send its traffic away long after it is back."""
+"""A zone held lost for over ten minutes would send its traffic away long after it is back."""
 REPORT_INTERVAL_BOUNDS_S = (0.05, 3600.0)
 """More often than 20 times a second the writing of reports would cost requests their time."""
 
--- a/tests/zones/test_cross_zone_budget.py
+++ b/tests/zones/test_cross_zone_budget.py
@@ -63,7 +63,7 @@
             crossing.spend(now, number, why)
             if crossing.counts[number].over_budget == past:
                 within.append(now)
-            else:  # only those whose zone is lost and who were told to spend, and those bound elsewhere
+            else:  # only where the zone is lost and the route may spend, or the retry is bound
                 told_past += 1
                 assert why is CrossZoneReason.BOUND or (
                     lost and number == 0 and why is not CrossZoneReason.COPY
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -1,4 +1,4 @@
-"""A gateway with hosts in two zones: what crosses as one fails, what is rejected, and the totals."""
+"""A gateway with hosts in two zones: what crosses as one fails, what is rejected, the totals."""
 
 from __future__ import annotations
 
