--- a/bench/admission.py
+++ b/bench/admission.py
@@ -14,18 +14,18 @@
 
 from bench.disciplines import ALL
 from bench.picture import over_time
-from quillroad.overload.admission_queue import Admission, Lane
+from quillroad.overload.admission_queue import AdmissionQueue, RoutePriority
 from testbed.core import SLOT_S, Core, Discipline, mix
 
-LANES = (Lane(2.0, 0.58), Lane(8.0, 0.75))
-UNEVEN = (Lane(2.0, 5.0), Lane(2.0, 0.05))
+LANES = (RoutePriority(2.0, 0.58), RoutePriority(8.0, 0.75))
+UNEVEN = (RoutePriority(2.0, 5.0), RoutePriority(2.0, 0.05))
 COST_S, REFUSAL_S = 0.0003, 0.00003
 CAPACITY = 1 / COST_S
-WAYS: dict[str, Callable[[tuple[Lane, ...]], Discipline]] = {"chosen": Admission}
+WAYS: dict[str, Callable[[tuple[RoutePriority, ...]], Discipline]] = {"chosen": AdmissionQueue}
 WAYS.update((way.name, way) for way in ALL)
 
 
-def core(way: str, lanes: tuple[Lane, ...] = LANES) -> Core:
+def core(way: str, lanes: tuple[RoutePriority, ...] = LANES) -> Core:
     return Core(WAYS[way](lanes), lanes, cost=COST_S, refusal=REFUSAL_S)
 
 
@@ -75,7 +75,7 @@
         [slot * SLOT_S for slot in slots],
         [
             ("requests a second", rates, CAPACITY, "capacity"),
-            ("ms", waits, LANES[0].within_s * 1e3, "the shorter aim"),
+            ("ms", waits, LANES[0].useful_s * 1e3, "the shorter aim"),
         ],
     )
 
--- a/bench/disciplines.py
+++ b/bench/disciplines.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import cast
 
-from quillroad.overload.admission_queue import Lane
+from quillroad.overload.admission_queue import RoutePriority
 from testbed.core import Item
 
 SLICE_S = 0.002
@@ -28,7 +28,7 @@
 
     name = "no limit"
 
-    def __init__(self, lanes: Sequence[Lane]) -> None:
+    def __init__(self, lanes: Sequence[RoutePriority]) -> None:
         self.lanes = lanes
         self.queue: deque[Entry] = deque()
 
@@ -51,7 +51,7 @@
     ) -> Entry | None:
         if not self.admits(now, route):
             return None
-        entry = Entry(cast(Item, item), now, since + self.lanes[route].within_s)
+        entry = Entry(cast(Item, item), now, since + self.lanes[route].useful_s)
         self.queue.append(entry)
         return entry
 
@@ -78,9 +78,9 @@
 
     name = "CoDel"
 
-    def __init__(self, lanes: Sequence[Lane]) -> None:
+    def __init__(self, lanes: Sequence[RoutePriority]) -> None:
         super().__init__(lanes)
-        self.target = 0.05 * min(lane.within_s for lane in lanes)
+        self.target = 0.05 * min(lane.useful_s for lane in lanes)
         self.interval = 20 * self.target
         self.above_since, self.dropping, self.count, self.next = 0.0, False, 0, 0.0
         self.late_now = False
@@ -114,7 +114,7 @@
 
     name = "adaptive LIFO"
 
-    def __init__(self, lanes: Sequence[Lane]) -> None:
+    def __init__(self, lanes: Sequence[RoutePriority]) -> None:
         super().__init__(lanes)
         self.interval = 0.1
         self.empty_at = 0.0
@@ -139,7 +139,7 @@
 
     name = "EDF"
 
-    def __init__(self, lanes: Sequence[Lane]) -> None:
+    def __init__(self, lanes: Sequence[RoutePriority]) -> None:
         super().__init__(lanes)
         self.queues: list[deque[Entry]] = [deque() for _ in lanes]
 
@@ -157,7 +157,7 @@
         held: int,
         item: object,
     ) -> Entry | None:
-        entry = Entry(cast(Item, item), now, since + self.lanes[route].within_s)
+        entry = Entry(cast(Item, item), now, since + self.lanes[route].useful_s)
         self.queues[route].append(entry)
         return entry
 
@@ -166,7 +166,7 @@
         return min(heads, key=lambda queue: queue[0].by).popleft().item if heads else None
 
     def hopeless(self, now: float, since: float, wait_s: float, route: int) -> bool:
-        return now >= since + 0.9 * self.lanes[route].within_s
+        return now >= since + 0.9 * self.lanes[route].useful_s
 
 
 class Dagor(Fifo):
@@ -176,9 +176,9 @@
     name = "DAGOR"
     PARTS = 128
 
-    def __init__(self, lanes: Sequence[Lane]) -> None:
+    def __init__(self, lanes: Sequence[RoutePriority]) -> None:
         super().__init__(lanes)
-        order = sorted(range(len(lanes)), key=lambda route: -lanes[route].worth)
+        order = sorted(range(len(lanes)), key=lambda route: -lanes[route].priority_weight)
         self.rank = {route: order.index(route) for route in range(len(lanes))}
         self.levels = len(lanes) * self.PARTS
         self.counts = [0] * self.levels
@@ -219,9 +219,9 @@
 
     name = "Breakwater"
 
-    def __init__(self, lanes: Sequence[Lane]) -> None:
+    def __init__(self, lanes: Sequence[RoutePriority]) -> None:
         super().__init__(lanes)
-        self.target = 0.1 * min(lane.within_s for lane in lanes)
+        self.target = 0.1 * min(lane.useful_s for lane in lanes)
         self.credits, self.open, self.stepped = 64.0, 0, 0.0
 
     def join(
--- a/quillroad/admin/admin.py
+++ b/quillroad/admin/admin.py
@@ -29,7 +29,7 @@
     def __init__(self, gateway: ManagedGateway, address: Address) -> None:
         self._gateway = gateway
         self._address = address
-        self.hands = HostOverrides()
+        self.host_overrides = HostOverrides()
         self.figures = Figures(gateway.route_names, self._gauges)
         self.listener = OperatorListener(gateway.loop, self.act)
         self.port = 0  # that operators connect to; 0 until it listens
@@ -58,7 +58,7 @@
         self, update: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
         """Go by what a source tells of endpoints, with the overrides laid over it."""
-        self._apply(self.hands.apply(update, names, addresses))
+        self._apply(self.host_overrides.apply(update, names, addresses))
 
     def _apply(self, changed: EngineUpdate | None) -> None:
         if changed is not None:
@@ -66,8 +66,8 @@
 
     def learn(self, out: dict[str, int], back: dict[str, tuple[int, int]], drained: bool) -> None:
         """Go by the overrides and the drain that another process of this gateway holds."""
-        self._apply(self.hands.learn(out, back))
-        self._gateway.drain_by_hand(drained)
+        self._apply(self.host_overrides.learn(out, back))
+        self._gateway.set_drained(drained)
 
     def act(self, call: Call) -> Page:
         """Do what a call asks for; the answer follows what was done."""
@@ -97,13 +97,13 @@
         """
         match call.act:
             case Act.FAIL:
-                self._gateway.drain_by_hand(True)
+                self._gateway.set_drained(True)
             case Act.OK:
-                self._gateway.drain_by_hand(False)
+                self._gateway.set_drained(False)
             case Act.MAINT:
-                self._apply(self.hands.take_out(call.host, _unix_us()))
+                self._apply(self.host_overrides.take_out(call.host, _unix_us()))
             case Act.READY:
-                self._apply(self.hands.put_back(call.host, _unix_us()))
+                self._apply(self.host_overrides.put_back(call.host, _unix_us()))
 
     def _gauges(self) -> dict[str, float]:
         figures = self._gateway.figures()
@@ -111,7 +111,7 @@
             "attempts": figures.attempts_sent,
             "in_flight": figures.requests_open,
             "hosts_known": figures.hosts_known,
-            "hosts_excluded": figures.hosts_ejected + self.hands.listed,
+            "hosts_excluded": figures.hosts_ejected + self.host_overrides.listed,
             "reloads_ok": self.reloads[1],
             "reloads_failed": self.reloads[0],
         }
--- a/quillroad/admin/host_overrides.py
+++ b/quillroad/admin/host_overrides.py
@@ -54,23 +54,23 @@
     """The hosts out of service, and the list of endpoints under them."""
 
     def __init__(self) -> None:
-        self.out: dict[str, int] = {}  # by name: since when, in microseconds of Unix time
+        self.out_since_us: dict[str, int] = {}  # by name: since when, in microseconds of Unix time
         self._back: dict[str, OutOfService] = {}  # of hosts that were put back, the oldest first
         self._listed: dict[int, _ListedHost] = {}
         self._numbers: dict[str, int] = {}  # of the listed hosts
         self._version = 0
 
     @property
-    def back(self) -> dict[str, OutOfService]:
+    def returned(self) -> dict[str, OutOfService]:
         """Of each host that was put back, by name: when it went out and came back."""
         return dict(self._back)
 
     @property
     def listed(self) -> int:
         """How many of those out of service are in the list."""
-        return sum(name in self._numbers for name in self.out)
+        return sum(name in self._numbers for name in self.out_since_us)
 
-    def told(self, number: int) -> Endpoint | None:
+    def listed_endpoint(self, number: int) -> Endpoint | None:
         """A host as its source tells it; None where it is not listed."""
         host = self._listed.get(number)
         return None if host is None else host.endpoint
@@ -103,13 +103,13 @@
         `now_us` is Unix time in microseconds. Raises `NoSuchHostError` for one that is not listed,
         `TooManyOverridesError`.
         """
-        if name in self.out:
+        if name in self.out_since_us:
             return None
         if name not in self._numbers:
             raise NoSuchHostError(name)
-        if len(self.out) >= MAX_OVERRIDES:
+        if len(self.out_since_us) >= MAX_OVERRIDES:
             raise TooManyOverridesError
-        self.out[name] = now_us
+        self.out_since_us[name] = now_us
         return self._changed([name])
 
     def put_back(self, name: str, now_us: int) -> EngineUpdate | None:
@@ -118,11 +118,11 @@
         `now_us` is Unix time in microseconds. Raises `NoSuchHostError` for one that is neither out
         nor listed.
         """
-        if name not in self.out:
+        if name not in self.out_since_us:
             if name not in self._numbers:
                 raise NoSuchHostError(name)
             return None
-        self._remember(name, OutOfService(self.out.pop(name), now_us))
+        self._remember(name, OutOfService(self.out_since_us.pop(name), now_us))
         return self._changed([name]) if name in self._numbers else None
 
     def learn(
@@ -132,13 +132,13 @@
 
         Returns None where that changes nothing that is listed.
         """
-        changed = [name for name in self.out.keys() ^ out.keys() if name in self._numbers]
+        changed = [name for name in self.out_since_us.keys() ^ out.keys() if name in self._numbers]
         for name, (went_us, came_us) in back.items():
             if came_us > self._back.get(name, NEVER_OUT).came_us:
                 self._remember(name, OutOfService(went_us, came_us))
                 if name in self._numbers and name not in changed:
                     changed.append(name)
-        self.out = dict(out)
+        self.out_since_us = dict(out)
         return self._changed(changed) if changed else None
 
     def _remember(self, name: str, back: OutOfService) -> None:
@@ -150,7 +150,7 @@
 
     def _shown(self, endpoint: Endpoint, name: str) -> Endpoint:
         """An endpoint as the engine is to see it."""
-        if name in self.out:
+        if name in self.out_since_us:
             endpoint = endpoint._replace(status=EndpointStatus.DRAINING)
         back = self._back.get(name)
         if back is not None and (endpoint.started_us or 0) < back.went_us:
--- a/quillroad/counts.py
+++ b/quillroad/counts.py
@@ -53,7 +53,7 @@
 
     def start(self) -> None:
         """Write the next line after `INTERVAL_S`."""
-        self._timer = self._loop.call_at(monotonic() + INTERVAL_S, self._tell)
+        self._timer = self._loop.call_at(monotonic() + INTERVAL_S, self._write_line)
 
     def stop(self) -> None:
         """Write no more lines."""
@@ -62,7 +62,7 @@
 
     def _on_sent(self, route: int, host: Host, size: int, done: Done) -> Done:
         self._counted["sent"] += 1
-        if host.started_us and self._engine.now_us() < host.started_us + self._engine.cold_us:
+        if host.started_us and self._engine.now_us() < host.started_us + self._engine.warm_up_us:
             self._counted["to_cold"] += 1
         if self._next_observer is not None:
             done = self._next_observer(route, host, size, done)
@@ -84,13 +84,13 @@
             self._failed_by_host[host.name] += 1
         done(outcome, answer, at)
 
-    def _tell(self) -> None:
+    def _write_line(self) -> None:
         self.start()
         totals = Counter(self._engine.counters)
         totals["connects"] = self._upstream.connects
         totals["no_connect"] = self._upstream.failed_connects
         line: dict[str, Any] = dict(self._counted + (totals - self._totals)) | self._engine.gauges
-        line["idle"] = self._upstream.resting
+        line["idle"] = self._upstream.idle_connections
         line["bad"] = dict(self._failed_by_host.most_common(MAX_FAILING_HOSTS))
         self._failed_by_host.clear()
         self._totals = totals
--- a/quillroad/discovery/consul/registrar.py
+++ b/quillroad/discovery/consul/registrar.py
@@ -40,7 +40,7 @@
             (("gateway", config.name),),
         )
         self.registration = Registration(entry, monotonic())
-        self.serves: Callable[[], bool] = lambda: True
+        self.is_serving: Callable[[], bool] = lambda: True
         self._task: asyncio.Task[None] | None = None
         self._wakes = asyncio.Event()
 
@@ -51,7 +51,7 @@
     async def _run(self) -> None:
         registration = self.registration
         while (wait_s := registration.next_s(monotonic())) is not None:
-            if not self.serves() and registration.state is not RegistrationState.LEAVING:
+            if not self.is_serving() and registration.state is not RegistrationState.LEAVING:
                 await asyncio.sleep(LOOK_INTERVAL_S)
                 continue
             registration.serves(monotonic(), self._ready())
--- a/quillroad/downstream/connection.py
+++ b/quillroad/downstream/connection.py
@@ -32,7 +32,7 @@
 )
 from quillroad.engine.engine import Reply
 from quillroad.errors import RequestTimeoutError
-from quillroad.overload.admission_queue import Waiting
+from quillroad.overload.admission_queue import QueuedRequest
 from quillroad.overload.fast_path_parse import preview_request
 from quillroad.overload.socket_age import data_age, has_ended
 
@@ -54,7 +54,7 @@
         self._advancing = False
         self._read_before = False
         # Of the request that is queued or served.
-        self._waiting: Waiting | None = None  # its place in the queue for the core
+        self._waiting: QueuedRequest | None = None  # its place in the queue for the core
         self._began_at = 0.0  # when the core got round to it
 
     # Callbacks of the transport.
@@ -64,7 +64,7 @@
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
         # With the marks at 0 `output_pending` stands for "bytes of an answer left in this process".
         self._transport.set_write_buffer_limits(high=0)
-        if self._server.connection_limit.stage(self) is None:
+        if self._server.connection_limit.state(self) is None:
             self._transport.abort()  # it was ended for another while it came up
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -91,7 +91,7 @@
         """All of the answer has left this process."""
         self.output_pending = False
         if self._stream is not None:
-            self._stream.resume()
+            self._stream.resume_reading()
             return
         parser = self._parser
         if parser.state is ReadState.ENDED and not parser.backlog and self._answering in NOT_BEGUN:
@@ -99,7 +99,7 @@
             return
         self._advance()
         if self.idle():
-            self._server.rests(self)
+            self._server.mark_resting(self)
 
     def data_received(self, data: bytes) -> None:
         """Bytes of the client."""
@@ -107,7 +107,7 @@
         if parser.state is ReadState.ENDED:
             self._discard(len(data))
             return
-        self.blind = False
+        self.may_have_disconnected = False
         if parser.unparsed:
             parser.append(data)
         else:
@@ -158,7 +158,7 @@
         """
         seen = preview_request(data)
         validator = self._server.validator
-        route = None if seen is None else validator.route(seen.kind)
+        route = None if seen is None else validator.route(seen.route_name)
         if seen is None or route is None:
             return False
         wait_s = validator.wait_s(route, seen.wait_ms)
@@ -179,7 +179,7 @@
         if self._server.draining:
             self._close()
         elif not self.output_pending:
-            self._server.rests(self)
+            self._server.mark_resting(self)
 
     # One request after another.
 
@@ -225,7 +225,7 @@
             if request is None:
                 self._serve(backlog.popleft())
             elif not self._queue(
-                request.since, request.expires - request.since, request.route, request.tenant
+                request.received_at, request.deadline_at - request.received_at, request.route, request.tenant
             ):
                 self._serve(backlog.popleft(), rejected=True)
         finally:
@@ -265,12 +265,12 @@
             log.info("400: the id of an open request")
             self.answer(Reply(400))
             return
-        since = request.since
+        since = request.received_at
         self._began_at = monotonic()
         # It lay in the kernel, or waited for the answers before it, until nothing could come in
         # time.
-        if self._server.admission.hopeless(
-            self._began_at, since, request.expires - since, request.route
+        if self._server.admission.is_hopeless(
+            self._began_at, since, request.deadline_at - since, request.route
         ):
             self._reject()
             return
@@ -297,7 +297,7 @@
     def _final(self, route: int, reply: Reply) -> None:
         """The end of a request that was taken on."""
         if reply.answer is not None:
-            self._server.admission.answered(route, monotonic() - self._began_at)
+            self._server.admission.host_answered(route, monotonic() - self._began_at)
         self.answer(reply)
 
     def enforce_time_limits(self, now: float) -> None:
@@ -322,7 +322,7 @@
         elif ahead:
             self._server.loop.call_soon(self._advance)
         elif not self.output_pending:
-            self._server.rests(self)
+            self._server.mark_resting(self)
 
     def _mark_leaving(self) -> None:
         self._server.mark_leaving(self)
@@ -332,7 +332,7 @@
 
     # Moving to another process of this gateway.
 
-    def hold(self) -> int | None:
+    def begin_migration(self) -> int | None:
         """Read nothing more, and give a copy of the descriptor: `brought` is what goes with it.
 
         None where the connection is not between two requests. Bytes that come wait in the kernel
@@ -350,18 +350,18 @@
         return copy
 
     @property
-    def brought(self) -> int:
+    def requests_served(self) -> int:
         """How many requests it has brought."""
         return self._parser.completed
 
-    def carry_on(self) -> None:
+    def cancel_migration(self) -> None:
         """It stays here after all."""
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.RELEASE]
         if self._transport is not None:
             self._pause_reading(False)
-            self._server.rests(self)
+            self._server.mark_resting(self)
 
-    def leave(self) -> None:
+    def complete_migration(self) -> None:
         """It is another process's now: its client hears nothing of that."""
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.RELEASE]
         self._parser.end()
--- a/quillroad/downstream/connection_limit.py
+++ b/quillroad/downstream/connection_limit.py
@@ -63,7 +63,7 @@
 
     def resize(self, places: int) -> None:
         """There are so many places from now on (1 or more); nobody ends for it alone."""
-        self.places = places
+        self.most_connections = places
         self._most = places + int(EXTRA_PART * places)
         self._resting_most = int(RESTING_PART * places)
         self._writing_most = int(WRITING_PART * places)
@@ -85,11 +85,11 @@
         """All of them."""
         return list(self._states)
 
-    def stage(self, connection: Connection) -> ConnectionState | None:
+    def state(self, connection: Connection) -> ConnectionState | None:
         """The state of a connection; None once it has left."""
         return self._states.get(connection)
 
-    def moves(self, connection: Connection, stage: ConnectionState, now: float) -> None:
+    def set_state(self, connection: Connection, stage: ConnectionState, now: float) -> None:
         """It joins, or comes to another stage. One that had its last answer moves no more."""
         before = self._states.get(connection)
         if before is ConnectionState.LEAVING:
@@ -99,7 +99,7 @@
         self._states[connection] = stage
         self._since[stage][connection] = now
 
-    def left(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
         """It has ended, or was told to."""
         stage = self._states.pop(connection, None)
         if stage is not None:
@@ -107,13 +107,13 @@
 
     def has_place(self) -> bool:
         """Whether one more fits without ending another."""
-        return self._in_use() < self.places
+        return self._in_use() < self.most_connections
 
     def _in_use(self) -> int:
         """Places taken."""
         return len(self._states) - min(len(self._writing), self._writing_most)
 
-    def to_end(self, now: float) -> Connection | None:
+    def connection_to_end(self, now: float) -> Connection | None:
         """The connection to end for a new one.
 
         One that has its last answer, then one that says nothing, then one that does not get on with
@@ -144,11 +144,11 @@
                 return connection
         return None
 
-    def may_exceed(self) -> bool:
+    def may_accept_to_reject(self) -> bool:
         """Whether one more may come beyond the places, to be told that there is none."""
         return self._in_use() < self._most
 
-    def may_look(self) -> bool:
+    def may_accept_unclassified(self) -> bool:
         """Whether one more unclassified connection may be accepted, to be rejected at once.
 
         Without this, clients whose connections wait in the kernel's queue are held there for longer
--- a/quillroad/downstream/connection_output.py
+++ b/quillroad/downstream/connection_output.py
@@ -38,7 +38,7 @@
     """What a connection writes, and how it ends.
 
     `last_change` is the monotonic time (s) that the limits on time count from; `reading_paused`,
-    `blind` and `output_pending` are explained in `state.py`.
+    `may_have_disconnected` and `output_pending` are explained in `state.py`.
     """
 
     def __init__(self, server: Server, sock: socket.socket) -> None:
@@ -48,7 +48,7 @@
         self._parser = RequestParser(server.validator, server.buffers, server.up_status)
         self._answering = AnswerState.IDLE
         self.reading_paused = False
-        self.blind = False
+        self.may_have_disconnected = False
         self.output_pending = False
         self.last_change = monotonic()
         self._unread_bytes = 0  # of an answer that its client had not taken, at the last look
@@ -89,8 +89,8 @@
         if answer is not None:
             content_type = answer.content_type
             body = answer.body
-            if answer.rest is not None:
-                self._begin_stream(content_type, body, answer.length, answer.rest)
+            if answer.stream is not None:
+                self._begin_stream(content_type, body, answer.body_length, answer.stream)
                 return
         self._opened = None
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.FINISH]
@@ -108,7 +108,7 @@
         keep = self._keep and (ahead or not self._server.draining)
         retry_after_us = None
         if reply.retry_after_us:
-            retry_after_us = self._server.retry_after_jitter.over(reply.retry_after_us)
+            retry_after_us = self._server.retry_after_jitter.jittered_us(reply.retry_after_us)
         message = response(reply.status, body, content_type, retry_after_us, keep)
         self._transport.write(message)
         self._written(keep, ahead)
@@ -149,7 +149,7 @@
             return
         self._transport.write(chunk(data) if self._chunked else data)
         if self.output_pending:
-            self._stream.pause()
+            self._stream.pause_reading()
 
     def _stream_ended(self, whole: bool) -> None:
         """The host has given all, or nothing more comes.
@@ -239,7 +239,7 @@
                 self._sock.shutdown(socket.SHUT_RDWR)
             self._transport.abort()
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed, also where that was not read yet.
 
         Then its connection ends.
@@ -269,7 +269,7 @@
         if paused != self.reading_paused and self._transport is not None:
             self.reading_paused = paused
             if paused:
-                self.blind = True
+                self.may_have_disconnected = True
                 self._transport.pause_reading()
             else:
                 self._transport.resume_reading()
--- a/quillroad/downstream/early_rejection.py
+++ b/quillroad/downstream/early_rejection.py
@@ -11,9 +11,9 @@
 from quillroad.downstream.request_validation import RequestValidator
 from quillroad.downstream.responses import rejection
 from quillroad.overload.acceptor import Acceptor
-from quillroad.overload.admission_queue import Admission
-from quillroad.overload.fast_path_parse import LONGEST, preview_request
-from quillroad.overload.retry_after import Spread
+from quillroad.overload.admission_queue import AdmissionQueue
+from quillroad.overload.fast_path_parse import MAX_HEAD_BYTES, preview_request
+from quillroad.overload.retry_after import RetryAfterJitter
 from quillroad.overload.socket_age import data_age
 
 if TYPE_CHECKING:
@@ -38,10 +38,10 @@
     `retry_after_us` is the longest wait told, in microseconds, 0 for none.
     """
 
-    def __init__(self, jitter: Spread, retry_after_us: int) -> None:
+    def __init__(self, jitter: RetryAfterJitter, retry_after_us: int) -> None:
         self._jitter = jitter
         self._retry_after_us = retry_after_us
-        self._made = [rejection(True, jitter.over(retry_after_us)) for _ in range(REJECTIONS)]
+        self._made = [rejection(True, jitter.jittered_us(retry_after_us)) for _ in range(REJECTIONS)]
         self._next = 0
 
     def keep_alive(self) -> bytes:
@@ -51,7 +51,7 @@
 
     def closing(self) -> bytes:
         """One for a connection that ends with it."""
-        return rejection(False, self._jitter.over(self._retry_after_us))
+        return rejection(False, self._jitter.jittered_us(self._retry_after_us))
 
 
 class EarlyRejection:
@@ -65,7 +65,7 @@
     def __init__(
         self,
         validator: RequestValidator,
-        admission: Admission,
+        admission: AdmissionQueue,
         connection_limit: ConnectionLimit[ClientConnection],
         acceptor: Acceptor[ClientConnection],
         rejections: Rejections,
@@ -83,7 +83,7 @@
     def has_time(self) -> bool:
         """Whether there is CPU time to turn one away."""
         now_s = process_time()
-        part = LATE_CPU_PART if self._acceptor.late else CPU_PART
+        part = LATE_CPU_PART if self._acceptor.clients_waited_long else CPU_PART
         self._saved_s = min(SAVED_CPU_S, self._saved_s + part * (now_s - self._counted_s))
         self._counted_s = now_s
         return self._saved_s > 0.0
@@ -97,13 +97,13 @@
         """
         try:
             sock.setblocking(False)
-            data = sock.recv(LONGEST, socket.MSG_PEEK)
+            data = sock.recv(MAX_HEAD_BYTES, socket.MSG_PEEK)
             if data:
                 route = self._rejected_route(sock, data, now, full)
                 if route is None:
                     return False
                 self._on_end(route, 503)
-                sock.recv(LONGEST)  # a close on unread bytes would take the answer along
+                sock.recv(MAX_HEAD_BYTES)  # a close on unread bytes would take the answer along
                 sock.send(self._rejections.closing())
         except BlockingIOError:
             return False
@@ -121,14 +121,14 @@
         if seen is None:
             return None
         validator = self._validator
-        route = validator.route(seen.kind)
+        route = validator.route(seen.route_name)
         if route is None:
             return None
         age_s = data_age(sock)
-        self._acceptor.late = age_s > OUTSIDE_S
+        self._acceptor.clients_waited_long = age_s > OUTSIDE_S
         wait_s = validator.wait_s(route, seen.wait_ms)
         tenant = validator.tenant(seen.tenant)
         limit = self._connection_limit
-        in_use = limit.places + 1 if full else limit.busy + 1
-        rejected = self._admission.turns_away(now, now - age_s, wait_s, route, tenant, in_use)
+        in_use = limit.most_connections + 1 if full else limit.busy + 1
+        rejected = self._admission.rejects_early(now, now - age_s, wait_s, route, tenant, in_use)
         return route if rejected else None
--- a/quillroad/downstream/request_parser.py
+++ b/quillroad/downstream/request_parser.py
@@ -26,8 +26,8 @@
     HttpSyntaxError,
 )
 from quillroad.framing import FRAMED, HEAD_LIMIT, check_framing
-from quillroad.overload.body_budget import Buffers
-from quillroad.overload.heap import steady
+from quillroad.overload.body_budget import BodyBudget
+from quillroad.overload.heap import return_freed_memory
 
 HEAD = ReadState.HEAD  # by itself, as it is looked at for each header
 log = logging.getLogger("quillroad.downstream")
@@ -80,7 +80,7 @@
     """
 
     def __init__(
-        self, validator: RequestValidator, buffers: Buffers, up_status: Callable[[], int]
+        self, validator: RequestValidator, buffers: BodyBudget, up_status: Callable[[], int]
     ) -> None:
         self._validator = validator
         self._buffers = buffers
@@ -297,7 +297,7 @@
 
     def _reserve(self, size: int) -> None:
         """Take so many bytes more from the budget of long bodies."""
-        steady()
+        return_freed_memory()
         if not self._buffers.take(size):
             raise self._failed(BodyMemoryError())
         self._body_reserved += size
--- a/quillroad/downstream/request_scheduler.py
+++ b/quillroad/downstream/request_scheduler.py
@@ -12,7 +12,7 @@
 from quillroad.downstream.connection import ClientConnection
 from quillroad.downstream.connection_limit import ConnectionLimit, ConnectionState
 from quillroad.engine.engine import Engine, Reply
-from quillroad.overload.admission_queue import Admission, Waiting
+from quillroad.overload.admission_queue import AdmissionQueue, QueuedRequest
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
 
 log = logging.getLogger("quillroad.downstream")
@@ -33,7 +33,7 @@
         loop: asyncio.AbstractEventLoop,
         loop_monitor: EventLoopMonitor,
         engine: Engine,
-        admission: Admission,
+        admission: AdmissionQueue,
         connection_limit: ConnectionLimit[ClientConnection],
     ) -> None:
         self._loop = loop
@@ -48,19 +48,19 @@
 
     def queue(
         self, connection: ClientConnection, since: float, wait_s: float, route: int, tenant: int
-    ) -> Waiting | None:
+    ) -> QueuedRequest | None:
         """Let a request that came at `since` wait for its turn, or None: it is to be refused.
 
         Times are monotonic, in seconds; `wait_s` is how long its client waits from `since` on.
         """
         limit = self._connection_limit
-        state = limit.stage(connection)
+        state = limit.state(connection)
         in_use = limit.busy + (state is not ConnectionState.BUSY)
         now = monotonic()
         waiting = self._admission.join(now, since, wait_s, route, tenant, in_use, connection)
         if waiting is not None:
             if state is not None:
-                limit.moves(connection, ConnectionState.BUSY, monotonic())
+                limit.set_state(connection, ConnectionState.BUSY, monotonic())
             if self._hold is None:  # else a turn comes soon, or with the first permit that is free
                 self.schedule()
         return waiting
@@ -81,7 +81,7 @@
             self._hold.cancel()
             self._hold = None
         now = monotonic()
-        self._admission.used(now, process_time())
+        self._admission.cpu_used(now, process_time())
         self._loop_monitor.busy = self._admission.busy
         end = now + self._admission.slice_s(now)
         at_capacity = False
@@ -94,7 +94,7 @@
                 break
             self._begin(item)
             now = monotonic()
-        self._admission.sliced(now)
+        self._admission.slice_ended(now)
         if not self._admission.waiting:
             return
         if at_capacity:
@@ -131,8 +131,8 @@
 
     def log_rejections(self) -> None:
         """One line when refusals begin, and one when they have ended."""
-        refused = self._admission.refused - self._refused
-        self._refused = self._admission.refused
+        refused = self._admission.rejected - self._refused
+        self._refused = self._admission.rejected
         if (refused > 0) == self._refusing:
             return
         self._refusing = refused > 0
--- a/quillroad/downstream/request_validation.py
+++ b/quillroad/downstream/request_validation.py
@@ -100,12 +100,12 @@
             route=route,
             tenant=self._tenants.get(values.get(b"tenant", b"").decode("latin-1"), -1),
             key=key,
-            since=since,
-            expires=min(
+            received_at=since,
+            deadline_at=min(
                 since + min(_timeout_ms(values) / 1000, self._deadlines_s[route]), self.answers_by
             ),
-            repeat=values.get(b"client-retry") == b"1",
-            work_us=int(hint) if hint.isdigit() and len(hint) <= WORK_HINT_DIGITS else None,
+            is_retry=values.get(b"client-retry") == b"1",
+            work_estimate_us=int(hint) if hint.isdigit() and len(hint) <= WORK_HINT_DIGITS else None,
             head=b"\r\n".join(forwarded) + b"\r\n",
             # A long body is handed on as it is: a second copy would double the memory it takes.
             body=b"" if idempotent else body if len(body) > SHORT_BODY else bytes(body),
--- a/quillroad/downstream/responses.py
+++ b/quillroad/downstream/responses.py
@@ -28,18 +28,18 @@
     """The rest of a long answer, as the host gives it.
 
     Whoever takes it sets `on_data` (gets the bytes) and `on_end` (gets whether all of them came),
-    calls `pause` while its own side is full and `abandon` when nobody wants the rest any more;
+    calls `pause_reading` while its own side is full and `abandon` when nobody wants the rest any more;
     after that neither callback is called.
     """
 
     on_data: Callable[[bytes], None] | None
     on_end: Callable[[bool], None] | None
 
-    def pause(self) -> None:
+    def pause_reading(self) -> None:
         """Take nothing more from the host for now."""
 
-    def resume(self) -> None:
-        """Go on after `pause`."""
+    def resume_reading(self) -> None:
+        """Go on after `pause_reading`."""
 
     def abandon(self) -> None:
         """Give the rest up."""
--- a/quillroad/downstream/server.py
+++ b/quillroad/downstream/server.py
@@ -16,10 +16,10 @@
 from quillroad.downstream.request_validation import RequestValidator
 from quillroad.engine.engine import Engine
 from quillroad.overload.acceptor import Acceptor
-from quillroad.overload.admission_queue import Admission, Lane
-from quillroad.overload.body_budget import Buffers
+from quillroad.overload.admission_queue import AdmissionQueue, RoutePriority
+from quillroad.overload.body_budget import BodyBudget
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
-from quillroad.overload.retry_after import Spread
+from quillroad.overload.retry_after import RetryAfterJitter
 
 __all__ = ["EXCESS", "HOLD_S", "ClientConnection", "Server"]
 
@@ -66,10 +66,10 @@
         self.draining = False
         self.streams = 0
         self.on_end: Callable[[int, int], None] | None = None
-        self.buffers = Buffers(config.buffers)
+        self.buffers = BodyBudget(config.buffers)
         self.validator = RequestValidator(config)
         self.retry_after_us = _retry_after_us(config)
-        self.retry_after_jitter = Spread(config.seed % JITTER_MODULUS / JITTER_MODULUS)
+        self.retry_after_jitter = RetryAfterJitter(config.seed % JITTER_MODULUS / JITTER_MODULUS)
         self._rejections = Rejections(self.retry_after_jitter, self.retry_after_us)
         places = _client_connections(descriptors)
         self.admission = _admission(config, places)
@@ -118,9 +118,9 @@
         """Take connections from a listening socket, which is the server's own from now on."""
         self._acceptor.listen(listener)
 
-    def pause(self) -> None:
+    def pause_accepting(self) -> None:
         """Accept nothing more for now; the listener is the caller's."""
-        self._acceptor.pause()
+        self._acceptor.detach()
 
     def resize(self) -> None:
         """The number of descriptors has changed."""
@@ -135,18 +135,18 @@
         has sent.
         """
         limit = self.connection_limit
-        free = limit.has_place() or limit.may_exceed() or limit.to_end(monotonic()) is not None
-        if not free and not (limit.may_look() and self._early_rejection.has_time()):
+        free = limit.has_place() or limit.may_accept_to_reject() or limit.connection_to_end(monotonic()) is not None
+        if not free and not (limit.may_accept_unclassified() and self._early_rejection.has_time()):
             return False
         if self._descriptors.spare() > -EXCESS:
             return True
         if limit.has_place():
             self._drop_upstream()
-        elif (one := limit.to_end(monotonic())) is not None:
+        elif (one := limit.connection_to_end(monotonic())) is not None:
             # Ended at the accept it would need a descriptor more for that moment, which there is
             # not: nobody would come in until those who hold them all go by themselves.
             one.abort()
-            self._acceptor.soon = True
+            self._acceptor.descriptors_freeing = True
         return False
 
     def _drop_upstream(self) -> None:
@@ -163,9 +163,9 @@
         for _ in range(self._dropped):
             if not self._drop_idle_upstream():
                 break
-            self._acceptor.soon = True
+            self._acceptor.descriptors_freeing = True
 
-    def yields(self) -> bool:
+    def end_silent_connection(self) -> bool:
         """End a silent client connection so that a connection to a host can be opened.
 
         Done where clients hold all their places and more; the descriptor is free in the next iteration
@@ -173,8 +173,8 @@
         ended: its client counts on it, and is better off with a rejection of another's request.
         """
         limit = self.connection_limit
-        one = None if limit.has_place() else limit.to_end(monotonic())
-        if one is None or limit.stage(one) is ConnectionState.RESTING:
+        one = None if limit.has_place() else limit.connection_to_end(monotonic())
+        if one is None or limit.state(one) is ConnectionState.RESTING:
             return False
         one.abort()
         return True
@@ -189,17 +189,17 @@
         limit = self.connection_limit
         one = None
         if not limit.has_place():
-            one = limit.to_end(now)
+            one = limit.connection_to_end(now)
             # Those who have said nothing yet may never: they are no reason to refuse one who has.
-            full = limit.busy >= limit.places and not limit.may_exceed()
+            full = limit.busy >= limit.most_connections and not limit.may_accept_to_reject()
             if one is None and self._early_rejection.reject(sock, now, full):
                 return None
         connection = ClientConnection(self, sock)
         self._descriptors.used += 1
-        limit.moves(connection, ConnectionState.UNHEARD, now)
+        limit.set_state(connection, ConnectionState.UNHEARD, now)
         if one is not None:
             one.abort()
-            self._acceptor.soon = True
+            self._acceptor.descriptors_freeing = True
         return connection
 
     def adopt(self, sock: socket.socket, brought: int) -> None:
@@ -208,8 +208,8 @@
         connection = ClientConnection(self, sock)
         connection.arrives(brought)
         self._descriptors.used += 1
-        self.connection_limit.moves(connection, ConnectionState.RESTING, monotonic())
-        self._acceptor.start(sock, connection)
+        self.connection_limit.set_state(connection, ConnectionState.RESTING, monotonic())
+        self._acceptor.bring_up(sock, connection)
 
     # What connections tell of themselves.
 
@@ -219,23 +219,23 @@
         Whoever sends its head in pieces does not, and a connection with a request that waits for
         its turn is busy.
         """
-        state = self.connection_limit.stage(connection)
+        state = self.connection_limit.state(connection)
         if state is None or state is ConnectionState.BUSY:
             return
         if body or state is not ConnectionState.WRITING:
-            self.connection_limit.moves(connection, ConnectionState.WRITING, monotonic())
+            self.connection_limit.set_state(connection, ConnectionState.WRITING, monotonic())
 
     def mark_busy(self, connection: ClientConnection) -> None:
         """It is not ended to make room."""
-        if self.connection_limit.stage(connection) is not None:
-            self.connection_limit.moves(connection, ConnectionState.BUSY, monotonic())
+        if self.connection_limit.state(connection) is not None:
+            self.connection_limit.set_state(connection, ConnectionState.BUSY, monotonic())
 
-    def rests(self, connection: ClientConnection) -> None:
+    def mark_resting(self, connection: ClientConnection) -> None:
         """It is between two requests."""
-        if self.connection_limit.stage(connection) is None:
+        if self.connection_limit.state(connection) is None:
             return
         now = monotonic()
-        self.connection_limit.moves(connection, ConnectionState.RESTING, now)
+        self.connection_limit.set_state(connection, ConnectionState.RESTING, now)
         for _ in range(OVERSTAYED):
             longest = self.connection_limit.overstayed(now)
             if longest is None or longest is connection:
@@ -244,12 +244,12 @@
 
     def mark_leaving(self, connection: ClientConnection) -> None:
         """It has its last answer, and needs no more than time to read it."""
-        if self.connection_limit.stage(connection) is not None:
-            self.connection_limit.moves(connection, ConnectionState.LEAVING, monotonic())
+        if self.connection_limit.state(connection) is not None:
+            self.connection_limit.set_state(connection, ConnectionState.LEAVING, monotonic())
 
     def mark_closing(self, connection: ClientConnection) -> None:
         """Ended, though its descriptor is in use until the loop comes round to it."""
-        self.connection_limit.left(connection)
+        self.connection_limit.remove(connection)
 
     def mark_closed(self, connection: ClientConnection) -> None:
         """Its descriptor is free."""
@@ -264,7 +264,7 @@
         Then a request is looked at before it costs a parser.
         """
         limit = self.connection_limit
-        return self.admission.waiting > 0 or 2 * limit.busy > limit.places
+        return self.admission.waiting > 0 or 2 * limit.busy > limit.most_connections
 
     def rejection(self) -> bytes:
         """A whole answer that turns a request away."""
@@ -272,7 +272,7 @@
 
     # Time limits and the end.
 
-    def sweep(self) -> None:
+    def enforce_time_limits(self) -> None:
         """Called now and then: end what takes too long."""
         now = monotonic()
         for connection in self.connection_limit.connections():
@@ -297,7 +297,7 @@
         """
         settled = monotonic() - UNHEARD_S
         for connection in self.connection_limit.connections():
-            unheard = self.connection_limit.stage(connection) is ConnectionState.UNHEARD
+            unheard = self.connection_limit.state(connection) is ConnectionState.UNHEARD
             if connection.may_end() and not (unheard and connection.last_change > settled):
                 connection.abort()
 
@@ -320,11 +320,11 @@
     return settings.max_retry_after_us if settings.retry_after_allowed else 0
 
 
-def _admission(config: Config, places: int) -> Admission:
+def _admission(config: Config, places: int) -> AdmissionQueue:
     """The admission queue as the settings have it."""
     settings = config.settings
-    return Admission(
-        [Lane(route.priority_weight, _full_value_us(route) / 1e6) for route in settings.routes],
+    return AdmissionQueue(
+        [RoutePriority(route.priority_weight, _full_value_us(route) / 1e6) for route in settings.routes],
         settings.over_quota_weight,
         [quota / settings.gateway_count for quota in settings.tenant_quotas_per_s],
         config.cores,
--- a/quillroad/downstream/state.py
+++ b/quillroad/downstream/state.py
@@ -30,7 +30,7 @@
 
 - `ClientConnection.reading_paused`: the transport reads nothing, as more was read than may be
   parsed now.
-- `ClientConnection.blind`: nothing was read since reading paused, not even that the client has
+- `ClientConnection.may_have_disconnected`: nothing was read since reading paused, not even that the client has
   closed.
 - `ClientConnection.output_pending`: bytes of an answer have not left this process.
 - `ClientConnection._advancing`: the step to the next request runs and must not be entered again.
--- a/quillroad/engine/client_request.py
+++ b/quillroad/engine/client_request.py
@@ -18,9 +18,9 @@
     route: int  # index in the settings' routes
     tenant: int  # index in the settings' tenants; -1: none
     key: str | None  # of deduplication
-    since: float
-    expires: float
-    repeat: bool  # the client says that it has sent this before
-    work_us: int | None
+    received_at: float
+    deadline_at: float
+    is_retry: bool  # the client says that it has sent this before
+    work_estimate_us: int | None
     head: bytes  # request line and headers that go on unchanged, without the deadline's
     body: bytes | bytearray  # complete; nobody changes it any more
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -79,7 +79,7 @@
         self._clock = EngineClock(upstream.loop_monitor.loop_lag)
         self._numbers = itertools.count(1)
         self._open: dict[int, OpenRequest] = {}
-        self._ids: set[str] = set()  # ids of the requests that still wait for their answer
+        self._unanswered_ids: set[str] = set()  # ids of the requests that still wait for their answer
         self._events: deque[Event] = deque()
         self._feeding = False
 
@@ -89,7 +89,7 @@
 
     def is_open(self, request_id: str) -> bool:
         """Whether a request of this id waits for its answer."""
-        return request_id in self._ids
+        return request_id in self._unanswered_ids
 
     @property
     def ready(self) -> bool:
@@ -99,10 +99,10 @@
     @property
     def unanswered(self) -> int:
         """Requests that wait for their answer."""
-        return len(self._ids)
+        return len(self._unanswered_ids)
 
     @property
-    def cold_us(self) -> int:
+    def warm_up_us(self) -> int:
         """For so long after its start a host may be warming up, in microseconds."""
         return self._balancer.settings.warm_up_us
 
@@ -133,18 +133,18 @@
 
         Before each attempt `client` is asked whether it has, where that may have gone unread.
         """
-        scale = margin_scale(max(0.0, request.expires - monotonic()))
-        give_up = request.expires - DECISION_MARGIN_S * scale
+        scale = margin_scale(max(0.0, request.deadline_at - monotonic()))
+        give_up = request.deadline_at - DECISION_MARGIN_S * scale
         opened = OpenRequest(next(self._numbers), request, reply, give_up, client)
         self._open[opened.number] = opened
-        self._ids.add(request.id)
+        self._unanswered_ids.add(request.id)
         opened.overdue_timer = self._loop.call_at(
-            request.expires - FALLBACK_MARGIN_S * scale, self._on_overdue, opened
+            request.deadline_at - FALLBACK_MARGIN_S * scale, self._on_overdue, opened
         )
         if len(self._open) == 1:
             self._loop_monitor.work_begins(self._has_work)
         if self._loop_monitor.stalled():  # first the outcomes that lie in the kernel, then new work
-            self._loop_monitor.hold(self._arrive, opened)
+            self._loop_monitor.defer(self._arrive, opened)
         else:
             self._arrive(opened)
         return opened
@@ -160,11 +160,11 @@
             RequestArrived(
                 opened.number,
                 request.route,
-                self._clock.epoch_us + int(opened.give_up * 1e6),
+                self._clock.epoch_us + int(opened.attempts_end_at * 1e6),
                 request.key,
-                request.work_us,
+                request.work_estimate_us,
                 request.tenant,
-                request.repeat,
+                request.is_retry,
                 len(request.body) > SHORT_BODY,
             )
         )
@@ -179,7 +179,7 @@
     def _on_overdue(self, opened: OpenRequest) -> None:
         """Time out a request without a decision: that promises nothing, so it is always right."""
         if self._loop_monitor.stalled():
-            self._loop_monitor.hold(self._on_overdue, opened)
+            self._loop_monitor.defer(self._on_overdue, opened)
         elif opened.reply is not None:
             log.error("request %s: no decision by its deadline", opened.request.id)
             self._answer_undecided(opened, Reply(TIMED_OUT))
@@ -271,7 +271,7 @@
 
     def _on_timer(self, event: TimerFired) -> None:
         if self._loop_monitor.stalled():
-            self._loop_monitor.hold(self.feed, event)
+            self._loop_monitor.defer(self.feed, event)
         else:
             self.feed(event)
 
@@ -297,7 +297,7 @@
             return
         started = monotonic()
         client = opened.client
-        if client is not None and (client.blind or started - self._loop_lag.last > UNREAD_CLIENT_S):
+        if client is not None and (client.may_have_disconnected or started - self._loop_lag.last_tick > UNREAD_CLIENT_S):
             self._depart_if_gone(opened, client)
         host = self.hosts.get(action.endpoint)
         send_by = math.inf
@@ -306,7 +306,7 @@
         if opened.reply is None or host is None or started > send_by:
             self._attempt_not_started(opened, Outcome.NOT_SENT)
             return
-        timeout_s = max(0.0, opened.give_up - started)
+        timeout_s = max(0.0, opened.attempts_end_at - started)
         if action.timeout_us:
             timeout_s = min(timeout_s, action.timeout_us / 1e6)
         self._start_attempt(opened, host, started, timeout_s, send_by)
@@ -338,7 +338,7 @@
             # sent.
             self._attempt_not_started(opened, Outcome.RESET)
             return
-        opened.out += 1
+        opened.attempts_in_flight += 1
         opened.attempts.append(attempt)
 
     def _depart_if_gone(self, opened: OpenRequest, client: Requester) -> None:
@@ -346,7 +346,7 @@
 
         It had sent ahead, so that nothing is read from it, or the event loop is late.
         """
-        if opened.reply is not None and client.gone():
+        if opened.reply is not None and client.has_disconnected():
             self.depart(opened)
 
     def _attempt_not_started(self, opened: OpenRequest, outcome: Outcome) -> None:
@@ -365,11 +365,11 @@
         answer: Answer | None,
         at: float,
     ) -> None:
-        opened.out -= 1
+        opened.attempts_in_flight -= 1
         opened.attempts[number] = None
         if answer is not None and opened.reply is not None:
             # Past its deadline nobody waits for it: it ran, and served nobody.
-            late = monotonic() >= opened.request.expires
+            late = monotonic() >= opened.request.deadline_at
             self._answer(opened, Reply(TIMED_OUT) if late else Reply(SERVED, answer))
         elapsed_us = max(1, int((at - started) * 1e6))
         self.feed(AttemptFinished(opened.number, number, outcome, elapsed_us, opened.reply is None))
@@ -386,7 +386,7 @@
     def _settle(self, opened: OpenRequest) -> None:
         """Its client waits no longer."""
         opened.reply = None
-        self._ids.discard(opened.request.id)
+        self._unanswered_ids.discard(opened.request.id)
         if opened.overdue_timer is not None:
             opened.overdue_timer.cancel()
 
@@ -394,7 +394,7 @@
         """Let go of a request that has its answer and none of whose attempts is in flight."""
         if opened.reply is not None:
             return
-        if opened.out:
+        if opened.attempts_in_flight:
             opened.withdraw_connecting()
-        if not opened.out:
+        if not opened.attempts_in_flight:
             self._open.pop(opened.number, None)
--- a/quillroad/engine/open_request.py
+++ b/quillroad/engine/open_request.py
@@ -29,10 +29,10 @@
         self.number = number
         self.request = request
         self.client = client
-        self.give_up = give_up
+        self.attempts_end_at = give_up
         self.reply: Callable[[Reply], None] | None = reply  # None: answered, or the client has gone
         self.attempts: list[Attempt | None] = []  # None: never sent, or over
-        self.out = 0  # attempts in flight
+        self.attempts_in_flight = 0  # attempts in flight
         self.overdue_timer: asyncio.TimerHandle | None = None  # the engine then answers by itself
 
     def withdraw_connecting(self) -> None:
--- a/quillroad/engine/requester.py
+++ b/quillroad/engine/requester.py
@@ -8,7 +8,7 @@
 class Requester(Protocol):
     """A client connection that waits for an answer."""
 
-    blind: bool  # nothing is read from it at the moment, so its end would go unnoticed
+    may_have_disconnected: bool  # nothing was read since reading paused: its end would go unseen
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has gone, as far as can be told without reading."""
--- a/quillroad/files.py
+++ b/quillroad/files.py
@@ -15,7 +15,7 @@
 MAX_WAITING_LINES = 10_000
 
 
-class Writer:
+class FileWriter:
     """Writes files in a thread of its own.
 
     Written by the event loop, reports hold up all requests for as long as the disk takes. Of a file
@@ -74,7 +74,7 @@
         self._begin()
 
 
-def put(path: Path, data: bytes) -> None:
+def replace_file(path: Path, data: bytes) -> None:
     """Replace a file as a whole, so that a reader never finds half of one (rename(2)).
 
     Raises OSError where that cannot be done; the file before stays then.
@@ -100,7 +100,7 @@
             with path.open("a", encoding="utf-8") as file:
                 file.write("".join(f"{line}\n" for line in added))
         for path, data in replacements.items():
-            put(path, data)
+            replace_file(path, data)
     except OSError as error:
         return f"cannot write {path}: {error.strerror}"
     return None
--- a/quillroad/gateway.py
+++ b/quillroad/gateway.py
@@ -39,12 +39,12 @@
 # came meanwhile has to be read before anyone is judged to be late.
 MAX_CHECK_DELAY_S = 0.15
 # After SIGTERM: the front sends new connections for up to 0.4 s more.
-ACCEPT_S = 0.55
+FRONT_DELAY_S = 0.55
 # For the last answers to leave.
-FLUSH_S = 0.1
+ANSWERS_FLUSH_S = 0.1
 # After SIGTERM and the longest deadline; SIGKILL comes 0.7 s after these at the earliest, and the
 # process needs some of that to end.
-END_S = 0.6
+DRAIN_MARGIN_S = 0.6
 # Between two looks at what a drain still waits for.
 DRAIN_POLL_S = 0.02
 
@@ -83,18 +83,18 @@
         self.server = self._make_server(server, loop_monitor)
         # Where sources of endpoints tell of them: operators' overrides are laid over what they
         # tell.
-        self.update: Update = (
+        self.update_endpoints: Update = (
             self.engine.update if self.admin is None else self.admin.update_endpoints
         )
-        self.source, self.feed = open_source(config, self.update)
+        self.source, self.feed = open_source(config, self.update_endpoints)
         self._discovery = (config.discovery, config.hosts)
         self.registrar = make_registrar(config, lambda: self.engine.ready)
         self.counts = make_counts(loop, self.engine, self.upstream)
-        self.fleet = make_membership(config, loop)
-        if self.fleet is not None:
-            self.fleet.attach(self.engine, lambda: self.source)
+        self.membership = make_membership(config, loop)
+        if self.membership is not None:
+            self.membership.attach(self.engine, lambda: self.source)
         # In the order in which they start and stop.
-        optional: list[Part | None] = [self.zones, self.registrar, self.counts, self.fleet]
+        optional: list[Part | None] = [self.zones, self.registrar, self.counts, self.membership]
         self._optional_parts = [part for part in optional if part is not None]
 
     def _make_upstream(self, loop_monitor: EventLoopMonitor) -> Upstream:
@@ -127,7 +127,7 @@
             self.upstream.drop_oldest_idle,
             loop_monitor,
         )
-        self.upstream.clients_yield = made.yields
+        self.upstream.clients_yield = made.end_silent_connection
         if self.admin is not None:
             made.on_end = self.admin.figures.ended
         return made
@@ -138,7 +138,7 @@
         if self.admin is not None:
             self.admin.start()
         self.listen(open_listener(*self.config.listen))
-        self.follow()
+        self.start_parts()
 
     def listen(self, listener: socket.socket) -> None:
         """Accept from a listening socket."""
@@ -146,7 +146,7 @@
         self.port = listener.getsockname()[1]
         log.info("%s listens on %s:%d", self.config.name, self.config.listen[0], self.port)
 
-    def follow(self) -> None:
+    def start_parts(self) -> None:
         """Hear of endpoints, and look after connections, from now on."""
         self.source.start()
         for part in self._optional_parts:
@@ -161,7 +161,7 @@
         """
         try:
             config = read()
-            members = None if self.fleet is None else self.fleet.read(config)
+            members = None if self.membership is None else self.membership.read_settings(config)
             if self.zones is not None:
                 self.zones.reload()
         except ConfigError as error:
@@ -169,8 +169,8 @@
             self._count_reload(False)
             return
         self._count_reload(True)
-        if self.fleet is not None:
-            self.fleet.take(members)
+        if self.membership is not None:
+            self.membership.apply_settings(members)
         if left := changed_fields(self.config, config):
             log.warning("these fields change with a restart only: %s", ", ".join(left))
         self._follow_discovery(config)
@@ -185,7 +185,7 @@
             self.source.follow(config)
         else:
             self.source.stop()
-            self.source, self.feed = open_source(config, self.update)
+            self.source, self.feed = open_source(config, self.update_endpoints)
             self.source.begin(config)
             self.source.start()
         self._discovery = discovery
@@ -209,7 +209,7 @@
     def figures(self) -> GatewayFigures:
         """The present figures, for operators."""
         return GatewayFigures(
-            attempts_sent=self.upstream.written,
+            attempts_sent=self.upstream.requests_written,
             requests_open=self.server.in_flight,
             hosts_known=len(self.engine.hosts),
             hosts_ejected=self.engine.gauges["ejected"],
@@ -221,7 +221,7 @@
         """Go by these endpoints, operators' overrides included; maps are by endpoint number."""
         self.engine.update(update, names, addresses)
 
-    def drain_by_hand(self, on: bool) -> None:
+    def set_drained(self, on: bool) -> None:
         """Serve no new connection and keep none, until an operator takes it back.
 
         The process runs on meanwhile. Without effect once the process is ending.
@@ -239,8 +239,8 @@
 
         Not before the front has learned of the drain: what crosses the close would be lost.
         """
-        await asyncio.sleep(ACCEPT_S)
-        while self.serving_state.by_hand:
+        await asyncio.sleep(FRONT_DELAY_S)
+        while self.serving_state.drained_by_operator:
             self.server.close_idle()
             await asyncio.sleep(DRAIN_POLL_S)
 
@@ -252,8 +252,8 @@
             if monotonic() > due + MAX_CHECK_DELAY_S:
                 continue
             try:
-                self.server.sweep()
-                self.upstream.sweep()
+                self.server.enforce_time_limits()
+                self.upstream.close_expired()
             except Exception:  # one connection's fault must not end the checks of all others
                 log.exception("a sweep failed")
 
@@ -266,16 +266,16 @@
         began = monotonic()
         routes = self.config.settings.routes
         longest_s = max((route.deadline_us for route in routes), default=0) / 1e6
-        end = began + longest_s + END_S
+        end = began + longest_s + DRAIN_MARGIN_S
         self.serving_state.end()
         self.server.draining = True
         # A request that was taken late, half of it before the drain, has no longer than the
         # process.
-        self.server.answers_by = end - FLUSH_S
-        if self.fleet is not None:
-            self.fleet.leave()
+        self.server.answers_by = end - ANSWERS_FLUSH_S
+        if self.membership is not None:
+            self.membership.leave()
         leaving = None if self.registrar is None else self.loop.create_task(self.registrar.leave())
-        await asyncio.sleep(ACCEPT_S)
+        await asyncio.sleep(FRONT_DELAY_S)
         self.server.stop_listening()
         while len(self.server.connection_limit) and monotonic() < end:
             await asyncio.sleep(DRAIN_POLL_S)
--- a/quillroad/http_answer.py
+++ b/quillroad/http_answer.py
@@ -40,18 +40,18 @@
         self.on_data: Callable[[bytes], None] | None = None
         self.on_end: Callable[[bool], None] | None = None
         self.paused = False
-        self.moved = monotonic()  # when it last brought bytes, or was resumed; seconds
+        self.last_progress_at = monotonic()  # when it last brought bytes, or was resumed; seconds
 
-    def pause(self) -> None:
+    def pause_reading(self) -> None:
         """Stop reading from the host until `resume`."""
         if not self.paused and self._source is not None and self._source.pause_reading():
             self.paused = True
 
-    def resume(self) -> None:
+    def resume_reading(self) -> None:
         """Read from the host again."""
         if self.paused and self._source is not None and self._source.resume_reading():
             self.paused = False
-            self.moved = monotonic()
+            self.last_progress_at = monotonic()
 
     def abandon(self) -> None:
         """Close the host's connection; neither `on_data` nor `on_end` is called after this."""
@@ -64,7 +64,7 @@
 
     def deliver(self, data: bytes) -> None:
         """Hand on bytes that have come. Called by the source."""
-        self.moved = monotonic()
+        self.last_progress_at = monotonic()
         if self.on_data is not None and data:
             self.on_data(data)
 
@@ -83,5 +83,5 @@
 
     body: bytes
     content_type: bytes | None
-    rest: StreamedBody | None = None
-    length: int = -1  # of the complete body in bytes, where the host has told it; -1: it has not
+    stream: StreamedBody | None = None
+    body_length: int = -1  # of the complete body in bytes, where the host has told it; -1: it has not
--- a/quillroad/inherited_descriptors.py
+++ b/quillroad/inherited_descriptors.py
@@ -8,7 +8,7 @@
 FIRST_AFTER_STREAMS = 3
 
 
-def inherited() -> int:
+def count_inherited_descriptors() -> int:
     """How many descriptors there are; called before the process opens any itself.
 
     Whoever starts a program may leave its own files and sockets open in it. Nothing here uses them,
--- a/quillroad/managed_gateway.py
+++ b/quillroad/managed_gateway.py
@@ -39,7 +39,7 @@
     def ready(self) -> bool:
         """Whether the gateway can serve, and is to."""
 
-    def drain_by_hand(self, on: bool) -> None:
+    def set_drained(self, on: bool) -> None:
         """Drain the gateway, or put it back into service."""
 
     def apply_endpoints(
--- a/quillroad/membership/change_log.py
+++ b/quillroad/membership/change_log.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from quillroad.files import Writer
+from quillroad.files import FileWriter
 from quillroad.membership.quota_division import GatewayPosition
 from quillroad.membership.view import Change, ChangeKind
 
@@ -19,7 +19,7 @@
 class _LineFile:
     """What structlog writes to."""
 
-    def __init__(self, files: Writer, path: Path) -> None:
+    def __init__(self, files: FileWriter, path: Path) -> None:
         self._files = files
         self._path = path
 
@@ -31,7 +31,7 @@
 class ChangeLog:
     """Writes to `path`, None: to the log only. Each line names `gateway_index`."""
 
-    def __init__(self, files: Writer, path: Path | None, gateway_index: int) -> None:
+    def __init__(self, files: FileWriter, path: Path | None, gateway_index: int) -> None:
         self._gateway_index = gateway_index
         self._events: Any = None  # structlog's logger
         if path is not None:
--- a/quillroad/membership/live_count.py
+++ b/quillroad/membership/live_count.py
@@ -8,7 +8,7 @@
 from quillroad.discovery.source import Source
 from quillroad.engine.engine import Engine
 from quillroad.membership.quota_division import GatewayPosition, QuotaDivision
-from quillroad.membership.settings import FleetSettings
+from quillroad.membership.settings import MembershipSettings
 from quillroad.membership.view import View
 
 
@@ -46,7 +46,7 @@
         """There is no view: back to the configured position."""
         self.position = self._configured
 
-    def notify(self, settings: FleetSettings) -> None:
+    def notify(self, settings: MembershipSettings) -> None:
         """Tell each follower what it does not know yet.
 
         That is another position, or a source that a reload put in the place of the last one, or
--- a/quillroad/membership/service.py
+++ b/quillroad/membership/service.py
@@ -16,14 +16,14 @@
 from quillroad.config import Config
 from quillroad.discovery.source import Source
 from quillroad.engine.engine import Engine
-from quillroad.files import Writer
+from quillroad.files import FileWriter
 from quillroad.membership.change_log import ChangeLog
 from quillroad.membership.core import Core
 from quillroad.membership.live_count import LiveCountFollowers
 from quillroad.membership.quota_division import GatewayPosition
 from quillroad.membership.report import make_report, write_report
 from quillroad.membership.sender import EVERYONE, Outgoing
-from quillroad.membership.settings import FleetSettings, load_fleet
+from quillroad.membership.settings import MembershipSettings, load_fleet
 from quillroad.membership.transport import UdpTransport
 from quillroad.membership.wire import DropReason
 
@@ -33,7 +33,7 @@
 BIND_LOG_S = 10.0  # between two log lines about it
 
 
-class Fleet:
+class MembershipService:
     """One gateway's part in the membership, from `start` to `stop`.
 
     Where the platform forbids talk between gateways there is no roster, and it does nothing. Raises
@@ -44,10 +44,10 @@
         self._path = path
         self._config = config
         self._loop = loop
-        self.settings: FleetSettings | None = load_fleet(path, config)
+        self.settings: MembershipSettings | None = load_fleet(path, config)
         self.core: Core | None = None
         # Of the two processes of an upgrade only the one that serves takes part.
-        self.serves: Callable[[], bool] = lambda: True
+        self.is_serving: Callable[[], bool] = lambda: True
         configured = config.settings
         self._followers = LiveCountFollowers(
             GatewayPosition(configured.gateway_index, configured.gateway_count)
@@ -56,7 +56,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._report_timer: asyncio.TimerHandle | None = None
         self._bind_logged_at = float("-inf")
-        self._files = Writer(loop)
+        self._files = FileWriter(loop)
         self._change_log = ChangeLog(self._files, None, configured.gateway_index)
         if self.settings is None:
             log.info("the settings allow no talk between gateways: the told number counts")
@@ -75,7 +75,7 @@
         self._open_change_log(settings)
         self._join()
 
-    def _open_change_log(self, settings: FleetSettings) -> None:
+    def _open_change_log(self, settings: MembershipSettings) -> None:
         index = self._config.settings.gateway_index
         self._change_log = ChangeLog(self._files, settings.change_log_path, index)
 
@@ -83,7 +83,7 @@
         settings = self.settings
         assert settings is not None
         self._timer = None
-        if not self.serves():
+        if not self.is_serving():
             self._timer = self._loop.call_later(BIND_RETRY_S, self._join)
             return
         try:
@@ -100,7 +100,7 @@
         self._arm()
         self._report()
 
-    def _log_bind_error(self, settings: FleetSettings, error: OSError) -> None:
+    def _log_bind_error(self, settings: MembershipSettings, error: OSError) -> None:
         now = monotonic()
         if now - self._bind_logged_at < BIND_LOG_S:
             return
@@ -145,14 +145,14 @@
 
     # Reload.
 
-    def read(self, config: Config) -> FleetSettings | None:
+    def read_settings(self, config: Config) -> MembershipSettings | None:
         """Read the file again, for `take`; raises `ConfigError`.
 
         This gateway's number and the configured count are those of the start.
         """
         return load_fleet(self._path, replace(config, settings=self._config.settings))
 
-    def take(self, settings: FleetSettings | None) -> None:
+    def apply_settings(self, settings: MembershipSettings | None) -> None:
         """Take another roster, followers and reports; times and the address need a restart."""
         if settings is None or self.settings is None:
             return
@@ -182,7 +182,7 @@
         self._timer = None
         if core is None:
             return
-        if not self.serves():
+        if not self.is_serving():
             self._step_aside()
             return
         try:
--- a/quillroad/membership/settings.py
+++ b/quillroad/membership/settings.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetSettings:
+class MembershipSettings:
     """What the file means for one gateway. Times in seconds.
 
     `subset_follows` and `polling_follows` say which quotas are divided by the live count, once the
@@ -88,7 +88,7 @@
     field: str
 
 
-def load_fleet(path: Path, config: Config) -> FleetSettings | None:
+def load_fleet(path: Path, config: Config) -> MembershipSettings | None:
     """Return the file's meaning; None where the platform forbids talk between gateways.
 
     Raises `ConfigError`.
@@ -98,7 +98,7 @@
     if addresses is None:
         return None
     roster = _roster(addresses, config.settings.gateway_index)
-    return FleetSettings(
+    return MembershipSettings(
         roster=roster,
         listen=addresses.listen,
         timing=_timing(document.talk, len(roster)),
--- a/quillroad/optional_parts.py
+++ b/quillroad/optional_parts.py
@@ -20,7 +20,7 @@
     from quillroad.admin import Admin
     from quillroad.counts import Counts
     from quillroad.discovery.consul.registrar import Registrar
-    from quillroad.membership.service import Fleet
+    from quillroad.membership.service import MembershipService
     from quillroad.zones.zones import Zones
 
 # Environment variables that turn a part on.
@@ -85,11 +85,11 @@
     return Counts(loop, engine, upstream)
 
 
-def make_membership(config: Config, loop: asyncio.AbstractEventLoop) -> Fleet | None:
+def make_membership(config: Config, loop: asyncio.AbstractEventLoop) -> MembershipService | None:
     """The membership of gateways, where the environment names its file."""
     path = os.environ.get(FLEET_VARIABLE)
     if not path:
         return None
-    from quillroad.membership.service import Fleet  # noqa: PLC0415 - off: not imported
+    from quillroad.membership.service import MembershipService  # noqa: PLC0415 - off: not imported
 
-    return Fleet(Path(path), config, loop)
+    return MembershipService(Path(path), config, loop)
--- a/quillroad/overload/acceptor.py
+++ b/quillroad/overload/acceptor.py
@@ -91,9 +91,9 @@
         self._resume_timer: asyncio.TimerHandle | None = None
         self._last_accepts_end = 0.0  # monotonic time
         # Set by the owner: clients outside have waited for long.
-        self.late = False
+        self.clients_waited_long = False
         # Set by the owner: descriptors are about to be free, so that the next turn may accept.
-        self.soon = False
+        self.descriptors_freeing = False
         self._starting: set[asyncio.Task[object]] = set()
 
     def listen(self, listener: socket.socket) -> None:
@@ -101,7 +101,7 @@
         self._listener = listener
         self._loop.add_reader(listener.fileno(), self._accept_batch)
 
-    def pause(self) -> None:
+    def detach(self) -> None:
         """Accept nothing until `listen` is called again.
 
         Connections wait in the kernel, and the socket is the caller's.
@@ -139,16 +139,16 @@
         if listener is None:
             return
         began = monotonic()
-        fraction = TIME_FRACTION_LATE if self.late else TIME_FRACTION
+        fraction = TIME_FRACTION_LATE if self.clients_waited_long else TIME_FRACTION
         passed_s = min(MAX_PASSED_S, began - self._last_accepts_end)
         end = began + max(MIN_TIME_S, fraction * passed_s)
-        self.soon = False
+        self.descriptors_freeing = False
         for _ in range(MAX_BATCH):
             if monotonic() >= end:
                 break
             if not self._has_capacity():
                 # Without a rest the listener, still readable, is looked at in the next turn.
-                if not self.soon:
+                if not self.descriptors_freeing:
                     self._rest(NO_CAPACITY_DELAY_S)
                 break
             if not self._accept_one(listener):
@@ -178,10 +178,10 @@
         self._backoff.reset()
         protocol = self._make_protocol(sock)
         if protocol is not None:
-            self.start(sock, protocol)
+            self.bring_up(sock, protocol)
         return True
 
-    def start(self, sock: socket.socket, protocol: P) -> None:
+    def bring_up(self, sock: socket.socket, protocol: P) -> None:
         """Bring up a connection that was accepted; `on_lost` hears of it where that fails."""
         task: asyncio.Task[object] = self._loop.create_task(
             self._loop.connect_accepted_socket(lambda: protocol, sock)
--- a/quillroad/overload/admission_queue.py
+++ b/quillroad/overload/admission_queue.py
@@ -29,9 +29,9 @@
 
 from quillroad.overload.admission_tuning import Tuning
 from quillroad.overload.quota_bucket import QuotaBucket
-from quillroad.overload.route_queue import RouteQueue, Waiting, retained_fractions
+from quillroad.overload.route_queue import QueuedRequest, RouteQueue, retained_fractions
 
-__all__ = ["Admission", "Lane", "LearnedTimes", "Waiting"]
+__all__ = ["AdmissionQueue", "LearnedTimes", "QueuedRequest", "RoutePriority"]
 
 # Part of the difference to a new sample that the smoothed time of hosts follows: some dozens of
 # answers, since single hosts differ more than the average over them changes.
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lane:
+class RoutePriority:
     """What admission knows of a route.
 
     `worth` is its priority weight. `within_s` is the time from arrival in which an answer has
@@ -56,8 +56,8 @@
     value.
     """
 
-    worth: float
-    within_s: float
+    priority_weight: float
+    useful_s: float
 
 
 class LearnedTimes(NamedTuple):
@@ -73,7 +73,7 @@
     quotas: dict[str, tuple[float, float]]
 
 
-class Admission:
+class AdmissionQueue:
     """The queue in front of the core, and who may join it.
 
     `routes` are in the order of their numbers. A request beyond its tenant's quota counts with
@@ -85,7 +85,7 @@
 
     def __init__(
         self,
-        routes: Sequence[Lane],
+        routes: Sequence[RoutePriority],
         over_quota_weight: float = 1.0,
         quotas: Sequence[float] = (),
         cores: float = 1.0,
@@ -93,9 +93,9 @@
         tuning: Tuning | None = None,
     ) -> None:
         self._tuning = tuning or Tuning()
-        self._queues = [RouteQueue(route.within_s) for route in routes]
+        self._queues = [RouteQueue(route.useful_s) for route in routes]
         self._retained_fractions = retained_fractions(
-            [route.worth for route in routes], over_quota_weight
+            [route.priority_weight for route in routes], over_quota_weight
         )
         self._least_retained = min(self._retained_fractions)
         self._squeezed = 0.0  # how far levels below a contended one are squeezed, 0 to 1
@@ -112,7 +112,7 @@
         self._cpu_used_s = 0.0  # by the process, at the start of that window
         self.busy = False  # the process used more than `busy_fraction` of the CPU time allowed
         self.waiting = 0  # requests in the queue
-        self.refused = 0  # requests rejected so far
+        self.rejected = 0  # requests rejected so far
 
     @property
     def cost_s(self) -> float:
@@ -135,7 +135,7 @@
         tenant: int,
         in_flight: int,
         item: object,
-    ) -> Waiting | None:
+    ) -> QueuedRequest | None:
         """Let in a request that came at `since` and whose client waits `wait_s` for the answer.
 
         Returns its entry, or None where it is to be rejected. `in_flight` is how many requests are
@@ -146,9 +146,9 @@
         useful_until = since + useful_s
         begin_by = self._begin_by(queue, since, useful_s)
         if self._rejects(now, useful_until, begin_by, route, tenant, in_flight, True):
-            self.refused += 1
+            self.rejected += 1
             return None
-        waiting = Waiting(item, begin_by, useful_until)
+        waiting = QueuedRequest(item, begin_by, useful_until)
         queue.entries.append(waiting)
         queue.slack_s = begin_by - since
         if not self.waiting:
@@ -187,7 +187,7 @@
             if state is not None:
                 quota.resume(state)
 
-    def turns_away(
+    def rejects_early(
         self, now: float, since: float, wait_s: float, route: int, tenant: int, in_flight: int
     ) -> bool:
         """Whether a request would be rejected, asked before it has cost a connection.
@@ -198,7 +198,7 @@
         useful_s = min(queue.useful_s, wait_s)
         begin_by = self._begin_by(queue, since, useful_s)
         rejected = self._rejects(now, since + useful_s, begin_by, route, tenant, in_flight, False)
-        self.refused += rejected
+        self.rejected += rejected
         return rejected
 
     def _begin_by(self, queue: RouteQueue, since: float, useful_s: float) -> float:
@@ -262,7 +262,7 @@
                 wait_s += other.rate * self._cost_s * passing_s
         return wait_s
 
-    def leave(self, waiting: Waiting) -> None:
+    def leave(self, waiting: QueuedRequest) -> None:
         """Take out a request whose client has gone before it began."""
         if waiting.item is not None:
             waiting.item = None
@@ -303,7 +303,7 @@
                     return item
         return None
 
-    def hopeless(self, now: float, since: float, wait_s: float, route: int) -> bool:
+    def is_hopeless(self, now: float, since: float, wait_s: float, route: int) -> bool:
         """Whether a request whose turn has come can no longer be answered while that has value.
 
         It waited for longer than was predicted, or hosts have become slower meanwhile.
@@ -329,7 +329,7 @@
         passed_s = now - self._slice_end if has_backlog else 0.0
         return max(tuning.min_slice_s, tuning.slice_fraction * passed_s)
 
-    def sliced(self, now: float) -> None:
+    def slice_ended(self, now: float) -> None:
         """Learn from a slice that has ended: how fast the queue moves, by route."""
         if self._begun:
             tuning = self._tuning
@@ -355,7 +355,7 @@
         self._work_since = now
         self._slice_end = now
 
-    def used(self, now: float, cpu_s: float) -> None:
+    def cpu_used(self, now: float, cpu_s: float) -> None:
         """Take note of how many seconds of CPU time the process has used so far; sets `busy`."""
         tuning = self._tuning
         passed_s = now - self._cpu_window_start
@@ -365,7 +365,7 @@
             self._cpu_window_start = now
             self._cpu_used_s = cpu_s
 
-    def answered(self, route: int, took_s: float) -> None:
+    def host_answered(self, route: int, took_s: float) -> None:
         """Learn from an answer of a host, `took_s` after its request had begun."""
         queue = self._queues[route]
         if queue.host_time_s:
--- a/quillroad/overload/body_budget.py
+++ b/quillroad/overload/body_budget.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Buffers:
+class BodyBudget:
     """A budget in bytes (0 or more) that all connections share.
 
     Without it, clients that read slowly make the gateway hold whole bodies for all of them, until
--- a/quillroad/overload/event_loop_lag.py
+++ b/quillroad/overload/event_loop_lag.py
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, now: float) -> None:
-        self.last = now  # time of the last tick
+        self.last_tick = now  # time of the last tick
         self._ticking = False
         self.catching_up = False  # a stall was seen, and not all has been read yet
         self.stalls = 0  # how many were seen
@@ -34,7 +34,7 @@
         if self._ticking:
             return False
         self._ticking = True
-        self.last = now
+        self.last_tick = now
         return True
 
     def end(self) -> None:
@@ -43,7 +43,7 @@
 
     def tick(self, now: float) -> None:
         """The loop has come round."""
-        self.last = now
+        self.last_tick = now
 
     def late(self, now: float) -> bool:
         """Whether what is read now may have waited for longer than a healthy loop takes.
@@ -51,11 +51,11 @@
         Also true where no ticks were due: nothing is known then, and asking for an age costs little
         where there is no work.
         """
-        return now - self.last > LATE_S
+        return now - self.last_tick > LATE_S
 
     def stalled(self, now: float) -> bool:
         """Whether timers must wait: the loop did not come round for long, and has not caught up."""
-        if not self.catching_up and self._ticking and now - self.last > STALL_S:
+        if not self.catching_up and self._ticking and now - self.last_tick > STALL_S:
             self.catching_up = True
             self.stalls += 1
         return self.catching_up
@@ -63,7 +63,7 @@
     def caught_up(self, now: float) -> None:
         """All that the kernel held has been read."""
         self.catching_up = False
-        self.last = now
+        self.last_tick = now
 
     def clock(self, now: float) -> float:
         """The time by which outcomes are judged.
@@ -71,4 +71,4 @@
         After a stall it stands still at the last tick until all outcomes have been read, so that
         none of the time in which nothing could be read counts against a host.
         """
-        return self.last if self.catching_up else now
+        return self.last_tick if self.catching_up else now
--- a/quillroad/overload/event_loop_monitor.py
+++ b/quillroad/overload/event_loop_monitor.py
@@ -60,7 +60,7 @@
             self._loop.call_soon(self._loop.call_soon, self._loop.call_soon, self._caught_up)
         return stalled
 
-    def hold(self, act: Callable[..., None], *args: Any) -> None:
+    def defer(self, act: Callable[..., None], *args: Any) -> None:
         """Call `act(*args)` once the loop has caught up; calls keep their order."""
         self._held_back.append((act, args))
 
--- a/quillroad/overload/fast_path_parse.py
+++ b/quillroad/overload/fast_path_parse.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 # Bytes of a head that is read here: longer ones are rare, and the search for their end is dear.
-LONGEST = 4096
+MAX_HEAD_BYTES = 4096
 _CONTENT_LENGTH = re.compile(rb"\r\ncontent-length:[ \t]*([0-9]{1,6})[ \t]*\r\n")
 _TENANT = re.compile(rb"\r\ntenant:[ \t]*([^\r\n]*?)[ \t]*\r\n", re.IGNORECASE)
 _TIMEOUT_MS = re.compile(rb"\r\nrequest-timeout-ms:[ \t]*([0-9]{1,12})[ \t]*\r\n")
@@ -25,7 +25,7 @@
     not plainly there.
     """
 
-    kind: bytes
+    route_name: bytes
     tenant: bytes
     wait_ms: int | None
 
@@ -36,7 +36,7 @@
     It is plain where `data` is exactly one GET or POST request of HTTP/1.1, whole, on a connection
     that stays open after it.
     """
-    head_end = data.find(b"\r\n\r\n", 0, LONGEST)
+    head_end = data.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES)
     if head_end < 0:
         return None
     head = data[: head_end + 2]
--- a/quillroad/overload/retry_after.py
+++ b/quillroad/overload/retry_after.py
@@ -9,7 +9,7 @@
 MIN_FRACTION = 0.5
 
 
-class Spread:
+class RetryAfterJitter:
     """Retry-After times that are evenly spread, over any number of calls in a row.
 
     Without the spread all clients that one overload rejected come back in the same instant, and are
@@ -19,7 +19,7 @@
     def __init__(self, seed: float) -> None:
         self._position = seed % 1.0
 
-    def over(self, most_us: int) -> int:
+    def jittered_us(self, most_us: int) -> int:
         """A time in microseconds from half of `most_us` to `most_us`; 0 for 0."""
         self._position = (self._position + GOLDEN_RATIO_FRACTION) % 1.0
         return int(most_us * (MIN_FRACTION + (1.0 - MIN_FRACTION) * self._position))
--- a/quillroad/overload/route_queue.py
+++ b/quillroad/overload/route_queue.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 
 
-class Waiting:
+class QueuedRequest:
     """One request in the queue.
 
     It has to begin at `begin_by`, and its answer has value until `useful_until`. `item` is the
@@ -30,7 +30,7 @@
     __slots__ = ("begun", "entries", "host_time_s", "rate", "slack_s", "useful_s")
 
     def __init__(self, useful_s: float) -> None:
-        self.entries: deque[Waiting] = deque()
+        self.entries: deque[QueuedRequest] = deque()
         self.useful_s = useful_s  # from arrival, in which an answer has value
         self.host_time_s = 0.0  # from a request's beginning to its answer, smoothed; 0: not known
         self.slack_s = useful_s  # between arrival and `begin_by` of the request that came last
--- a/quillroad/run.py
+++ b/quillroad/run.py
@@ -14,7 +14,7 @@
 
 from quillroad.config import Config, ConfigError
 from quillroad.gateway import Gateway
-from quillroad.inherited_descriptors import inherited
+from quillroad.inherited_descriptors import count_inherited_descriptors
 from quillroad.logs import start_log
 
 log = logging.getLogger("quillroad")
@@ -56,7 +56,7 @@
 
     `again` reads the configuration for a reload; `zones` is the file of the cross-zone budget.
     """
-    inherited_count = inherited()
+    inherited_count = count_inherited_descriptors()
     start_log()
     try:
         uvloop.run(serve(config, again, zones, inherited_count))
--- a/quillroad/serving_state.py
+++ b/quillroad/serving_state.py
@@ -11,18 +11,18 @@
     """
 
     def __init__(self) -> None:
-        self.by_hand = False  # drained by an operator
+        self.drained_by_operator = False  # drained by an operator
         self.ending = False  # the process is to end
 
     @property
     def draining(self) -> bool:
         """Whether there is a reason to drain."""
-        return self.by_hand or self.ending
+        return self.drained_by_operator or self.ending
 
     def drain(self) -> bool:
         """An operator drains the gateway; returns whether that changes anything."""
         before = self.draining
-        self.by_hand = True
+        self.drained_by_operator = True
         return not before
 
     def resume(self) -> bool:
@@ -31,7 +31,7 @@
         It does not once the process is ending.
         """
         before = self.draining
-        self.by_hand = False
+        self.drained_by_operator = False
         return before and not self.ending
 
     def end(self) -> bool:
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -87,8 +87,8 @@
     """What operators have done; None where they have no address."""
     if gateway.admin is None:
         return None
-    back = {name: (one.went_us, one.came_us) for name, one in gateway.admin.hands.back.items()}
-    return OperatorActions(gateway.admin.hands.out, back, gateway.serving_state.by_hand)
+    back = {name: (one.went_us, one.came_us) for name, one in gateway.admin.host_overrides.returned.items()}
+    return OperatorActions(gateway.admin.host_overrides.out_since_us, back, gateway.serving_state.drained_by_operator)
 
 
 def write(gateway: Gateway) -> dict[str, bytes]:
@@ -158,7 +158,7 @@
 
 def _listed(gateway: Gateway, number: int) -> Endpoint:
     """A host as its source tells it, under whatever operators have done."""
-    told = gateway.admin.hands.told(number) if gateway.admin is not None else None
+    told = gateway.admin.host_overrides.listed_endpoint(number) if gateway.admin is not None else None
     listed = told or _engine(gateway).balancer.endpoint(number)
     assert listed is not None  # the caller asks for hosts of the endpoint list only
     return listed
@@ -205,7 +205,7 @@
         Endpoint(h.id, EndpointStatus(h.state), h.zone, h.cell, h.kind, h.hint, h.started_us)
         for h in told.lines
     )
-    gateway.update(
+    gateway.update_endpoints(
         EndpointUpdate(UpdateKind.FULL, servers, told.position),
         {h.id: h.name for h in told.lines},
         {h.id: h.address for h in told.lines},
--- a/quillroad/upgrade/shared.py
+++ b/quillroad/upgrade/shared.py
@@ -66,7 +66,7 @@
 
     @property
     def open(self) -> int:
-        return len(self._ids)
+        return len(self._unanswered_ids)
 
     def is_open(self, request_id: str) -> bool:
         return super().is_open(request_id) or request_id in self.elsewhere
@@ -92,10 +92,10 @@
     def out(self) -> AttemptsInFlight | None:
         """What has changed since this was asked last; None for nothing."""
         at = attempts_in_flight(self._balancer)
-        opened, ended = self._ids - self._known, self._known - self._ids
+        opened, ended = self._unanswered_ids - self._known, self._known - self._unanswered_ids
         if at == self._told and not opened and not ended:
             return None
-        self._told, self._known = at, set(self._ids)
+        self._told, self._known = at, set(self._unanswered_ids)
         return AttemptsInFlight(
             [(number, *counts) for number, counts in at.items()], list(opened), list(ended)
         )
@@ -143,13 +143,13 @@
         self.leaving = False  # another process accepts, or is about to
         self.on_rest: Callable[[ClientConnection], None] | None = None
 
-    def rests(self, connection: ClientConnection) -> None:
+    def mark_resting(self, connection: ClientConnection) -> None:
         if not self.leaving:
-            super().rests(connection)
-        elif self.connection_limit.stage(connection) is not None:
+            super().mark_resting(connection)
+        elif self.connection_limit.state(connection) is not None:
             # None ends for resting long: all of them are about to move, and the places here only
             # get fewer.
-            self.connection_limit.moves(connection, ConnectionState.RESTING, monotonic())
+            self.connection_limit.set_state(connection, ConnectionState.RESTING, monotonic())
             if self.on_rest is not None:
                 self.on_rest(connection)
 
@@ -202,10 +202,10 @@
         while self._waiting and len(held) < size:
             connection = next(iter(self._waiting))
             del self._waiting[connection]
-            if (copy := connection.hold()) is not None:
+            if (copy := connection.begin_migration()) is not None:
                 held.append((connection, copy))
         self._batches[batch] = held
-        return [connection.brought for connection, _ in held], [copy for _, copy in held]
+        return [connection.requests_served for connection, _ in held], [copy for _, copy in held]
 
     def gone(self, batch: int) -> None:
         """The other process holds them."""
@@ -213,14 +213,14 @@
         for _, copy in held:
             os.close(copy)
         for connection, _ in held:
-            connection.leave()
+            connection.complete_migration()
             self.moved += 1
 
     def back(self, batch: int) -> None:
         """They stay here."""
         for connection, copy in self._batches.pop(batch, ()):
             os.close(copy)
-            connection.carry_on()
+            connection.cancel_migration()
 
     def keep(self, batch: int, brought: Iterable[int], fds: list[int]) -> None:
         """Hold another process's connections, reading nothing."""
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -120,7 +120,7 @@
         """What this process did since the last report."""
         engine, server = self.engine, self.gateway.server
         counts, engine.counts = engine.counts, type(engine.counts)()
-        rejections = server.admission.refused
+        rejections = server.admission.rejected
         migrations = self.migrations.moved
         report = Report(
             counts.served,
--- a/quillroad/upgrade/worker_process.py
+++ b/quillroad/upgrade/worker_process.py
@@ -17,7 +17,7 @@
 from typing import assert_never
 
 from quillroad.config import RESERVED, Config
-from quillroad.gateway import FLUSH_S, Gateway
+from quillroad.gateway import ANSWERS_FLUSH_S, Gateway
 from quillroad.upgrade.channel import Channel, close_all
 from quillroad.upgrade.messages import Connections, Message, OperatorActions, State, batch_of
 from quillroad.upgrade.sections import by_hand, read, write
@@ -156,13 +156,13 @@
         assert isinstance(server, MovingServer)
         self._migrations = Moves(server)
         # These speak for the gateway as a whole: only the process that accepts does so.
-        for part in (gateway.zones, gateway.registrar, gateway.fleet):
+        for part in (gateway.zones, gateway.registrar, gateway.membership):
             if part is not None:
-                part.serves = self._accepts
+                part.is_serving = self._accepts
         gateway.source.begin(config)
         if gateway.admin is not None:
             gateway.admin.on_change = self._operator_acted
-        gateway.follow()
+        gateway.start_parts()
         if self._reload_due:
             gateway.reload(self._read_again)
         gc.collect()
@@ -202,7 +202,7 @@
         gateway = self.gateway
         gateway.descriptors.limit = max(1, limit)
         gateway.server.resize()
-        while gateway.upstream.coming() < 0 and gateway.upstream.drop_oldest_idle():
+        while gateway.upstream.descriptors_coming_free() < 0 and gateway.upstream.drop_oldest_idle():
             pass
 
     def _accepts(self) -> bool:
@@ -270,7 +270,7 @@
                 self._accept()
             case Step.PAUSE:
                 self.migrations.leaving(True)
-                self.gateway.server.pause()
+                self.gateway.server.pause_accepting()
                 self._serve_operators(False)
             case Step.SHARE:
                 self.engine.on_change = self._share_soon
@@ -346,7 +346,7 @@
         server = self.gateway.server
         await settled(server, until, self._must_close)
         server.draining = True
-        await settled(server, self._loop.time() + FLUSH_S, lambda: True)
+        await settled(server, self._loop.time() + ANSWERS_FLUSH_S, lambda: True)
         self.gateway.stop()
         self.end.set()
 
@@ -359,7 +359,7 @@
 
     def _longest_s(self) -> float:
         deadlines_us = (route.deadline_us for route in self.gateway.config.settings.routes)
-        return max(deadlines_us, default=0) / 1e6 + FLUSH_S
+        return max(deadlines_us, default=0) / 1e6 + ANSWERS_FLUSH_S
 
     def drain(self) -> None:
         """Answer what is open and end: SIGTERM, or the supervisor has gone."""
--- a/quillroad/upstream/attempt.py
+++ b/quillroad/upstream/attempt.py
@@ -75,7 +75,7 @@
     def _expire(self) -> None:
         """Time it out; after a stall of this process only when what came has been read."""
         if self._loop_monitor.stalled():
-            self._loop_monitor.hold(self._time_out)
+            self._loop_monitor.defer(self._time_out)
         else:
             self._time_out()
 
--- a/quillroad/upstream/connection.py
+++ b/quillroad/upstream/connection.py
@@ -17,7 +17,7 @@
 from quillroad.balancing.events import Outcome
 from quillroad.http_answer import Answer, StreamedBody
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
-from quillroad.overload.heap import steady
+from quillroad.overload.heap import return_freed_memory
 from quillroad.overload.socket_age import data_age
 from quillroad.upstream.attempt import Attempt
 from quillroad.upstream.connection_state import (
@@ -50,8 +50,8 @@
     loop_monitor: EventLoopMonitor
     connect_timeout_s: float
     longest_body_bytes: int
-    written: int
-    rests: set[HostConnection]
+    requests_written: int
+    streaming: set[HostConnection]
 
     @abstractmethod
     def release(self, connection: HostConnection) -> None:
@@ -81,7 +81,7 @@
         self.idle_since = 0.0  # seconds of the monotonic clock
         self._owner = owner
         self._unsent = False  # bytes of the request are still in this process
-        self._rest: StreamedBody | None = None  # of the long answer that is coming in
+        self._stream_body: StreamedBody | None = None  # of the long answer that is coming in
         self._response = ResponseParser(owner.longest_body_bytes)
         self._poll = select.poll()
         self._partial_answer_timer: asyncio.TimerHandle | None = None
@@ -105,7 +105,7 @@
     def resume_writing(self) -> None:
         """Callback of the transport: the kernel has the request's last byte."""
         self._unsent = False
-        self._owner.written += 1
+        self._owner.requests_written += 1
 
     def send(self, attempt: Attempt, request: bytes, body: bytes | bytearray) -> None:
         """Send an attempt's request: its head, with a short body in it, and a long body."""
@@ -118,9 +118,9 @@
         if body:
             self.transport.write(body)
         if not self._unsent:
-            self._owner.written += 1
+            self._owner.requests_written += 1
 
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         """Whether it has ended or is about to, by either side."""
         return self.transport is None or self.transport.is_closing()
 
@@ -128,12 +128,12 @@
         """Whether an idle connection can take a request; closes it where it brings bytes."""
         if self.transport is None or self.transport.is_closing():
             return False
-        if self.unread():
+        if self.has_unread_data():
             self.drop()
             return False
         return True
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether bytes, or the end, have come that this process has not read yet.
 
         That is a close, or surplus of the answer before, which would be taken for the next one's.
@@ -152,7 +152,7 @@
         self._owner.forget(self)
         self._stop_partial_answer_timer()
         self._response.close()
-        if self._rest is not None:
+        if self._stream_body is not None:
             self._end_stream(False)
         if self.attempt is not None:
             self.attempt.end(
@@ -172,8 +172,8 @@
 
     def data_received(self, data: bytes) -> None:
         """Callback of the transport: bytes from the host."""
-        if self._rest is not None:
-            self._stream(self._rest, data)
+        if self._stream_body is not None:
+            self._stream(self._stream_body, data)
             return
         attempt = self.attempt
         if attempt is None:
@@ -253,7 +253,7 @@
         An answer whose head said that it ends so is complete.
         """
         if self._response.finish_at_close():
-            if self._rest is not None:
+            if self._stream_body is not None:
                 self._end_stream(True)
             elif self.attempt is not None:
                 self._finish_answer(self.attempt, monotonic())
@@ -267,12 +267,12 @@
         response = self._response
         if attempt is not self.attempt or response.phase is ResponsePhase.COMPLETE:
             return  # the rest came after all, while this waited for the event loop to catch up
-        steady()
+        return_freed_memory()
         self.state = TRANSITIONS[HostConnectionEvent.STREAM_STARTED][self.state]
         response.streamed = True
         rest = StreamedBody(self)
-        self._rest = rest
-        self._owner.rests.add(self)
+        self._stream_body = rest
+        self._owner.streaming.add(self)
         content_type = response.headers.get(b"content-type")
         answer = Answer(response.take_body(), content_type, rest, response.body_length)
         self.attempt = None
@@ -288,7 +288,7 @@
         body = self._response.take_body()
         if body:
             rest.deliver(body)
-        if self._rest is None:
+        if self._stream_body is None:
             return  # given up by whoever took the bytes
         if self._response.phase is ResponsePhase.COMPLETE:
             self._end_stream(True)
@@ -296,14 +296,14 @@
             self._end_stream(False)
 
     def _end_stream(self, complete: bool) -> None:
-        rest = self._rest
-        self._rest = None
-        self._owner.rests.discard(self)
+        rest = self._stream_body
+        self._stream_body = None
+        self._owner.streaming.discard(self)
         self.state = TRANSITIONS[HostConnectionEvent.STREAM_ENDED][self.state]
-        if complete and not self.closing():
+        if complete and not self.is_closing():
             if rest is not None:
                 # Its last bytes filled the client's side: the next answer here would go unread.
-                rest.resume()
+                rest.resume_reading()
             self._release_or_drop()
         else:
             self.drop()
@@ -315,8 +315,8 @@
 
         Unless it was held back from this side.
         """
-        rest = self._rest
-        if rest is not None and not rest.paused and rest.moved < oldest:
+        rest = self._stream_body
+        if rest is not None and not rest.paused and rest.last_progress_at < oldest:
             self._end_stream(False)
 
     def pause_reading(self) -> bool:
@@ -335,6 +335,6 @@
 
     def abandon(self) -> None:
         """Close: nobody wants the rest of the streamed body."""
-        self._rest = None
-        self._owner.rests.discard(self)
+        self._stream_body = None
+        self._owner.streaming.discard(self)
         self.drop()
--- a/quillroad/upstream/pool.py
+++ b/quillroad/upstream/pool.py
@@ -70,10 +70,10 @@
         self.loop_monitor = loop_monitor
         self.connect_timeout_s = connect_timeout_s
         self.longest_body_bytes = longest_body_bytes
-        self.rests: set[HostConnection] = set()  # that bring long answers
+        self.streaming: set[HostConnection] = set()  # that bring long answers
         self.connects = 0  # begun since the start
         self.failed_connects = 0  # since the start
-        self.written = 0  # attempts whose last byte the kernel has taken, since the start
+        self.requests_written = 0  # attempts whose last byte the kernel has taken, since the start
         # Ends one client connection where those hold more than their part of the descriptors.
         self.clients_yield: Callable[[], bool] = _no_client_yields
         self._loop = loop
@@ -147,7 +147,7 @@
         if attempt.is_over or not host.ready or monotonic() > attempt.send_by:
             connection.drop()
             attempt.end(AttemptEnd.CONNECTED_TOO_LATE)
-        elif connection.closing():
+        elif connection.is_closing():
             attempt.end(AttemptEnd.CONNECT_FAILED)
         else:
             connection.send(attempt, request, body)
@@ -175,12 +175,12 @@
         It takes its descriptor a turn of the event loop later, when those that are closing are
         free.
         """
-        if self.coming() <= 0:
+        if self.descriptors_coming_free() <= 0:
             self.drop_oldest_idle()
         # Clients that send nothing may hold what a request needs: one of theirs is closed for it.
-        return self.coming() > 0 or self.clients_yield()
+        return self.descriptors_coming_free() > 0 or self.clients_yield()
 
-    def coming(self) -> int:
+    def descriptors_coming_free(self) -> int:
         """Descriptors that are free once all dropped connections have closed."""
         return self._descriptors.spare() + len(self._closing)
 
@@ -232,14 +232,14 @@
 
     def _unless_stalled(self, act: Callable[[], None]) -> None:
         if self.loop_monitor.stalled():
-            self.loop_monitor.hold(act)
+            self.loop_monitor.defer(act)
         else:
             act()
 
     # Idle connections.
 
     @property
-    def resting(self) -> int:
+    def idle_connections(self) -> int:
         """Connections that carry no request."""
         return len(self._idle)
 
@@ -250,12 +250,12 @@
             attempt.withdraw()
         host.drop_idle()
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close what has been idle for long, and end long answers that bring nothing any more.
 
         To be called several times a second.
         """
-        for connection in list(self.rests):
+        for connection in list(self.streaming):
             connection.end_stream_if_silent(monotonic() - STREAM_SILENCE_S)
         oldest = monotonic() - self._idle_timeout_s
         for connection in list(self._idle):
--- a/quillroad/zones/report_writer.py
+++ b/quillroad/zones/report_writer.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from quillroad.files import put
+from quillroad.files import replace_file
 
 log = logging.getLogger("quillroad.zones")
 
@@ -58,7 +58,7 @@
         if path is None or self._is_writing or not self._is_serving():
             return
         try:
-            put(path, self._encode())
+            replace_file(path, self._encode())
         except OSError as error:
             log.error("the report cannot be written: %s", error)
 
@@ -78,7 +78,7 @@
         """
         data = self._encode()
         self._is_writing = True
-        write = self._loop.run_in_executor(None, put, path, data)
+        write = self._loop.run_in_executor(None, replace_file, path, data)
         write.add_done_callback(self._on_written)
         await asyncio.wait({write})
 
--- a/quillroad/zones/zones.py
+++ b/quillroad/zones/zones.py
@@ -52,7 +52,7 @@
         self._counters = TrafficCounters(route_count, len(config.zones))
         self._minutes = MinuteHistory(route_count)
         self._engine: Engine | None = None
-        self.serves: Callable[[], bool] = lambda: True
+        self.is_serving: Callable[[], bool] = lambda: True
         self._writer = ReportWriter(
             loop,
             encode=lambda: msgspec.json.encode(self.report()),
@@ -62,7 +62,7 @@
         )
 
     def _is_serving(self) -> bool:
-        return self.serves()  # asked each time: the worker process sets `serves` after the start
+        return self.is_serving()  # asked each time: the worker process sets `serves` after the start
 
     def attach(self, engine: Engine) -> None:
         """Watch an engine's attempts."""
--- a/testbed/core.py
+++ b/testbed/core.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Sequence
 from typing import Protocol, cast
 
-from quillroad.overload.admission_queue import Lane
+from quillroad.overload.admission_queue import RoutePriority
 
 Item = tuple[float, int, int]  # when it came, class, tenant
 POLL_S = 0.00002  # a turn with nothing to do
@@ -48,7 +48,7 @@
     def __init__(
         self,
         admission: Discipline,
-        lanes: Sequence[Lane],
+        lanes: Sequence[RoutePriority],
         *,
         cost: float = 0.0003,
         refusal: float = 0.00003,
@@ -147,7 +147,7 @@
         self.open -= 1
         self.admission.answered(route, self.now - began)
         self.took.append(self.now - came)
-        late = self.took[-1] > self.lanes[route].within_s
+        late = self.took[-1] > self.lanes[route].useful_s
         self.counts[route, tenant][2 if late else 1] += 1
         self._slot(3 if late else 2)
 
@@ -170,7 +170,7 @@
 
     def worth(self, column: int = 1) -> float:
         return sum(
-            self.lanes[route].worth * count[column] for (route, _), count in self.counts.items()
+            self.lanes[route].priority_weight * count[column] for (route, _), count in self.counts.items()
         )
 
 
--- a/tests/admin/test_decisions.py
+++ b/tests/admin/test_decisions.py
@@ -145,7 +145,7 @@
         overrides.take_out("x", 1)
     with pytest.raises(NoSuchHostError):
         overrides.put_back("x", 1)
-    overrides.out = {str(i): 1 for i in range(MAX_OVERRIDES)}
+    overrides.out_since_us = {str(i): 1 for i in range(MAX_OVERRIDES)}
     with pytest.raises(TooManyOverridesError):
         overrides.take_out("a", 100)
 
@@ -191,7 +191,7 @@
         ):  # an upgrade: the newcomer has its own list, and learns what is by hand
             other = HostOverrides()
             engine = {s.id: s for s in other.apply(*full(*source.values())).update.endpoints}
-            told = other.learn(overrides.out, overrides.back)
+            told = other.learn(overrides.out_since_us, overrides.returned)
             overrides = other
         elif name in source and step == "maint":
             told = overrides.take_out(name, now)
@@ -204,7 +204,7 @@
                 engine[server.id] = server
                 if server.status is EndpointStatus.REMOVED:
                     del engine[server.id]
-        assert set(overrides.out) == out
+        assert set(overrides.out_since_us) == out
         assert set(engine) == {s.id for s in source.values()}
         for server in engine.values():
             shown = NAMES[server.id - 1]
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -217,6 +217,6 @@
         await w.hosts[0].came.get()
         (opened,) = engine._open.values()
         engine._send(SendAttempt(opened.number, number, send_by_us=engine.now_us() - 1))
-        assert opened.attempts[1:] == [None] and opened.out == 1
+        assert opened.attempts[1:] == [None] and opened.attempts_in_flight == 1
         engine._send(SendAttempt(opened.number, number, send_by_us=engine.now_us() + 1_000_000))
-        assert opened.attempts[2] is not None and opened.out == 2
+        assert opened.attempts[2] is not None and opened.attempts_in_flight == 2
--- a/tests/downstream/long_bodies.py
+++ b/tests/downstream/long_bodies.py
@@ -42,9 +42,9 @@
 
 def at_base(w: World) -> bool:
     gateway = w.gateway
-    held = len(gateway.server.connection_limit) + gateway.upstream.resting
+    held = len(gateway.server.connection_limit) + gateway.upstream.idle_connections
     return (
-        not gateway.upstream.rests
+        not gateway.upstream.streaming
         and not gateway.server.streams
         and gateway.descriptors.used == held
     )
--- a/tests/downstream/test_connection_limit.py
+++ b/tests/downstream/test_connection_limit.py
@@ -34,54 +34,54 @@
             ConnectionState.BUSY,
         )
     ):
-        some.moves(number, stage, 0.0)
+        some.set_state(number, stage, 0.0)
     assert not some.has_place()
-    assert some.to_end(LONG) is None  # two are busy, two have sent what was not read yet
-    assert some.may_exceed()  # one more may come, to be told so
-    some.moves(4, ConnectionState.BUSY, LONG)
-    assert not some.may_exceed()  # whoever comes now is told so before it is one of them
-    assert some.may_look()
+    assert some.connection_to_end(LONG) is None  # two are busy, two have sent what was not read yet
+    assert some.may_accept_to_reject()  # one more may come, to be told so
+    some.set_state(4, ConnectionState.BUSY, LONG)
+    assert not some.may_accept_to_reject()  # whoever comes now is told so before it is one of them
+    assert some.may_accept_unclassified()
     unread.clear()
-    assert some.to_end(LONG) == 1
+    assert some.connection_to_end(LONG) == 1
 
 
 def test_the_order_in_which_connections_end_for_others() -> None:
     some = room(3)
-    some.moves(1, ConnectionState.RESTING, 0.0)
-    some.moves(2, ConnectionState.UNHEARD, 0.0)
-    some.moves(3, ConnectionState.LEAVING, 0.0)
+    some.set_state(1, ConnectionState.RESTING, 0.0)
+    some.set_state(2, ConnectionState.UNHEARD, 0.0)
+    some.set_state(3, ConnectionState.LEAVING, 0.0)
     order = []
-    while (one := some.to_end(LONG)) is not None:
+    while (one := some.connection_to_end(LONG)) is not None:
         order.append(one)
-        some.left(one)
+        some.remove(one)
     assert order == [3, 2, 1]
 
 
 def test_new_ones_have_time_to_speak() -> None:
     """Their request may be on its way: a connection that is ended with it unread is a loss."""
     some = room(2)
-    some.moves(1, ConnectionState.UNHEARD, 0.0)
-    some.moves(2, ConnectionState.UNHEARD, 0.1)
-    assert some.to_end(UNHEARD_S / 2) is None
-    assert some.to_end(UNHEARD_S + 0.05) == 1
+    some.set_state(1, ConnectionState.UNHEARD, 0.0)
+    some.set_state(2, ConnectionState.UNHEARD, 0.1)
+    assert some.connection_to_end(UNHEARD_S / 2) is None
+    assert some.connection_to_end(UNHEARD_S + 0.05) == 1
 
 
 def test_the_longest_at_rest_goes_first() -> None:
     some = room(3)
     for number in (1, 2, 3):
-        some.moves(number, ConnectionState.RESTING, number / 10)
-    some.moves(1, ConnectionState.BUSY, 0.5)
-    some.moves(1, ConnectionState.RESTING, 0.6)
-    assert some.to_end(1.0) == 2
+        some.set_state(number, ConnectionState.RESTING, number / 10)
+    some.set_state(1, ConnectionState.BUSY, 0.5)
+    some.set_state(1, ConnectionState.RESTING, 0.6)
+    assert some.connection_to_end(1.0) == 2
 
 
 def test_those_who_ask_once_and_stay_go_and_those_in_use_stay() -> None:
     some = room(5)
     for number in (1, 2, 3):
-        some.moves(number, ConnectionState.RESTING, number / 10)
-    some.moves(1, ConnectionState.BUSY, 0.5)
+        some.set_state(number, ConnectionState.RESTING, number / 10)
+    some.set_state(1, ConnectionState.BUSY, 0.5)
     assert some.overstayed(LONG) is None  # part of the places are theirs
-    some.moves(1, ConnectionState.RESTING, 0.6)
+    some.set_state(1, ConnectionState.RESTING, 0.6)
     assert some.overstayed(0.2 + RESTED_S / 2) is None  # no longer than it takes to ask again
     assert some.overstayed(LONG) == 2
 
@@ -104,24 +104,24 @@
         if isinstance(what, ConnectionState):
             if number in stages and stages[number] is not ConnectionState.LEAVING:
                 stages[number] = what
-                some.moves(number, what, now)
+                some.set_state(number, what, now)
         elif what == "left":
             stages.pop(number, None)
-            some.left(number)
+            some.remove(number)
         elif what == "overstayed":
             if (one := some.overstayed(now)) is not None:
                 assert stages.pop(one) is ConnectionState.RESTING
-                some.left(one)
+                some.remove(one)
         elif number not in stages:
             if not some.has_place():
-                one = some.to_end(now)
+                one = some.connection_to_end(now)
                 if one is not None:
                     assert stages.pop(one) is not ConnectionState.BUSY
-                    some.left(one)
-                elif not some.may_exceed():
+                    some.remove(one)
+                elif not some.may_accept_to_reject():
                     continue
             stages[number] = ConnectionState.UNHEARD
-            some.moves(number, ConnectionState.UNHEARD, now)
+            some.set_state(number, ConnectionState.UNHEARD, now)
         assert len(some) == len(stages) <= places + places // 4
         assert sorted(some.connections()) == sorted(stages)
         assert all(
@@ -134,18 +134,18 @@
     unread: set[int] = set()
     some = room(4, unread)
     for number in (1, 2):
-        some.moves(number, ConnectionState.WRITING, 0.0)
+        some.set_state(number, ConnectionState.WRITING, 0.0)
     for number in (3, 4, 5):
-        some.moves(number, ConnectionState.BUSY, 0.0)
+        some.set_state(number, ConnectionState.BUSY, 0.0)
     assert some.busy == 3
     assert some.has_place()  # two that write are beyond the places
-    some.moves(6, ConnectionState.WRITING, 0.0)
+    some.set_state(6, ConnectionState.WRITING, 0.0)
     assert not some.has_place()  # no more than that
-    assert some.to_end(WRITTEN_S / 2) is None
-    some.moves(1, ConnectionState.WRITING, WRITTEN_S)  # it gets on
-    assert some.to_end(WRITTEN_S + 0.1) == 2
+    assert some.connection_to_end(WRITTEN_S / 2) is None
+    some.set_state(1, ConnectionState.WRITING, WRITTEN_S)  # it gets on
+    assert some.connection_to_end(WRITTEN_S + 0.1) == 2
     unread.update((2, 6))  # the rest has come, and was not read yet
-    assert some.to_end(WRITTEN_S + 0.1) is None
+    assert some.connection_to_end(WRITTEN_S + 0.1) is None
 
 
 @pytest.mark.parametrize("places", [1, 8, 20, 84, 180, 500])
@@ -153,7 +153,7 @@
     """Places are half of the descriptors: who says nothing may hold three quarters at the most."""
     room = ConnectionLimit[int](places, lambda _: False)
     for number in range(3 * places + 100):
-        if not (room.has_place() or room.may_exceed() or room.may_look()):
+        if not (room.has_place() or room.may_accept_to_reject() or room.may_accept_unclassified()):
             break
-        room.moves(number, ConnectionState.UNHEARD, 1.0)
+        room.set_state(number, ConnectionState.UNHEARD, 1.0)
     assert places <= len(room) <= 1.5 * places
--- a/tests/downstream/test_connection_places.py
+++ b/tests/downstream/test_connection_places.py
@@ -25,7 +25,7 @@
         for number in range(4):
             busy.append(await w.client().__aenter__())
             busy[-1].send()
-            await until(lambda number=number: len(w.gateway.engine._ids) == number + 1)  # type: ignore[misc]
+            await until(lambda number=number: len(w.gateway.engine._unanswered_ids) == number + 1)  # type: ignore[misc]
         assert await at_end(idle) == b""
         async with w.client() as client:
             for _ in range(
@@ -63,7 +63,7 @@
                 assert (got.status, got.headers["connection"]) == (503, "close")
                 assert 0.3 <= float(got.headers["retry-after"]) <= 0.6
                 assert await client.reader.read() == b""
-        assert server.admission.refused == 2
+        assert server.admission.rejected == 2
         assert len(server.connection_limit) == 4
         async with w.client() as odd:  # what can't be told at a glance is let in, and answered
             assert (await odd.ask(Connection="keep-alive")).status == 503
--- a/tests/downstream/test_departed_clients.py
+++ b/tests/downstream/test_departed_clients.py
@@ -104,7 +104,7 @@
         async with w.client() as client:
             assert (await client.ask()).status == 200
         await until(
-            lambda: not len(w.gateway.server.connection_limit) and w.gateway.upstream.resting == 1
+            lambda: not len(w.gateway.server.connection_limit) and w.gateway.upstream.idle_connections == 1
         )
         raw = socket.create_connection(("127.0.0.1", w.gateway.port))
         if linger:
--- a/tests/downstream/test_descriptors.py
+++ b/tests/downstream/test_descriptors.py
@@ -199,7 +199,7 @@
     async with world(serve_ok, serve_ok, limits={"sockets": RESERVED + 16}) as w:
         few = [await w.client().__aenter__() for _ in range(2)]
         while (
-            w.gateway.upstream.resting < 14
+            w.gateway.upstream.idle_connections < 14
         ):  # requests so fast that hardly a connection has settled
             assert {
                 reply.status for reply in await asyncio.gather(*(one.ask() for one in few))
@@ -235,7 +235,7 @@
         held = w.gateway.server._descriptors
         silent = await silent_ones(w, lambda: held.spare() < 0)
         await until(
-            lambda: w.gateway.server.connection_limit.to_end(monotonic()) is not None
+            lambda: w.gateway.server.connection_limit.connection_to_end(monotonic()) is not None
         )  # not too new to tell
         async with w.client() as late:
             assert (await late.ask()).status == 200
@@ -253,7 +253,7 @@
     """They are too new to end, and hold every place and the places of those who are to be refused."""
     monkeypatch.setattr(connection_limit, "UNHEARD_S", 3600.0)
     async with world(serve_ok, limits={"sockets": RESERVED + 32}) as w:
-        silent = await silent_ones(w, lambda: not w.gateway.server.connection_limit.may_exceed())
+        silent = await silent_ones(w, lambda: not w.gateway.server.connection_limit.may_accept_to_reject())
         raw = socket.create_connection(
             ("127.0.0.1", w.gateway.port)
         )  # it has asked when it is accepted
--- a/tests/downstream/test_gateway.py
+++ b/tests/downstream/test_gateway.py
@@ -52,7 +52,7 @@
             for _ in range(60):
                 await client.ask()
         engine = w.gateway.engine
-        await until(lambda: not engine._open and not engine._ids and not engine._balancer.requests)
+        await until(lambda: not engine._open and not engine._unanswered_ids and not engine._balancer.requests)
         await until(
             lambda: (
                 w.gateway.server._descriptors.used
@@ -109,7 +109,7 @@
                 client.writer.close()
         await until(
             lambda: (
-                not len(w.gateway.server.connection_limit) and not engine._open and not engine._ids
+                not len(w.gateway.server.connection_limit) and not engine._open and not engine._unanswered_ids
             )
         )
         await until(
--- a/tests/downstream/test_long_answers.py
+++ b/tests/downstream/test_long_answers.py
@@ -108,7 +108,7 @@
         take = rest.on_data
 
         def full(data: bytes) -> None:
-            rest.pause()
+            rest.pause_reading()
             take(data)
 
         rest.on_data = full
@@ -182,9 +182,9 @@
     async with world(host([by_length(BODY)[0], BODY[:200_000]]), **OPS) as w, w.client() as client:
         client.send()
         await until(lambda: w.gateway.server.streams == 1)
-        (connection,) = w.gateway.upstream.rests
-        assert connection._rest is not None
-        connection._rest.moved -= 60
+        (connection,) = w.gateway.upstream.streaming
+        assert connection._stream_body is not None
+        connection._stream_body.last_progress_at -= 60
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await read_whole(client.reader)
         await until(lambda: at_base(w))
--- a/tests/downstream/test_one_answer.py
+++ b/tests/downstream/test_one_answer.py
@@ -161,7 +161,7 @@
             client.send(Request_Timeout_Ms="50000")  # beyond this test's own bound
             await w.hosts[0].came.get()
         await w.hosts[0].closed.get()
-        await until(lambda: not w.gateway.engine._open and not w.gateway.engine._ids)
+        await until(lambda: not w.gateway.engine._open and not w.gateway.engine._unanswered_ids)
 
 
 @on_loop
@@ -172,4 +172,4 @@
         head = b"GET / HTTP/1.1\r\n"
         request = ClientRequest("hurry", 0, 0, None, before, before + 0.030, False, None, head, b"")
         opened = w.gateway.engine.accept(request, lambda reply: None)
-        assert before + 0.022 < opened.give_up < request.expires
+        assert before + 0.022 < opened.attempts_end_at < request.deadline_at
--- a/tests/downstream/test_pipelining.py
+++ b/tests/downstream/test_pipelining.py
@@ -96,4 +96,4 @@
         client.writer.write(b"".join(b"%bRequest-Id: a%d\r\n\r\n" % (head, n) for n in range(60)))
         for _ in range(60):
             assert (await client.receive()).status in (503, 504)
-        assert len({request.expires for request in asked}) == 1
+        assert len({request.deadline_at for request in asked}) == 1
--- a/tests/downstream/test_request_parser.py
+++ b/tests/downstream/test_request_parser.py
@@ -29,7 +29,7 @@
     WrongMethodError,
 )
 from quillroad.framing import HEAD_LIMIT, check_framing
-from quillroad.overload.body_budget import Buffers
+from quillroad.overload.body_budget import BodyBudget
 from tests.net import make_config
 
 PLAIN = RequestValidator(make_config(1))
@@ -42,7 +42,7 @@
 
 
 def new_parser(validator: RequestValidator = PLAIN, budget: int = 1 << 20) -> RequestParser:
-    return RequestParser(validator, Buffers(budget), lambda: 200)
+    return RequestParser(validator, BodyBudget(budget), lambda: 200)
 
 
 def read(parser: RequestParser, pieces: Sequence[bytes]) -> list[PendingRequest]:
--- a/tests/downstream/test_state.py
+++ b/tests/downstream/test_state.py
@@ -203,14 +203,14 @@
     assert (await client.ask()).status == 200
     (held,) = w.gateway.server.connection_limit.connections()
     await until(held.idle)
-    assert held.hold() is not None
-    assert held.hold() is None
-    held.carry_on()
+    assert held.begin_migration() is not None
+    assert held.begin_migration() is None
+    held.cancel_migration()
     assert (await client.ask()).status == 200
     await until(held.idle)
-    assert held.hold() is not None
-    held.leave()
-    await until(lambda: w.gateway.server._descriptors.used == w.gateway.upstream.resting)
+    assert held.begin_migration() is not None
+    held.complete_migration()
+    await until(lambda: w.gateway.server._descriptors.used == w.gateway.upstream.idle_connections)
 
 
 SCENES = (
--- a/tests/downstream/test_time_limits.py
+++ b/tests/downstream/test_time_limits.py
@@ -90,10 +90,10 @@
         while not connection.output_pending:
             client.send()
             await asyncio.sleep(0)
-        assert w.gateway.server.connection_limit.stage(connection) is not ConnectionState.RESTING
+        assert w.gateway.server.connection_limit.state(connection) is not ConnectionState.RESTING
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
         taken = asyncio.ensure_future(at_end(client))
         await until(
-            lambda: w.gateway.server.connection_limit.stage(connection) is ConnectionState.RESTING
+            lambda: w.gateway.server.connection_limit.state(connection) is ConnectionState.RESTING
         )
         taken.cancel()
--- a/tests/engine/test_endpoint_sync.py
+++ b/tests/engine/test_endpoint_sync.py
@@ -96,5 +96,5 @@
     hosts.upstream.start(host, b"GET / HTTP/1.1\r\n\r\n", 5.0, lambda *end: ended.append(end))
     await until(lambda: bool(host.idle))
     hosts.update(Endpoint(1, started_us=started_us), addresses=addresses)
-    assert [connection.closing() for connection in host.idle] == [not kept]
+    assert [connection.is_closing() for connection in host.idle] == [not kept]
     assert host.started_us == started_us
--- a/tests/membership/test_service.py
+++ b/tests/membership/test_service.py
@@ -12,7 +12,7 @@
 from quillroad.discovery.source import Source
 from quillroad.engine.engine import Engine
 from quillroad.membership.quota_division import GatewayPosition
-from quillroad.membership.service import Fleet
+from quillroad.membership.service import MembershipService
 from testbed.gateway import free_port
 from tests.net import make_config, on_loop, told_settings
 
@@ -36,8 +36,8 @@
     return replace(told, peers=Peers(("127.0.0.1", free_port()), addresses))
 
 
-def fleet(path: Path, engine: Follower, sources: list[Follower]) -> Fleet:
-    made = Fleet(path, config(), asyncio.get_running_loop())
+def fleet(path: Path, engine: Follower, sources: list[Follower]) -> MembershipService:
+    made = MembershipService(path, config(), asyncio.get_running_loop())
     made.attach(cast(Engine, engine), lambda: cast(Source, sources[-1]))
     return made
 
@@ -62,7 +62,7 @@
     one._notify_followers()
     assert sources[1].heard == [(0, 2)] and len(engine.heard) == 1
     path.write_text("[use]\nrounds = true")
-    one.take(one.read(config()))
+    one.apply_settings(one.read_settings(config()))
     assert engine.heard[1:] == [GatewayCountChanged(2, 4)] and sources[1].heard == [(0, 2)]
 
 
@@ -77,7 +77,7 @@
     one.start()
     one._followers.position = GatewayPosition(0, 2)
     one._notify_followers()
-    one.serves = lambda: False
+    one.is_serving = lambda: False
     one._tick()
     assert (
         engine.heard == [GatewayCountChanged(0, 2), GatewayCountChanged(2, 4)] and one.core is None
@@ -95,6 +95,6 @@
     assert now.peers is not None
     longer = (*now.peers.addresses, ("127.2.0.1", 7099))
     moved = make_config(1, settings=told_settings(balancers=5, my_number=0))
-    one.take(one.read(replace(moved, peers=Peers(now.peers.listen, longer))))
+    one.apply_settings(one.read_settings(replace(moved, peers=Peers(now.peers.listen, longer))))
     assert one.core is not None and one.core.number == 2 and len(one.core.roster) == 5
     one.stop()
--- a/tests/overload/test_admission_queue.py
+++ b/tests/overload/test_admission_queue.py
@@ -9,19 +9,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quillroad.overload.admission_queue import Admission, Lane
+from quillroad.overload.admission_queue import AdmissionQueue, RoutePriority
 from quillroad.overload.admission_tuning import Tuning
 from quillroad.overload.fast_path_parse import RequestPreview, preview_request
 from quillroad.overload.quota_bucket import QuotaBucket
-from quillroad.overload.retry_after import Spread
+from quillroad.overload.retry_after import RetryAfterJitter
 from testbed.core import Core, mix
 
 STATUS, CHECKOUT = 0, 1
-LANES = (Lane(2.0, 0.58), Lane(8.0, 0.75))
+LANES = (RoutePriority(2.0, 0.58), RoutePriority(8.0, 0.75))
 
 
 def core(
-    lanes: tuple[Lane, ...] = LANES,
+    lanes: tuple[RoutePriority, ...] = LANES,
     *,
     quotas: tuple[float, ...] = (),
     over: float = 1.0,
@@ -29,7 +29,7 @@
     places: int = 1 << 30,
     **told: float,
 ) -> Core:
-    admission = Admission(lanes, over, quotas, ration[0] / sum(ration), places)
+    admission = AdmissionQueue(lanes, over, quotas, ration[0] / sum(ration), places)
     return Core(admission, lanes, ration=ration, **told)
 
 
@@ -104,7 +104,7 @@
 
     In one line for both, the short one would find a wait longer than its objective and be rejected.
     """
-    lanes = (Lane(2.0, 5.0), Lane(2.0, 0.05))
+    lanes = (RoutePriority(2.0, 5.0), RoutePriority(2.0, 0.05))
     some = core(hosts=0.005, lanes=lanes)
     some.run(4.0, {(0, 0): 2.0 * CAPACITY, (1, 0): 0.2 * CAPACITY})
     assert some.share(1) > 0.95
@@ -183,7 +183,7 @@
     )
 )
 def test_no_request_in_the_queue_is_forgotten(steps: list[tuple[str, int, float]]) -> None:
-    admission, now, inside = Admission(LANES, 0.05, [5.0]), 1.0, {}
+    admission, now, inside = AdmissionQueue(LANES, 0.05, [5.0]), 1.0, {}
     for number, (step, which, passed) in enumerate(steps):
         now += passed
         if step == "join":
@@ -199,7 +199,7 @@
             admission.leave(inside.pop(sorted(inside)[which % len(inside)]))
         elif step == "slice":
             assert Tuning().min_slice_s <= admission.slice_s(now) <= Tuning().min_slice_s + now
-            admission.sliced(now)
+            admission.slice_ended(now)
         assert admission.waiting == len(inside)
         assert 0.0 <= admission.cost_s <= 1000.0
 
@@ -213,13 +213,13 @@
 
 @given(st.floats(0, 1), st.integers(1, 10_000_000), st.integers(2, 400))
 def test_retry_after_times_are_evenly_spread(seed: float, most: int, count: int) -> None:
-    spread = Spread(seed)
-    times = [spread.over(most) for _ in range(count)]
+    spread = RetryAfterJitter(seed)
+    times = [spread.jittered_us(most) for _ in range(count)]
     assert all(most // 2 - 1 <= time <= most for time in times)
     if most > 10_000:
         eighths = [sum(1 for t in times if i <= (t / most - 0.5) * 16 < i + 1) for i in range(8)]
         assert max(eighths) <= count / 8 * 2 + 2
-    assert spread.over(0) == 0
+    assert spread.jittered_us(0) == 0
 
 
 # The request preview.
@@ -319,4 +319,4 @@
     except httptools.HttpParserError:
         return  # no request: an error answer is owed, and a refusal is one
     assert parsed.whole <= 1
-    assert not parsed.urls or parsed.urls[0].split(b"/")[1] == seen.kind
+    assert not parsed.urls or parsed.urls[0].split(b"/")[1] == seen.route_name
--- a/tests/overload/test_overload.py
+++ b/tests/overload/test_overload.py
@@ -96,18 +96,18 @@
     async with world(*[hold] * 16, limits={"sockets": 256}, settings=told_settings(**changes)) as w:
         server, clients, taken = w.gateway.server, list[Client](), [0, 0]
         replies: list[list[asyncio.Task[Message]]] = [[], []]
-        for turn in range(4 * server.connection_limit.places):
-            kind, refused, busy = turn % 2, server.admission.refused, server.connection_limit.busy
+        for turn in range(4 * server.connection_limit.most_connections):
+            kind, refused, busy = turn % 2, server.admission.rejected, server.connection_limit.busy
             clients.append(await w.client().__aenter__())
             asking = clients[-1].ask(f"/{kinds[kind]}/k", Tenant=tenants[kind])
             replies[kind].append(asyncio.ensure_future(asking))
             await until(
                 lambda r=refused, b=busy: (  # type: ignore[misc]
-                    server.admission.refused > r or server.connection_limit.busy > b
+                    server.admission.rejected > r or server.connection_limit.busy > b
                 )
             )
             taken[kind] += server.connection_limit.busy > busy
-        assert server.connection_limit.busy == sum(taken) == server.connection_limit.places
+        assert server.connection_limit.busy == sum(taken) == server.connection_limit.most_connections
         # With no worth in it both would have as many. How many more is a matter of pace: less is
         # kept for them the longer ago the last one was in need. 10 and more here.
         assert taken[1] > taken[0] + 2
--- a/tests/overload/test_turns.py
+++ b/tests/overload/test_turns.py
@@ -9,7 +9,7 @@
 
 from quillroad.downstream.server import HOLD_S, ClientConnection
 from quillroad.engine.engine import Reply
-from quillroad.overload.admission_queue import Waiting
+from quillroad.overload.admission_queue import QueuedRequest
 from tests.net import on_loop, serve_ok, until, world
 
 
@@ -63,9 +63,9 @@
             w.gateway.server.scheduler.scheduled = (
                 pressed  # an alarm of the module must not take it out
             )
-            admission._queues[0].entries.extend([Waiting(None, 0.0, 0.0)] * pressed)
+            admission._queues[0].entries.extend([QueuedRequest(None, 0.0, 0.0)] * pressed)
             admission._cost_s, admission._learned_s = cost_s, 1.0
-            before, refused = len(w.hosts[0].seen), admission.refused
+            before, refused = len(w.hosts[0].seen), admission.rejected
             # The second says `Connection`, so the glance leaves it to the parser.
             asked = (("/status-check/k", b"", None), ("/status-check/k", b"", "keep-alive"))
             for path, body, more in asked:
@@ -75,7 +75,7 @@
                     assert 0.3 <= float(got.headers["retry-after"]) <= 0.6
                     assert got.headers["connection"] == "keep-alive"
             assert len(w.hosts[0].seen) - before == (0 if pressed else 2)
-            assert admission.refused - refused == (2 if pressed else 0)
+            assert admission.rejected - refused == (2 if pressed else 0)
             assert (await client.ask("/no-such/k")).status == 400
             assert (await client.ask("/up", method="GET")).status == 200
             admission.waiting, w.gateway.server.scheduler.scheduled = 0, False
@@ -93,7 +93,7 @@
         for wait, status in (("200", 503), ("9000", 200), ("200", 503)):
             admission.waiting, admission._cost_s, admission._learned_s = 1, 0.5, 1.0
             admission._queues[0].entries.append(
-                Waiting(None, 0.0, 0.0)
+                QueuedRequest(None, 0.0, 0.0)
             )  # half a second of work ahead
             got = await client.ask(Request_Timeout_Ms=wait)
             assert got.status == status
--- a/tests/recordings/fleet.py
+++ b/tests/recordings/fleet.py
@@ -17,7 +17,7 @@
 from quillroad.membership.quota_division import GatewayPosition
 from quillroad.membership.report import MemberLine, Report, make_report, read_report, write_report
 from quillroad.membership.roster import Roster
-from quillroad.membership.service import Fleet
+from quillroad.membership.service import MembershipService
 from quillroad.membership.timing import Timing
 from quillroad.membership.view import Cause, Change, ChangeKind, MemberRecord, View
 from quillroad.membership.wire import VERSION, Datagram, MessageKind, Update, decode, encode
@@ -175,7 +175,7 @@
                 f'[members]\nlisten = "127.0.0.1:7001"\naddresses = {members}\n'
                 f'[report]\nchanges = "{folder}/changes"\n'
             )
-            fleet = Fleet(file, make_config(1), asyncio.get_running_loop())
+            fleet = MembershipService(file, make_config(1), asyncio.get_running_loop())
             lines: list[str] = []
             settings = fleet.settings
             assert settings is not None
--- a/tests/recordings/operators.py
+++ b/tests/recordings/operators.py
@@ -50,7 +50,7 @@
         admin = gateway.admin
         assert admin is not None
         told = {"health, no hosts": _shown(admin.act(Call(Act.HEALTH)))}
-        gateway.update(
+        gateway.update_endpoints(
             EndpointUpdate(UpdateKind.FULL, (Endpoint(1),), 1), {1: "s-1"}, {1: ("127.0.0.1", 9)}
         )
         acts = (
@@ -91,7 +91,7 @@
         gateway = Gateway(make_config(1), loop)
         with patch("quillroad.counts.log", SimpleNamespace(info=lambda _, row: rows.append(row))):
             idle = Counts(loop, gateway.engine, gateway.upstream)
-            idle._tell()
+            idle._write_line()
             idle.stop()
             engine = SimpleNamespace(
                 attempt_observer=None,
@@ -111,7 +111,7 @@
                         0, host, 10, lambda outcome, answer, at: None
                     )
                     done(outcome, None, 100.25)
-            busy._tell()
+            busy._write_line()
             busy.stop()
 
     with patch("quillroad.counts.monotonic", lambda: 100.0):
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -10,7 +10,7 @@
 import pytest
 
 from quillroad import files
-from quillroad.files import MAX_WAITING_LINES, Writer
+from quillroad.files import MAX_WAITING_LINES, FileWriter
 from tests.net import on_loop, until
 
 
@@ -29,7 +29,7 @@
         written.append(data)
 
     monkeypatch.setattr(files, "put", slow)
-    writer = Writer(asyncio.get_running_loop())
+    writer = FileWriter(asyncio.get_running_loop())
     for number in range(1000):
         writer.replace(tmp_path / "view", b"%d" % number)
     for number in range(MAX_WAITING_LINES + 5):
@@ -55,7 +55,7 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     """A folder goes away while the gateway writes into it: the log says so, other files go on."""
-    writer = Writer(asyncio.get_running_loop())
+    writer = FileWriter(asyncio.get_running_loop())
     writer.replace(tmp_path / "gone" / "view", b"x")
     await until(lambda: "cannot write" in caplog.text)
     writer.replace(tmp_path / "view", b"x")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
 from quillroad.downstream import connection_output
 from quillroad.downstream.connection import ClientConnection
 from quillroad.downstream.state import NOT_BEGUN, ReadState
-from quillroad.gateway import ACCEPT_S, END_S, FLUSH_S
+from quillroad.gateway import ANSWERS_FLUSH_S, DRAIN_MARGIN_S, FRONT_DELAY_S
 from quillroad.overload.acceptor import Acceptor, open_listener
 from tests.net import (
     Client,
@@ -51,9 +51,9 @@
     asked = 0
     while not connection.output_pending:
         asked += 1
-        seen = connection.brought
+        seen = connection.requests_served
         client.send()
-        await until(lambda: connection.brought > seen and connection._answering in NOT_BEGUN)  # noqa: B023
+        await until(lambda: connection.requests_served > seen and connection._answering in NOT_BEGUN)  # noqa: B023
     return asked
 
 
@@ -114,7 +114,7 @@
         )
         for _ in range(5):
             await asyncio.sleep(0.01)  # the time to linger, several times over
-        assert w.gateway.server.connection_limit.to_end(time.monotonic() + 1000.0) is not connection
+        assert w.gateway.server.connection_limit.connection_to_end(time.monotonic() + 1000.0) is not connection
         got = await to_the_end(raw)
         assert got.endswith(BODY)
 
@@ -190,8 +190,8 @@
         await until(lambda: w.gateway.server.draining)
         after = time.monotonic()
         assert before + longest_s + 0.5 <= w.gateway.server.answers_by <= after + longest_s + 0.5
-        assert END_S - FLUSH_S >= 0.5 and END_S <= 0.7 - 0.1
-        assert ACCEPT_S < END_S
+        assert DRAIN_MARGIN_S - ANSWERS_FLUSH_S >= 0.5 and DRAIN_MARGIN_S <= 0.7 - 0.1
+        assert FRONT_DELAY_S < DRAIN_MARGIN_S
         await drain
 
 
--- a/tests/upgrade/test_sections.py
+++ b/tests/upgrade/test_sections.py
@@ -33,7 +33,7 @@
     hosts = [await FakeHost(f"s-{i}", serve_ok).start() for i in range(count)]
     discovery = await FakeDiscovery(*(host.entry() for host in hosts)).start()
     gateway = process(discovery.port)
-    gateway.follow()
+    gateway.start_parts()
     try:
         await until(lambda: len(gateway.engine.hosts) == count)
         yield gateway, discovery, hosts
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -35,7 +35,7 @@
     bench.host.last_heard_at -= 1.0
     attempt = bench.start(timeout_s=0.05)
     await until(lambda: attempt.is_over)
-    assert not bench.host.idle or all(c.closing() for c in bench.host.idle)
+    assert not bench.host.idle or all(c.is_closing() for c in bench.host.idle)
 
 
 @on_loop
--- a/tests/upstream/test_connection_state.py
+++ b/tests/upstream/test_connection_state.py
@@ -93,8 +93,8 @@
 
     def done(self, outcome: Outcome, got: Answer | None, _: float) -> None:
         self.outcomes.append(outcome)
-        if got is not None and got.rest is not None:
-            got.rest.on_end = self.ends.append
+        if got is not None and got.stream is not None:
+            got.stream.on_end = self.ends.append
 
     def reach(self, state: HostConnectionState) -> None:
         """Bring it to a state by events alone."""
@@ -214,7 +214,7 @@
     walk.events[HostConnectionEvent.STREAM_ENDED]()
     assert (walk.outcomes, walk.ends) == ([Outcome.SUCCESS], [True])
     assert walk.bench.host.idle == [walk.connection]
-    assert walk.bench.upstream.rests == set()
+    assert walk.bench.upstream.streaming == set()
     states = [walk.connection.state]
     walk.send()
     states.append(walk.connection.state)
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -58,10 +58,10 @@
     host = await FakeHost().start()
     bench = Bench(host.address)
     await bench.run()
-    bench.upstream.sweep()
-    assert not bench.host.idle[0].closing()
+    bench.upstream.close_expired()
+    assert not bench.host.idle[0].is_closing()
     bench.host.idle[0].idle_since -= 8.0  # of the 15 s that hosts wait
-    bench.upstream.sweep()
+    bench.upstream.close_expired()
     assert await host.closed.get() == 0
     await until(lambda: not bench.host.idle)
 
@@ -78,7 +78,7 @@
     await bench.run()
     waiting = bench.host.idle[0]
     host.writers[0].write(answer(b"copy"))  # leaves at once; this loop has not read it yet
-    while not waiting.unread():
+    while not waiting.has_unread_data():
         pass
     host.behave = say(answer(b"second"))
     outcome, reply = await bench.run()
