--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -1,9 +1,10 @@
-"""`python -m testbed hosts|load|ration|relay JSON`: stand-ins and load as processes, each with its core.
+"""`python -m testbed hosts|load|ration|relay JSON`: stand-ins and load as processes.
 
-`hosts` starts stand-in hosts and a discovery, prints one JSON line with its port, and serves until its
-standard input ends; then it prints how much each host received. `load` sends what its JSON says and prints
-one JSON line with the account. `ration` prints a line, and holds a process to a part of its core from then
-on. `relay` carries gateways' datagrams.
+`hosts` starts stand-in hosts and a discovery, prints one JSON line with their ports, and serves
+until its standard input ends; then it prints how many requests each host received. `load` sends
+what its JSON says and prints one JSON line with the account. `core` pins the process. `ration`
+prints a line, and holds a process to a part of its core from then on. `relay` carries gateways'
+datagrams.
 """
 
 from __future__ import annotations
@@ -12,21 +13,31 @@
 import json
 import os
 import sys
+from collections.abc import Sequence
 from dataclasses import asdict
+from http import HTTPStatus
 from typing import Any
 
 import uvloop
 
 from testbed import schedule
-from testbed.account import Work, tally
+from testbed.account import Record, Work, tally
 from testbed.clients import Load
 from testbed.hosts import Discovery, Host
 from testbed.ration import ration
 from testbed.relay import run_relay
 
+SLOTS_PER_S = 10  # resolution of a load's picture over time
 
-async def run_hosts(told: dict[str, Any]) -> None:
-    hosts = [await Host(f"s-{i}", told.get("delay", 0.0)).start() for i in range(told["count"])]
+
+async def run_hosts(options: dict[str, Any]) -> None:
+    """Serve as hosts and discovery until standard input ends.
+
+    `options`: `count` hosts, each of which answers after `delay` seconds.
+    """
+    hosts = [
+        await Host(f"s-{i}", options.get("delay", 0.0)).start() for i in range(options["count"])
+    ]
     discovery = await Discovery(hosts).start()
     print(
         json.dumps({"discovery": discovery.port, "hosts": [host.port for host in hosts]}),
@@ -36,57 +47,71 @@
     print(json.dumps({host.name: len(host.receipts) for host in hosts}), flush=True)
 
 
-async def run_load(told: dict[str, Any]) -> None:
-    works = [Work(**work) for work in told["works"]]
+async def run_load(options: dict[str, Any]) -> None:
+    """Send a load and print its account.
+
+    `options`: the gateway's `host` and `port`, `works` (fields of `Work`), their weights `shares`,
+    and a `kind`: `closed` with `connections` and `seconds`, `open` with `rate` and `seconds`,
+    `steps` with `parts` of (rate, seconds). Raises ValueError for any other kind.
+    """
+    works = [Work(**work) for work in options["works"]]
     load = Load(
-        (told["host"], told["port"]),
+        (options["host"], options["port"]),
         works,
-        told["shares"],
-        tenants=told.get("tenants", ["acme"]),
-        most=told.get("most", 1000),
-        seed=told.get("seed", 1),
-        prefix=told.get("prefix", "c"),
+        options["shares"],
+        tenants=options.get("tenants", ["acme"]),
+        most=options.get("most", 1000),
+        seed=options.get("seed", 1),
+        prefix=options.get("prefix", "c"),
     )
-    kind, seconds = told["kind"], told["seconds"]
+    kind, seconds = options["kind"], options["seconds"]
     if kind == "closed":
-        await load.closed_loop(told["connections"], seconds)
+        await load.closed_loop(options["connections"], seconds)
     elif kind == "open":
-        await load.open_loop(schedule.poisson(told["rate"], seconds, told.get("seed", 1)))
+        await load.open_loop(schedule.poisson(options["rate"], seconds, options.get("seed", 1)))
     elif kind == "steps":
-        await load.open_loop(schedule.steps(*[(rate, length) for rate, length in told["parts"]]))
+        await load.open_loop(schedule.steps(*[(rate, length) for rate, length in options["parts"]]))
     else:
         raise ValueError(f"kind: {kind!r} is none of closed, open, steps")
-    began = min((record.sent for record in load.records), default=0.0)
+    print(json.dumps(_report(load, works)))
+
+
+def _report(load: Load, works: Sequence[Work]) -> dict[str, Any]:
+    """The account of a load as one JSON object; durations in seconds."""
     rows = {name: asdict(row) for name, row in tally(load.records, works).items()}
-    slots: dict[int, list[float]] = {}  # by tenths of a second since the start: sent, worth in aim
-    for record in load.records:
-        slot = slots.setdefault(int((record.sent - began) * 10), [0, 0.0])
-        slot[0] += 1
-        if record.status == 200 and record.took <= works[record.work].aim:
-            slot[1] += works[record.work].worth
     firsts = [r.took for r in load.records if r.first_on_connection and r.done]
-    print(
-        json.dumps(
-            {
-                "rows": rows,
-                "unsent": load.unsent,
-                "lag": load.lag,
-                "slots": sorted(slots.items()),
-                "firsts": firsts,
-            }
-        )
-    )
+    return {
+        "rows": rows,
+        "unsent": load.unsent,
+        "lag": load.lag,
+        "slots": _slots(load.records, works),
+        "firsts": firsts,
+    }
+
+
+def _slots(records: Sequence[Record], works: Sequence[Work]) -> list[tuple[int, list[float]]]:
+    """By tenths of a second since the first request: requests sent, value of answers in time."""
+    began = min((record.sent for record in records), default=0.0)
+    slots: dict[int, list[float]] = {}
+    for record in records:
+        slot = slots.setdefault(int((record.sent - began) * SLOTS_PER_S), [0, 0.0])
+        slot[0] += 1
+        work = works[record.work]
+        if record.status == HTTPStatus.OK and record.took <= work.aim:
+            slot[1] += work.worth
+    return sorted(slots.items())
 
 
 def main() -> int:
-    told = json.loads(sys.argv[2])
-    if "core" in told:
-        os.sched_setaffinity(0, {told["core"]})
+    """Run the part that the first argument names, with options from the JSON in the second."""
+    options = json.loads(sys.argv[2])
+    if "core" in options:
+        os.sched_setaffinity(0, {options["core"]})
     if sys.argv[1] == "ration":
         print(flush=True)
-        ration(told["pid"], told["share"], told["period"], told["seconds"])
+        ration(options["pid"], options["share"], options["period"], options["seconds"])
         return 0
-    uvloop.run({"hosts": run_hosts, "load": run_load, "relay": run_relay}[sys.argv[1]](told))
+    uvloop.run({"hosts": run_hosts, "load": run_load, "relay": run_relay}[sys.argv[1]](options))
     return 0
 
 
--- a/testbed/account.py
+++ b/testbed/account.py
@@ -1,13 +1,24 @@
-"""One account of every request: what clients sent and got, joined with what hosts received. Free of I/O."""
+"""Account of every request: what clients sent and got, joined with what hosts received.
+
+Free of I/O.
+"""
 
 from __future__ import annotations
 
-from collections import Counter, defaultdict
-from collections.abc import Iterable, Sequence
+from collections import Counter
+from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass, field
+from http import HTTPStatus
+from typing import NamedTuple
 
-GRACE_S = 0.5  # after a drain was told, for the last request to be received
-SLACK_S = 0.05  # past a deadline, for an answer that was on its way and a client that reads late
+# Seconds from the notice of a drain until the host may receive nothing more: time for discovery's
+# update to reach the gateway and for attempts that are already on their way.
+GRACE_S = 0.5
+# Seconds past a deadline that an answer on its way, and a client that reads late, may take.
+SLACK_S = 0.05
+MOST_UNKNOWN_REPORTED = 5  # requests that no client sent: the first few show what went wrong
+# Answers that promise that the request was not started: Too Many Requests, Service Unavailable.
+REJECTIONS = frozenset((HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE))
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +39,7 @@
     """One request. Times are of the monotonic clock, in seconds."""
 
     id: str
-    work: int
+    work: int  # index into the load's classes
     sent: float  # its last byte was written
     wait: float  # for so long the client waits
     tenant: str = ""
@@ -40,6 +51,7 @@
 
     @property
     def took(self) -> float:
+        """Seconds from the request to its answer; of use only where there is an answer."""
         return self.done - self.sent
 
 
@@ -59,22 +71,39 @@
     refusal_took: list[float] = field(default_factory=list)
 
     def adds_up(self) -> bool:
+        """Whether every request sent is in exactly one column."""
         parts = self.in_aim + self.served + self.late + self.refused + self.failed + self.unanswered
         return parts == self.sent
 
 
+# Columns of a Tally that are numbers; the lists of durations are joined.
+SUMMED_COLUMNS = (
+    "sent",
+    "in_aim",
+    "served",
+    "late",
+    "refused",
+    "failed",
+    "unanswered",
+    "worth",
+)
+
+
 def tally(records: Iterable[Record], works: Sequence[Work]) -> dict[str, Tally]:
-    """What became of the requests, a row a class."""
+    """Count what became of the requests: one row a class, by the class's name.
+
+    A 200 counts as late when it came more than `SLACK_S` after its client's wait.
+    """
     rows = {work.name: Tally() for work in works}
     for record in records:
         work, row = works[record.work], rows[works[record.work].name]
         row.sent += 1
         if not record.status:
             row.unanswered += 1
-        elif record.status in (429, 503):
+        elif record.status in REJECTIONS:
             row.refused += 1
             row.refusal_took.append(record.took)
-        elif record.status != 200:
+        elif record.status != HTTPStatus.OK:
             row.failed += 1
         else:
             row.took.append(record.took)
@@ -89,19 +118,10 @@
 
 
 def total(rows: Iterable[Tally]) -> Tally:
-    """All classes in one row."""
+    """The sum of all rows; durations are joined."""
     whole = Tally()
     for row in rows:
-        for name in (
-            "sent",
-            "in_aim",
-            "served",
-            "late",
-            "refused",
-            "failed",
-            "unanswered",
-            "worth",
-        ):
+        for name in SUMMED_COLUMNS:
             setattr(whole, name, getattr(whole, name) + getattr(row, name))
         whole.took += row.took
         whole.refusal_took += row.refusal_took
@@ -109,7 +129,7 @@
 
 
 def percentile(values: Sequence[float], q: float) -> float:
-    """The value below which the share `q` of the values lies; 0 where there are none."""
+    """The value below which the share `q` (0 to 1) of the values lies; 0 without values."""
     return sorted(values)[min(len(values) - 1, int(q * len(values)))] if values else 0.0
 
 
@@ -126,13 +146,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A host that was told to take no more work, from `told` until it was told otherwise."""
+    """A host that takes no more work, from `told` until it was told otherwise.
+
+    Times are of the monotonic clock, in seconds.
+    """
 
     host: str
     told: float
     until: float = float("inf")
     deaf: frozenset[int] = frozenset()  # gateways that could not hear of it
 
+    def forbids(self, receipt: Receipt) -> bool:
+        """Whether the host got this request after the grace, from a gateway that knew."""
+        return (
+            receipt.by not in self.deaf
+            and receipt.host == self.host
+            and self.told + GRACE_S < receipt.at < self.until
+        )
+
+
+class _FirstSend(NamedTuple):
+    """The first send of an idempotency key: of which request, and when.
+
+    `at` is of the monotonic clock, in seconds.
+    """
+
+    request_id: str
+    at: float
+
 
 def broken_rules(
     records: Sequence[Record],
@@ -141,54 +182,75 @@
     most_sends: int = 4,
     drains: Sequence[Drain] = (),
 ) -> list[str]:
-    """What in the account no gateway may do: serve what no host received, send what no client asked for, send
-    a request more often than it may, a key after its window or twice for two requests, anything to a host
-    that was told to drain for longer than the grace, or serve after the client's deadline. Empty: all is in
-    order."""
-    broken = []
-    sends: Counter[str] = Counter()
-    hosts: dict[str, set[str]] = defaultdict(set)
-    keys: dict[str, tuple[str, float]] = {}  # the request that first came with it, and when
-    window = min((work.window for work in works if work.keyed), default=0.0)
-    for receipt in sorted(receipts, key=lambda one: one.at):
-        sends[receipt.id] += 1
-        hosts[receipt.id].add(receipt.host)
+    """Violations of what every gateway must keep, one sentence each; empty when there are none.
+
+    No gateway may report an answer that no host gave, send a request that no client asked for,
+    send one request more than `most_sends` times, use an idempotency key for two requests or after
+    its window, send anything to a draining host after the grace period, or answer 200 after the
+    client's deadline.
+    """
+    ordered = sorted(receipts, key=lambda receipt: receipt.at)
+    sends = Counter(receipt.id for receipt in ordered)
+    return [
+        *_broken_by_receipts(ordered, works, drains),
+        *_broken_by_request_ids(records, ordered, sends),
+        *_broken_by_answers(records, sends, most_sends),
+        *_broken_by_counters(records, works),
+    ]
+
+
+def _broken_by_receipts(
+    ordered: Sequence[Receipt], works: Sequence[Work], drains: Sequence[Drain]
+) -> Iterator[str]:
+    """Violations that single receipts show, oldest receipt first."""
+    first_sends: dict[str, _FirstSend] = {}
+    window_s = min((work.window for work in works if work.keyed), default=0.0)
+    for receipt in ordered:
         if receipt.key:
-            first, at = keys.setdefault(receipt.key, (receipt.id, receipt.at))
-            if first != receipt.id:
-                broken.append(f"key {receipt.key}: of {first}, sent with {receipt.id} too")
-            if receipt.at > at + window:
-                broken.append(
-                    f"key {receipt.key}: sent {receipt.at - at:.1f} s after it was sent first"
-                )
+            first = first_sends.setdefault(receipt.key, _FirstSend(receipt.id, receipt.at))
+            yield from _broken_by_key(receipt, first, window_s)
         for drain in drains:
-            heard = receipt.by not in drain.deaf
-            if (
-                heard
-                and drain.host == receipt.host
-                and drain.told + GRACE_S < receipt.at < drain.until
-            ):
-                late = receipt.at - drain.told
-                broken.append(
-                    f"{receipt.id}: sent to {drain.host} {late:.3f} s after it was told to drain"
-                )
+            if drain.forbids(receipt):
+                late = f"{receipt.at - drain.told:.3f} s after it was told to drain"
+                yield f"{receipt.id}: sent to {drain.host} {late}"
+
+
+def _broken_by_key(receipt: Receipt, first: _FirstSend, window_s: float) -> Iterator[str]:
+    """Violations of a receipt with an idempotency key, against that key's first send."""
+    if first.request_id != receipt.id:
+        yield f"key {receipt.key}: of {first.request_id}, sent with {receipt.id} too"
+    if receipt.at > first.at + window_s:
+        yield f"key {receipt.key}: sent {receipt.at - first.at:.1f} s after it was sent first"
+
+
+def _broken_by_request_ids(
+    records: Sequence[Record], ordered: Sequence[Receipt], sends: Counter[str]
+) -> Iterator[str]:
+    """Ids that clients used twice, and requests at hosts that no client sent."""
     asked = {record.id for record in records}
     if len(asked) != len(records):
-        broken.append("a client used an id twice")
-    for stray in sorted(sends.keys() - asked)[:5]:
-        broken.append(f"{stray}: sent to {sorted(hosts[stray])}, asked for by nobody")
+        yield "a client used an id twice"
+    unknown = sorted(sends.keys() - asked)[:MOST_UNKNOWN_REPORTED]
+    for request_id in unknown:
+        hosts = sorted({receipt.host for receipt in ordered if receipt.id == request_id})
+        yield f"{request_id}: sent to {hosts}, asked for by nobody"
+
+
+def _broken_by_answers(
+    records: Sequence[Record], sends: Counter[str], most_sends: int
+) -> Iterator[str]:
+    """Answers without a send or after the deadline, and requests that were sent too often."""
     for record in records:
-        if record.status == 200 and not sends[record.id]:
-            broken.append(f"{record.id}: served, received by no host")
-        if record.status == 200 and record.took > record.wait + SLACK_S:
-            broken.append(
-                f"{record.id}: served {record.took - record.wait:.3f} s after its deadline"
-            )
+        if record.status == HTTPStatus.OK and not sends[record.id]:
+            yield f"{record.id}: served, received by no host"
+        if record.status == HTTPStatus.OK and record.took > record.wait + SLACK_S:
+            yield f"{record.id}: served {record.took - record.wait:.3f} s after its deadline"
         if sends[record.id] > most_sends:
-            broken.append(f"{record.id}: sent {sends[record.id]} times")
-    broken += [
-        f"{name}: does not add up"
-        for name, row in tally(records, works).items()
-        if not row.adds_up()
-    ]
-    return broken
+            yield f"{record.id}: sent {sends[record.id]} times"
+
+
+def _broken_by_counters(records: Sequence[Record], works: Sequence[Work]) -> Iterator[str]:
+    """Classes whose columns do not sum to the requests sent: a fault of the account itself."""
+    for name, row in tally(records, works).items():
+        if not row.adds_up():
+            yield f"{name}: does not add up"
--- a/testbed/beside.py
+++ b/testbed/beside.py
@@ -12,28 +12,32 @@
 
 from testbed.gateway import GatewayProcess, free_port
 
-YES_S = 6.0  # in which operators want the new process's yes
-END_S = 4.0  # after SIGTERM, until SIGKILL: the longest deadline and room
+READY_TIMEOUT_S = 6.0  # operators give up on a new process that is not ready by then
+READY_POLL_S = 0.02  # between two calls of /healthcheck
+END_S = 4.0  # from SIGTERM to SIGKILL: more than the longest deadline of a request
 
 
 class BesideGateway(GatewayProcess):
-    """`process` is the one that serves."""
+    """A gateway that is upgraded by starting a sibling process for the same address.
+
+    `process` is the one that serves; `admin` is the port of its operators' address.
+    """
 
     def __init__(
-        self, folder: Path, discovery_port: int, told: dict[str, Any], sockets: int = 4096
+        self, folder: Path, discovery_port: int, balancing: dict[str, Any], sockets: int = 4096
     ) -> None:
-        super().__init__(folder, discovery_port, told, sockets)
+        super().__init__(folder, discovery_port, balancing, sockets)
         self.folder = folder / "tmp"
         self.folder.mkdir()
-        self.ended: list[
-            int | None
-        ] = []  # statuses of the processes that were told to end; None: killed
+        # Exit statuses of the processes that were told to end; None: had to be killed.
+        self.ended: list[int | None] = []
 
     async def start(self, log: bool = False, command: Sequence[str] = ("-m", "quillroad")) -> Self:
+        """Start the first process and wait until `/up` answers 200."""
         self.admin = free_port()
-        return await self._start(command, self._told(self.admin), log)
+        return await self._start(command, self._environment(self.admin), log)
 
-    def _told(self, admin: int) -> dict[str, str]:
+    def _environment(self, admin: int) -> dict[str, str]:
         path = self.reconfigure()
         return {
             "GW_CONFIG": str(path),
@@ -42,34 +46,42 @@
         }
 
     async def newcomer(self) -> tuple[asyncio.subprocess.Process, int]:
-        """Start another process beside; returns it with its operators' port."""
+        """Start a sibling process; returns it and the port of its operators' address."""
         admin = free_port()
-        return await self._spawn(("-m", "quillroad"), self._told(admin), False), admin
+        return await self._spawn(("-m", "quillroad"), self._environment(admin), False), admin
 
     async def yes(self, process: asyncio.subprocess.Process, admin: int) -> bool:
-        """Wait for a process's yes, as long as operators do; False where it ends or says none."""
+        """Wait until a process says that it is ready, for as long as operators do.
+
+        Returns False where it ends first, or is not ready within `READY_TIMEOUT_S`.
+        """
         loop = asyncio.get_running_loop()
-        until = loop.time() + YES_S
+        until = loop.time() + READY_TIMEOUT_S
         while loop.time() < until and process.returncode is None:
             if await self.call("GET", "/healthcheck", admin) == 200:
                 return True
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(READY_POLL_S)
         return False
 
     async def upgrade(self) -> bool:
-        """As operators do it: start, wait for its yes, end the one before. Without a yes the new one ends."""
+        """Upgrade as operators do: start a sibling, wait until it is ready, end the one before.
+
+        Returns False, with the sibling killed, where that was not ready in time.
+        """
         process, admin = await self.newcomer()
         if not await self.yes(process, admin):
             await self._end(process, signal.SIGKILL)
             return False
-        before, self.process, self.admin = self.process, process, admin
+        before = self.process
         assert before is not None
+        self.process = process
+        self.admin = admin
         await self._end(before, signal.SIGTERM)
         return True
 
-    async def _end(self, process: asyncio.subprocess.Process, number: int) -> None:
+    async def _end(self, process: asyncio.subprocess.Process, signal_number: int) -> None:
         with contextlib.suppress(ProcessLookupError):
-            os.kill(process.pid, number)
+            os.kill(process.pid, signal_number)
         try:
             async with asyncio.timeout(END_S):
                 await process.wait()
--- a/testbed/builds.py
+++ b/testbed/builds.py
@@ -1,16 +1,16 @@
-"""Builds of the gateway that are broken in a chosen way, for upgrades: as a module that comes before the
-build's own.
+"""Builds of the gateway that are broken in a chosen way, to test upgrades.
 
-`Builds(folder)` puts what is asked for on the disk; processes that start from then on are that build. The
-folder goes in front of the gateway's modules (`PYTHONPATH`), and only processes that hand over are changed.
+`Builds(folder)` puts a module `sitecustomize` on the disk, in a folder that comes before the
+gateway's own modules (`PYTHONPATH`); processes that start from then on are that build. Only
+processes that take part in a hand-over are changed.
 """
 
 from __future__ import annotations
 
 from pathlib import Path
 
-# What every build has: it ends itself in place of sending a message that the file `fault` names, with its
-# process id before it where one process is meant.
+# Common to all builds: the process kills itself in place of sending the message whose class the
+# file `fault` names, if that file names its process id, too, or `new` and it is a new process.
 HEAD = """
 import os, sys, time
 FOLDER = {folder!r}
@@ -61,7 +61,7 @@
 
 
 class Builds:
-    """The build on the disk."""
+    """The build on the disk, in `folder`, which is made here."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -69,7 +69,10 @@
         self.put("")
 
     def put(self, broken: str) -> None:
-        """From now on processes start as a build that is broken like this; empty: a good one."""
+        """Let processes that start from now on be broken in this way.
+
+        `broken` is a key of `BROKEN`, empty for a good build; raises KeyError for any other.
+        """
         text = BROKEN[broken].strip("\n")
         body = "\n".join(
             line if line.startswith("    ") else f"    {line}" for line in text.split("\n")
@@ -79,13 +82,17 @@
         )
 
     def mark_new(self) -> None:
-        """Processes that start from now on are meant by `new` in a fault."""
+        """Let `new` in a fault mean the processes that start from now on."""
         (self.folder / "new").touch()
 
     def fault(self, who: int | str, kind: str) -> None:
-        """`who` (a process id, or `new`) ends in place of sending its next message of this kind."""
+        """Let a process end in place of sending its next message of this type.
+
+        `who` is a process id, or `new`; `kind` is the name of the message's class.
+        """
         (self.folder / "fault").write_text(f"{who} {kind}")
 
     def no_fault(self) -> None:
+        """Take back what `fault` and `mark_new` have set."""
         for name in ("fault", "new"):
             (self.folder / name).unlink(missing_ok=True)
--- a/testbed/clients.py
+++ b/testbed/clients.py
@@ -1,8 +1,7 @@
-"""Clients that speak the gateway's HTTP: open-loop by a schedule, and closed-loop; a record each request.
+"""Clients that speak the gateway's HTTP: open loop by a schedule, and closed loop.
 
-A client sends one request at a time on a connection and never asks again by itself. What the
-testbed can't send
-in time is the testbed's own fault and shows in `lag`.
+A client sends one request at a time on a connection and never retries by itself. Requests that the
+testbed itself sends late show in `lag`.
 """
 
 from __future__ import annotations
@@ -18,10 +17,21 @@
 from testbed.account import Record, Work
 
 GRACE_S = 0.5  # past the deadline, for late answers to show that they are late
+SEND_EARLY_S = 0.0005  # a request may go out this much before its time: sleeps are no finer
+YIELD_LATE_S = 0.01  # a sender this late lets answers be read before it sends on
+SETTLE_POLL_S = 0.01  # between two looks at whether every request has its answer
+
+HEAD_END = b"\r\n\r\n"
+
+
+def _header(head: bytes, name: bytes) -> bytes:
+    """A number in a head given in lower case, as text; `0` where the head has no such header."""
+    at = head.find(name + b":")
+    return b"0" if at < 0 else head[at + len(name) + 1 :].split(b"\r\n", 1)[0]
 
 
 class Connection(asyncio.Protocol):
-    """One client connection."""
+    """One client connection, with at most one request on it."""
 
     def __init__(self, load: Load) -> None:
         self._load = load
@@ -32,47 +42,83 @@
         self._data = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport, and the socket, which tells when data came."""
         self.transport = cast(asyncio.Transport, transport)
         self._sock: Socket = transport.get_extra_info("socket")
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Tell the load, which records the request as unanswered or sends it again."""
         self.transport = None
         self._load.lost(self)
 
     def send(self, record: Record, data: bytes) -> None:
+        """Send a request and note when; the connection must be open and idle."""
         assert self.transport is not None
-        self.record, record.first_on_connection, self.used = record, not self.used, True
+        self.record = record
+        record.first_on_connection = not self.used
+        self.used = True
         self.sent = data
         record.sent = record.sent or time.monotonic()
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
+        """Read responses; they must have a Content-Length."""
         self._data += data
-        while (end := self._data.find(b"\r\n\r\n")) >= 0:
+        while (end := self._data.find(HEAD_END)) >= 0:
             head = self._data[:end].lower()
-            at = head.find(b"content-length:")
-            size = int(head[at + 15 :].split(b"\r\n", 1)[0]) if at >= 0 else 0
-            if len(self._data) < end + 4 + size:
+            body_at = end + len(HEAD_END)
+            size = int(_header(head, b"content-length"))
+            if len(self._data) < body_at + size:
                 return
-            self._data = self._data[end + 4 + size :]
-            record, self.record = self.record, None
-            if record is not None:
-                # When it came to this machine: a client that reads late makes no answer late.
-                record.done = time.monotonic() - data_age(self._sock)
-                record.status = int(head[9:12])
-                at = head.find(b"retry-after:")
-                record.retry_after = float(head[at + 12 :].split(b"\r\n", 1)[0]) if at >= 0 else 0.0
-            keep = b"connection: close" not in head
-            if not keep and self.transport is not None:
-                self.transport.close()
-            self._load.answered(self, record, keep)
+            self._data = self._data[body_at + size :]
+            self._answered(head)
+
+    def _answered(self, head: bytes) -> None:
+        """Note a whole response, by its head in lower case, in the record of its request."""
+        record = self.record
+        self.record = None
+        if record is not None:
+            # When it came to this machine: a client that reads late makes no answer late.
+            record.done = time.monotonic() - data_age(self._sock)
+            record.status = int(head[9:12])
+            record.retry_after = float(_header(head, b"retry-after"))
+        keep = b"connection: close" not in head
+        if not keep and self.transport is not None:
+            self.transport.close()
+        self._load.answered(self, record, keep)
+
+
+def _request_bytes(request_class: Work, request_id: str, tenant: str, key: int) -> bytes:
+    """A request as it goes on the wire; `key` is the last part of its path."""
+    method, key_headers, body = b"GET", b"", b""
+    if request_class.keyed:
+        method = b"POST"
+        key_headers = b"Idempotency-Key: k-%b\r\nContent-Length: %d\r\n" % (
+            request_id.encode(),
+            request_class.body,
+        )
+        body = b"x" * request_class.body
+    return (
+        b"%b /%b/w%d HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: %b\r\nTenant: %b\r\n"
+        b"Request-Timeout-Ms: %d\r\n%b\r\n%b"
+    ) % (
+        method,
+        request_class.name.encode(),
+        key,
+        request_id.encode(),
+        tenant.encode(),
+        round(request_class.deadline * 1000),
+        key_headers,
+        body,
+    )
 
 
 class Load:
     """Sends requests of a mix to one gateway and keeps a record of each.
 
-    `shares` weigh the classes of `works`; `tenants` and `keys` are dealt out evenly and at random. `most`
-    bounds the connections that an open-loop client opens; arrivals past it are counted in `unsent`.
+    `shares` weigh the classes of `works`; `tenants` and `keys` are dealt out evenly and at random.
+    `most` bounds the connections that an open-loop client opens; arrivals beyond it are counted in
+    `unsent`. `lag` is the most that a scheduled arrival was sent late, in seconds.
     """
 
     def __init__(
@@ -87,13 +133,17 @@
         seed: int = 1,
         prefix: str = "c",
     ) -> None:
-        self.address, self.works = address, works
+        self.address = address
+        self.works = works
         self.records: list[Record] = []
         self.unsent = 0
         self.lag = 0.0  # the most that a scheduled arrival was sent late, in seconds
-        self._shares = list(itertools.accumulate(shares))
-        self._tenants, self._keys, self._most = tenants, keys, most
-        self._chance, self._prefix = random.Random(seed), prefix
+        self._cumulative_weights = list(itertools.accumulate(shares))
+        self._tenants = tenants
+        self._keys = keys
+        self._most = most
+        self._random = random.Random(seed)
+        self._prefix = prefix
         self._connections: set[Connection] = set()
         self._idle: list[Connection] = []
         self.refused_connects = 0  # that the gateway's address did not take
@@ -102,37 +152,22 @@
         self._end = 0.0
 
     def request(self, work: int | None = None) -> tuple[Record, bytes]:
-        """A new request: its record and its bytes."""
+        """Make a new request, of class `work` or a random one: its record and its bytes."""
         if work is None:
-            drawn = self._chance.random() * self._shares[-1]
-            work = next(i for i, share in enumerate(self._shares) if drawn <= share)
-        told = self.works[work]
-        number = f"{self._prefix}{len(self.records):x}"
-        tenant = self._tenants[int(self._chance.random() * len(self._tenants))]
-        record = Record(number, work, 0.0, told.deadline, tenant)
+            drawn = self._random.random() * self._cumulative_weights[-1]
+            work = next(i for i, bound in enumerate(self._cumulative_weights) if drawn <= bound)
+        request_class = self.works[work]
+        request_id = f"{self._prefix}{len(self.records):x}"
+        tenant = self._tenants[int(self._random.random() * len(self._tenants))]
+        record = Record(request_id, work, 0.0, request_class.deadline, tenant)
         self.records.append(record)
-        key = int(self._chance.random() * self._keys)
-        more = b""
-        if told.keyed:
-            more = b"Idempotency-Key: k-%b\r\nContent-Length: %d\r\n" % (number.encode(), told.body)
-        data = (
-            b"%b /%b/w%d HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: %b\r\nTenant: %b\r\n"
-            b"Request-Timeout-Ms: %d\r\n%b\r\n%b"
-        ) % (
-            b"POST" if told.keyed else b"GET",
-            told.name.encode(),
-            key,
-            number.encode(),
-            tenant.encode(),
-            round(told.deadline * 1000),
-            more,
-            b"x" * told.body if told.keyed else b"",
-        )
-        return record, data
+        key = int(self._random.random() * self._keys)
+        return record, _request_bytes(request_class, request_id, tenant, key)
 
     # Called by connections.
 
     def answered(self, connection: Connection, record: Record | None, keep: bool) -> None:
+        """A response has come whole; `keep`: its connection takes another request."""
         if self._again and time.monotonic() < self._end:
             if keep:
                 connection.send(*self.request())
@@ -142,14 +177,17 @@
             self._idle.append(connection)
 
     def lost(self, connection: Connection) -> None:
+        """A connection has ended, maybe with a request that has no answer."""
         self._connections.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
-        record, connection.record = connection.record, None
+        record = connection.record
+        connection.record = None
         if record is None:
             return
         if not record.first_on_connection and not record.again:
-            # The gateway may close between two requests: one that crossed it is sent once more, on a new one.
+            # A gateway may close a connection between two requests. A request that was already on
+            # its way then is sent once more on a new connection; otherwise it would count as lost.
             record.again = True
             self._open(True, (record, connection.sent))
         elif self._again and time.monotonic() < self._end:
@@ -191,40 +229,44 @@
         self._open(True)
 
     async def open_loop(self, times: Iterable[float]) -> None:
-        """Send at the given times, whatever became of the requests before, then wait for the last answers."""
+        """Send at the given times (seconds from now), whatever became of the requests before.
+
+        Returns once the last request has its answer or its client has given up.
+        """
         began = time.monotonic()
         for at in times:
-            while (wait := began + at - time.monotonic()) > 0.0005:
-                await asyncio.sleep(wait)
-            self.lag = max(self.lag, -wait)
+            while (left_s := began + at - time.monotonic()) > SEND_EARLY_S:
+                await asyncio.sleep(left_s)
+            self.lag = max(self.lag, -left_s)
             self._arrive()
-            if wait < -0.01:
-                await asyncio.sleep(0)  # late: let answers in between
+            if left_s < -YIELD_LATE_S:
+                await asyncio.sleep(0)
         await self.settle()
 
     async def closed_loop(self, connections: int, seconds: float) -> None:
-        """So many clients at once, each asking again as soon as it is answered, for `seconds`."""
-        self._again, self._end = True, time.monotonic() + seconds
+        """Run so many clients for `seconds`, each asking again as soon as it is answered."""
+        self._again = True
+        self._end = time.monotonic() + seconds
         for _ in range(connections):
             self._open(True)
         await asyncio.sleep(seconds)
         await self.settle()
 
     async def once(self, count: int, silent: int = 0) -> None:
-        """A storm: `count` connects and first requests in one instant, and `silent` connects that say
-        nothing."""
-        for i in range(count + silent):
-            self._open(i % ((count + silent) // silent) != 0 if silent else True)
+        """Open `count` connections with a request each, and `silent` without, at one instant."""
+        connects = count + silent
+        for i in range(connects):
+            self._open(i % (connects // silent) != 0 if silent else True)
         await self.settle()
 
     async def settle(self) -> None:
-        """Until every request has its answer or its client has waited long enough; then all is closed."""
+        """Wait until every request has its answer or its client has given up; then close all."""
         longest = max(work.deadline for work in self.works) + GRACE_S
         end = time.monotonic() + longest
         while time.monotonic() < end:
             if not self._opening and not any(c.record is not None for c in self._connections):
                 break
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(SETTLE_POLL_S)
         for task in list(self._opening):
             task.cancel()
         for connection in list(self._connections):
--- a/testbed/consul.py
+++ b/testbed/consul.py
@@ -1,9 +1,8 @@
 """A stand-in for Consul's agents: the health API with true index semantics, and faults on command.
 
-One `Catalogue` stands for the servers, and any number of agents answer from it: blocking queries return when
-the index of the service passes theirs, or after their wait. Faults are an agent's own: silence (accepts and
-says nothing), no leader, denied, half a body, an endless body, delays; or the catalogue's: an index that goes
-back.
+One `Catalogue` stands for the servers, and any number of agents answer from it: blocking queries
+return when the index of the service passes theirs, or after their wait. Faults are an agent's own
+(`Fault`), or the catalogue's: an index that goes back.
 """
 
 from __future__ import annotations
@@ -11,15 +10,46 @@
 import asyncio
 import json
 from dataclasses import dataclass, field
+from enum import StrEnum
+from http import HTTPStatus
 from time import monotonic
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs, unquote, urlsplit
 
 SERVICE = "licence-node"
+MOST_REMEMBERED = 100  # of the latest requests, for tests to look at
+ENDLESS_BYTES = 10**9  # length that an endless body announces
+
+
+class Fault(StrEnum):
+    """What an agent does in place of answering."""
+
+    NONE = ""
+    SILENT = "silent"  # accepts, and never answers
+    NO_LEADER = "no-leader"
+    DENIED = "denied"
+    BUSY = "busy"
+    HALF = "half"  # ends the connection in the middle of a body
+    ENDLESS = "endless"  # a body that goes on beyond all bounds
+    GARBAGE = "garbage"  # 200 with a body that is no JSON
+
+
+class _Refusal(NamedTuple):
+    """An error response of the API."""
+
+    status: int
+    body: bytes
+
+
+REFUSALS = {
+    Fault.NO_LEADER: _Refusal(500, b"No cluster leader"),
+    Fault.DENIED: _Refusal(403, b"Permission denied"),
+    Fault.BUSY: _Refusal(429, b"rate limit reached"),
+}
 
 
 def seconds(text: str) -> float:
-    """A duration as the API takes it: 200ms, 10s, 5m."""
+    """A duration as the API takes it (200ms, 10s, 5m), in seconds; raises ValueError."""
     for unit, factor in (("ms", 0.001), ("s", 1.0), ("m", 60.0)):
         if text.endswith(unit):
             return float(text.removesuffix(unit)) * factor
@@ -28,7 +58,7 @@
 
 @dataclass
 class Registered:
-    """One instance in the catalogue."""
+    """One instance in the catalogue; `status` is that of its own check."""
 
     node: str
     service_id: str
@@ -78,7 +108,10 @@
 
 
 class Catalogue:
-    """What the servers hold. `change` is what an operator or a check does; returns when it was written."""
+    """What the servers hold.
+
+    Methods that change it return when that was written (monotonic clock, seconds).
+    """
 
     def __init__(self) -> None:
         self.index = 10
@@ -86,14 +119,17 @@
         self._changed = asyncio.Event()
 
     def register(self, one: Registered) -> float:
+        """Add an instance, or replace the one of the same node and id."""
         self.instances[one.node, one.service_id] = one
         return self._touch()
 
     def deregister(self, node: str, service_id: str) -> float:
+        """Remove an instance; raises KeyError where there is none."""
         del self.instances[node, service_id]
         return self._touch()
 
     def change(self, node: str, service_id: str, **changes: Any) -> float:
+        """Set fields of an instance, as an operator or a check does; raises KeyError."""
         for name, value in changes.items():
             setattr(self.instances[node, service_id], name, value)
         return self._touch()
@@ -105,12 +141,13 @@
 
     def _touch(self) -> float:
         self.index += 1
-        changed, self._changed = self._changed, asyncio.Event()
+        changed = self._changed
+        self._changed = asyncio.Event()
         changed.set()
         return monotonic()
 
     async def past(self, index: int, wait_s: float) -> None:
-        """Until the index is another than `index`, or for so long."""
+        """Wait until the index is another than `index`, at most for `wait_s`."""
         end = monotonic() + wait_s
         while self.index == index and (left := end - monotonic()) > 0:
             try:
@@ -119,15 +156,25 @@
                 return
 
     def body(self) -> bytes:
+        """The answer to a query of the service, as JSON."""
         return json.dumps([one.entry() for one in self.instances.values()]).encode()
 
 
+async def _for_ever() -> None:
+    """Until the agent stops, which cancels the task."""
+    await asyncio.Event().wait()
+
+
 class Agent:
-    """One agent. `fault` is what it does instead of answering: "" for none, "silent", "no-leader", "denied",
-    "busy", "half", "endless", "garbage"; `token` is the one that it wants, where it wants one."""
+    """One agent on a free port of 127.0.0.1.
+
+    `fault` is what it does in place of answering; `token` is the one that it wants, empty for none.
+    """
 
     def __init__(self, catalogue: Catalogue, token: str = "") -> None:
-        self.catalogue, self.token, self.fault = catalogue, token, ""
+        self.catalogue = catalogue
+        self.token = token
+        self.fault = Fault.NONE
         self.asked = 0
         self.node = "own"
         self.own: dict[str, float] = {}  # its own services, and their time to live
@@ -138,17 +185,22 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> Agent:
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.port: int = self._server.sockets[0].getsockname()[1]
         return self
 
     @property
     def address(self) -> tuple[str, int]:
+        """Host and port of its API."""
         return "127.0.0.1", self.port
 
     def fail(self, fault: str) -> None:
-        """From now on, for queries that are open too: a silent agent says nothing more to anybody."""
-        self.fault = fault
+        """Let it fail like this from now on, for open queries too; raises ValueError.
+
+        `fault` is a value of `Fault`, empty for none.
+        """
+        self.fault = Fault(fault)
 
     def drop(self) -> None:
         """Break off all that is open, as an agent that dies does."""
@@ -156,6 +208,7 @@
             writer.transport.abort()
 
     def stop(self) -> None:
+        """Close the listener and all connections, and forget its own services."""
         self._server.close()
         self.drop()
         for task in self._tasks:
@@ -169,47 +222,59 @@
         task.add_done_callback(self._tasks.discard)
 
     def put(self, path: str, body: bytes) -> int:
-        """A word about this agent's own services; returns the status
-        (api-docs/agent/service, agent/check)."""
+        """Carry out a PUT about this agent's own services; returns the status.
+
+        Source: Consul's api-docs/agent/service and agent/check.
+        """
         self.words.append(path)
-        del self.words[:-100]
+        del self.words[:-MOST_REMEMBERED]
         what, _, name = path.removeprefix("/v1/agent/").rpartition("/")
         if what == "service" and name == "register":
-            told = json.loads(body)
-            one = told["ID"]
-            self.own[one] = seconds(told["Check"]["TTL"])
-            self.catalogue.register(
-                Registered(
-                    self.node,
-                    one,
-                    told["Address"],
-                    told["Port"],
-                    told["Check"]["Status"],
-                    meta=told["Meta"],
-                )
-            )
+            registration = json.loads(body)
+            service_id = registration["ID"]
+            self._register(service_id, registration)
         else:
-            one = unquote(name).removeprefix("service:" if what == "check/update" else "")
-            if one not in self.own:
-                return 404
+            service_id = unquote(name).removeprefix("service:" if what == "check/update" else "")
+            if service_id not in self.own:
+                return HTTPStatus.NOT_FOUND
             if what == "service/deregister":
-                self.forget(one)
-                self.catalogue.deregister(self.node, one)
-                return 200
-            self.catalogue.change(self.node, one, status=json.loads(body)["Status"])
-        if (timer := self._ttls.pop(one, None)) is not None:
+                self.forget(service_id)
+                self.catalogue.deregister(self.node, service_id)
+                return HTTPStatus.OK
+            self.catalogue.change(self.node, service_id, status=json.loads(body)["Status"])
+        self._restart_ttl(service_id)
+        return HTTPStatus.OK
+
+    def _register(self, service_id: str, registration: dict[str, Any]) -> None:
+        check = registration["Check"]
+        self.own[service_id] = seconds(check["TTL"])
+        self.catalogue.register(
+            Registered(
+                self.node,
+                service_id,
+                registration["Address"],
+                registration["Port"],
+                check["Status"],
+                meta=registration["Meta"],
+            )
+        )
+
+    def _restart_ttl(self, service_id: str) -> None:
+        self._cancel_ttl(service_id)
+        loop = asyncio.get_running_loop()
+        self._ttls[service_id] = loop.call_later(self.own[service_id], self._expired, service_id)
+
+    def _cancel_ttl(self, service_id: str) -> None:
+        if (timer := self._ttls.pop(service_id, None)) is not None:
             timer.cancel()
-        self._ttls[one] = asyncio.get_running_loop().call_later(self.own[one], self._expired, one)
-        return 200
 
-    def _expired(self, one: str) -> None:
-        self.catalogue.change(self.node, one, status="critical")
+    def _expired(self, service_id: str) -> None:
+        self.catalogue.change(self.node, service_id, status="critical")
 
     def forget(self, one: str) -> None:
         """Lose a service, as an agent does whose disk was lost."""
         self.own.pop(one, None)
-        if (timer := self._ttls.pop(one, None)) is not None:
-            timer.cancel()
+        self._cancel_ttl(one)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._open.add(writer)
@@ -228,51 +293,52 @@
             writer.close()
 
     async def _put(self, head: str, body: bytes, writer: asyncio.StreamWriter) -> None:
-        if self.fault == "silent":
-            await asyncio.Event().wait()
+        if self.fault is Fault.SILENT:
+            await _for_ever()
         path = urlsplit(head.split()[1]).path
-        wrong = {"no-leader": 500, "denied": 403, "busy": 429}.get(self.fault)
-        self._write(writer, wrong or self.put(path, body), b"")
+        refusal = REFUSALS.get(self.fault)
+        self._write(writer, self.put(path, body) if refusal is None else refusal.status, b"")
 
     async def _answer(self, head: str, writer: asyncio.StreamWriter) -> None:
         line, *headers = head.strip().split("\r\n")
         target = line.split()[1]
         self.asked += 1
         self.targets.append(target)
-        del self.targets[:-100]
+        del self.targets[:-MOST_REMEMBERED]
         query = parse_qs(urlsplit(target).query, keep_blank_values=True)
-        told = {
+        values = {
             name.strip().lower(): value.strip()
-            for name, _, value in (h.partition(":") for h in headers)
+            for name, _, value in (header.partition(":") for header in headers)
         }
-        if self.token and told.get("x-consul-token") != self.token:
-            return self._write(writer, 403, b"Permission denied")
+        if self.token and values.get("x-consul-token") != self.token:
+            self._write(writer, *REFUSALS[Fault.DENIED])
+            return
         if index := int(query.get("index", ["0"])[0]):
             await self.catalogue.past(index, seconds(query.get("wait", ["5m"])[0]))
-        if self.fault == "silent":
-            await asyncio.Event().wait()
+        if self.fault is Fault.SILENT:
+            await _for_ever()
+        await self._write_list(writer)
+
+    async def _write_list(self, writer: asyncio.StreamWriter) -> None:
+        """Answer with the list of instances, or as the fault of this moment has it."""
         body = self.catalogue.body()
-        if self.fault == "no-leader":
-            self._write(writer, 500, b"No cluster leader")
-        elif self.fault == "denied":
-            self._write(writer, 403, b"Permission denied")
-        elif self.fault == "busy":
-            self._write(writer, 429, b"rate limit reached")
-        elif self.fault == "garbage":
-            self._write(writer, 200, b"{]")
-        elif self.fault == "half":
-            self._write(writer, 200, body[: len(body) // 2], len(body))
-        elif self.fault == "endless":
-            self._write(writer, 200, b"[" + b" " * 1000, 10**9)
-            await asyncio.Event().wait()
+        if self.fault in REFUSALS:
+            self._write(writer, *REFUSALS[self.fault])
+        elif self.fault is Fault.GARBAGE:
+            self._write(writer, HTTPStatus.OK, b"{]")
+        elif self.fault is Fault.HALF:
+            self._write(writer, HTTPStatus.OK, body[: len(body) // 2], len(body))
+        elif self.fault is Fault.ENDLESS:
+            self._write(writer, HTTPStatus.OK, b"[" + b" " * 1000, ENDLESS_BYTES)
+            await _for_ever()
         else:
-            self._write(writer, 200, body)
+            self._write(writer, HTTPStatus.OK, body)
 
     def _write(
         self, writer: asyncio.StreamWriter, status: int, body: bytes, length: int | None = None
     ) -> None:
         lines = [
-            f"HTTP/1.1 {status} Told",
+            f"HTTP/1.1 {int(status)} Told",
             "Content-Type: application/json",
             "X-Consul-KnownLeader: true",
             f"X-Consul-Index: {self.catalogue.index}",
--- a/testbed/gateway.py
+++ b/testbed/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway under test, as a process of its own: started with a configuration, pinned, measured, ended."""
+"""The gateway under test as a process of its own: configured, started, pinned, measured, ended."""
 
 from __future__ import annotations
 
@@ -17,13 +17,18 @@
 from testbed.account import Work
 
 ROOT = Path(__file__).parent.parent
-TICK = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")  # unit of CPU times in /proc/PID/stat
+UP_POLL_S = 0.02  # between two calls of /up
+CALL_TIMEOUT_S = 1.0  # of one call of an operator
 
 
 def settings(
     works: Sequence[Work], tenants: dict[str, float] | None = None, **limits: Any
 ) -> dict[str, Any]:
-    """The settings of a gateway for these classes; `tenants` tells quotas in requests a second."""
+    """The settings of a gateway for these classes; `limits` replace those of the document.
+
+    `tenants` are quotas in requests a second, by name; without any there is one with ample quota.
+    """
     lanes = [
         {
             "name": work.name,
@@ -59,32 +64,44 @@
 
 
 def free_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    with socket.socket(type=kind) as probe:
-        probe.bind(("127.0.0.1", 0))
-        port: int = probe.getsockname()[1]
+    """A port of 127.0.0.1 that was free a moment ago."""
+    with socket.socket(type=kind) as bound:
+        bound.bind(("127.0.0.1", 0))
+        port: int = bound.getsockname()[1]
         return port
 
 
+def _descriptor_count(pid: int) -> int:
+    """Open file descriptors of a process; raises OSError where it has ended."""
+    return sum(1 for _ in Path(f"/proc/{pid}/fd").iterdir())
+
+
 class GatewayProcess:
-    """One gateway. `core` pins it to one processor core; `cores` is what it is told that it may use."""
+    """One gateway.
+
+    `core` pins it to one processor core; `cores` is how many its configuration says that it may
+    use; `balancing` are its settings; `sockets` is its limit of descriptors.
+    """
 
     def __init__(
         self,
         folder: Path,
         discovery_port: int,
-        told: dict[str, Any],
+        balancing: dict[str, Any],
         sockets: int = 4096,
         core: int | None = None,
         cores: float = 1.0,
     ) -> None:
-        self.port, self._folder, self._core = free_port(), folder, core
+        self.port = free_port()
+        self._folder = folder
+        self._core = core
         self._data = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{discovery_port}",
             "seed": "8c1f",
             "limits": {"cores": cores, "memory_mb": 192, "sockets": sockets},
-            "settings": told,
+            "settings": balancing,
         }
         self.process: asyncio.subprocess.Process | None = None
         self.admin = 0  # its operators' port; 0: they have none
@@ -92,9 +109,8 @@
         self.fleet = ""  # the text of the file that turns the view of the fleet on
         self.budget = ""  # the text of the file that holds traffic to other zones to a budget
         build = os.environ.get("RIG_BUILD")
-        self.tree = (
-            Path(build) if build else None
-        )  # whose packages run in place of the source tree's
+        # The folder whose packages run in place of the source tree's.
+        self.tree = Path(build) if build else None
         self.path: Path | None = None  # of modules that replace those of the build, on the disk
 
     @property
@@ -103,7 +119,7 @@
         return self._folder / "control"
 
     async def say(self, command: str) -> list[str]:
-        """A command of its operators; the lines of its answer."""
+        """Send an operator's command to the control socket; the lines of its answer."""
         reader, writer = await asyncio.open_unix_connection(str(self.control))
         writer.write(f"{command}\n".encode())
         text = (await reader.read()).decode()
@@ -111,9 +127,9 @@
         return text.splitlines()
 
     async def call(self, method: str, path: str, port: int = 0) -> int:
-        """A call of an operator; the status of its answer, 0 where nobody answers in time."""
+        """Call the operators' address; the answer's status, 0: no answer in time."""
         try:
-            async with asyncio.timeout(1.0):
+            async with asyncio.timeout(CALL_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port or self.admin)
                 writer.write(f"{method} {path} HTTP/1.1\r\nHost: g\r\n\r\n".encode())
                 line = await reader.readline()
@@ -123,20 +139,22 @@
             return 0
 
     def processes(self) -> dict[int, int]:
-        """Its processes, the keeper first, and how many descriptors each holds."""
-        told = Path(f"/proc/{self.pid}/task/{self.pid}/children").read_text().split()
+        """Its process ids, the supervisor first, and the open descriptors of each."""
+        children = Path(f"/proc/{self.pid}/task/{self.pid}/children").read_text().split()
         found = {}
-        for pid in (self.pid, *map(int, told)):
+        for pid in (self.pid, *map(int, children)):
             with contextlib.suppress(OSError):  # it has just ended
-                found[pid] = len(os.listdir(f"/proc/{pid}/fd"))
+                found[pid] = _descriptor_count(pid)
         return found
 
     @property
     def address(self) -> tuple[str, int]:
+        """Host and port at which clients reach it."""
         return "127.0.0.1", self.port
 
     @property
     def pid(self) -> int:
+        """Its process id; it must have been started."""
         assert self.process is not None
         return self.process.pid
 
@@ -148,9 +166,11 @@
         everyone: str = "",
         every: str = "100 ms",
     ) -> None:
-        """Let it talk to others by the text of this file: heard at `listen`, it reaches each at its address
-        in `peers`, by number, and all of them at `everyone`, where that is told; `every` so often its view is
-        written."""
+        """Let it take part in membership, by the text of this fleet file.
+
+        It listens at `listen` and reaches each other gateway at its address in `peers`, by number,
+        and all of them at `everyone`, where that is given; its view is written once in `every`.
+        """
         self.fleet = f'{fleet}\n[report]\nfile = "{self.view_file}"\nevery = "{every}"\n'
         self.fleet += f'changes = "{self.changes_file}"\n'
         self._data |= {"peer_listen": f"{listen[0]}:{listen[1]}", "peers": peers}
@@ -159,67 +179,80 @@
 
     @property
     def view_file(self) -> Path:
+        """Where its view of the other gateways is written."""
         return self._folder / "view.json"
 
     @property
     def changes_file(self) -> Path:
+        """Where changes of that view are written, one JSON object a line."""
         return self._folder / "changes.jsonl"
 
     def told(self, name: str) -> Any:
-        """What its configuration file says."""
+        """A field of its configuration file; raises KeyError."""
         return self._data[name]
 
     def reconfigure(self, **changes: Any) -> Path:
-        """Write its configuration file, with changes; it reads it at its start and by SIGHUP."""
+        """Write its configuration file, with changes; returns the path.
+
+        The gateway reads the file at its start and by SIGHUP.
+        """
         self._data |= changes
         path = self._folder / "gateway.json"
         path.write_text(json.dumps(self._data))
         return path
 
     async def start(self, log: bool = False, command: Sequence[str] = ("-m", "quillroad")) -> Self:
-        """Start it, or what `command` names in its place, and wait until `/up` answers 200."""
-        told = {"GW_CONFIG": str(self.reconfigure())}
+        """Start it, or `command` in its place, and wait until `/up` answers 200.
+
+        With `log` its log goes to this process's standard error; otherwise `stop` returns it.
+        Raises RuntimeError where it ends before that.
+        """
+        variables = {"GW_CONFIG": str(self.reconfigure())}
         if self.admin:
-            told["GW_ADMIN_ADDR"] = f"127.0.0.1:{self.admin}"
+            variables["GW_ADMIN_ADDR"] = f"127.0.0.1:{self.admin}"
         if self.upgrades:
-            file = self._folder / "upgrades.toml"
-            file.write_text(f'control = "{self.control}"\n{self.upgrades}')
-            told["QUILLROAD_UPGRADES"] = str(file)
+            upgrades = f'control = "{self.control}"\n{self.upgrades}'
+            variables["QUILLROAD_UPGRADES"] = self._write_file("upgrades.toml", upgrades)
         if self.budget:
-            file = self._folder / "zones.toml"
-            file.write_text(self.budget)
-            told["QUILLROAD_ZONES"] = str(file)
+            variables["QUILLROAD_ZONES"] = self._write_file("zones.toml", self.budget)
         if self.fleet:
-            file = self._folder / "fleet.toml"
-            file.write_text(self.fleet)
-            told["QUILLROAD_FLEET"] = str(file)
-        return await self._start(command, told, log)
+            variables["QUILLROAD_FLEET"] = self._write_file("fleet.toml", self.fleet)
+        return await self._start(command, variables, log)
+
+    def _write_file(self, name: str, text: str) -> str:
+        """Write a file in the gateway's folder; returns its path."""
+        file = self._folder / name
+        file.write_text(text)
+        return str(file)
 
-    async def _start(self, command: Sequence[str], told: dict[str, str], log: bool) -> Self:
-        self.process = await self._spawn(command, told, log)
+    async def _start(self, command: Sequence[str], variables: dict[str, str], log: bool) -> Self:
+        self.process = await self._spawn(command, variables, log)
         while not await self._up():
             if self.process.returncode is not None:
                 raise RuntimeError(f"the gateway ended with {self.process.returncode}")
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(UP_POLL_S)
         return self
 
     async def _spawn(
-        self, command: Sequence[str], told: dict[str, str], log: bool
+        self, command: Sequence[str], variables: dict[str, str], log: bool
     ) -> asyncio.subprocess.Process:
         if self.path is not None:
-            told["PYTHONPATH"] = f"{self.path}{os.pathsep}{ROOT}"
+            variables["PYTHONPATH"] = f"{self.path}{os.pathsep}{ROOT}"
         environment = {
-            k: v for k, v in os.environ.items() if not k.startswith(("GW_", "QUILLROAD_"))
+            name: value
+            for name, value in os.environ.items()
+            if not name.startswith(("GW_", "QUILLROAD_"))
         }
-        how: tuple[str, ...] = ()
+        interpreter_options: tuple[str, ...] = ()
         if self.tree is not None and self.path is None:
-            environment["PYTHONPATH"], how = f"{self.tree.resolve()}{os.pathsep}{ROOT}", ("-P",)
+            environment["PYTHONPATH"] = f"{self.tree.resolve()}{os.pathsep}{ROOT}"
+            interpreter_options = ("-P",)  # else the source tree, the working folder, comes first
         process = await asyncio.create_subprocess_exec(
             sys.executable,
-            *how,
+            *interpreter_options,
             *command,
             cwd=ROOT,
-            env=environment | told,
+            env=environment | variables,
             stdout=DEVNULL,
             stderr=None if log else PIPE,
         )
@@ -240,14 +273,14 @@
     def cpu_s(self) -> float:
         """CPU time that it has used so far, in seconds (proc_pid_stat(5), fields 14 and 15)."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICK
+        return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
     def io(self) -> tuple[int, int]:
         """Reads and writes that it has made so far (proc_pid_io(5), syscr and syscw)."""
-        told = dict(
+        counters = dict(
             line.split(": ") for line in Path(f"/proc/{self.pid}/io").read_text().splitlines()
         )
-        return int(told["syscr"]), int(told["syscw"])
+        return int(counters["syscr"]), int(counters["syscw"])
 
     def memory_mb(self) -> float:
         """Resident memory now, in MB."""
@@ -255,15 +288,19 @@
         return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
     def descriptors(self) -> int:
-        return len(os.listdir(f"/proc/{self.pid}/fd"))
+        """Open file descriptors of its first process."""
+        return _descriptor_count(self.pid)
 
     def pause(self) -> None:
+        """Stop it (SIGSTOP)."""
         os.kill(self.pid, signal.SIGSTOP)
 
     def go_on(self) -> None:
+        """Let it run again (SIGCONT)."""
         os.kill(self.pid, signal.SIGCONT)
 
     def drain(self) -> None:
+        """Ask it to end without loss (SIGTERM)."""
         os.kill(self.pid, signal.SIGTERM)
 
     def hang_up(self) -> None:
@@ -271,10 +308,11 @@
         os.kill(self.pid, signal.SIGHUP)
 
     def kill(self) -> None:
+        """Kill it (SIGKILL)."""
         os.kill(self.pid, signal.SIGKILL)
 
     async def stop(self) -> str:
-        """End it; returns its log where that was kept."""
+        """Kill all its processes; returns its log where that was kept."""
         process = self.process
         if process is None:
             return ""
@@ -288,11 +326,12 @@
 
 
 class FileGateway(GatewayProcess):
-    """One gateway by a configuration that people write."""
+    """One gateway by a configuration file that people write, at `path`."""
 
     def __init__(self, path: Path, port: int, core: int | None = None) -> None:
         super().__init__(path.parent, 1, {}, core=core)
-        self._path, self.port = path, port
+        self._path = path
+        self.port = port
 
     async def start(self, log: bool = False, command: Sequence[str] = ("-m", "quillroad")) -> Self:
         """Start it and wait until `/up` answers 200."""
--- a/testbed/hosts.py
+++ b/testbed/hosts.py
@@ -1,5 +1,8 @@
-"""Stand-in hosts: answer after a set time, remember every request received, fail on script; and the
-discovery that lists them. Fast enough to serve a gateway at its full rate from one core."""
+"""Stand-in hosts, and the discovery that lists them.
+
+Hosts answer after a set time, remember every request received, and fail on command; fast enough to
+serve a gateway at its full rate from one core.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,10 @@
 from testbed.account import Receipt
 from testbed.lines import gateway_at
 
-HOSTS_AT = b'"127.0.0.1:'
+HEAD_END = b"\r\n\r\n"
+HOSTS_AT = b'"127.0.0.1:'  # how an address of a host begins in a line of discovery
+BACKLOG = 1024  # connects that wait at a host: a whole storm of gateways' first connects
+KEEPALIVE_S = 2.0  # the protocol's interval of empty lines on a watch
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
@@ -23,42 +29,55 @@
 
 
 class _Connection(asyncio.Protocol):
+    """One connection of a gateway to a host."""
+
     def __init__(self, host: Host) -> None:
-        self._host, self._data = host, b""
+        self._host = host
+        self._data = b""
         self.transport: asyncio.Transport | None = None
         self.by = -1  # the gateway at the other end
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport, and note which gateway it is, if it came through the relay."""
         self.transport = cast(asyncio.Transport, transport)
         self.by = gateway_at(transport.get_extra_info("peername")[0])
         self._host.connections.add(self)
         self._host.connects += 1
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the transport: no answer can be sent any more."""
         self.transport = None
         self._host.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
+        """Read requests; one without a Content-Length has no body."""
         self._data += data
-        while (end := self._data.find(b"\r\n\r\n")) >= 0:
+        while (end := self._data.find(HEAD_END)) >= 0:
             head = self._data[:end].lower()
-            size = int(field(head, b"content-length") or 0)
-            if len(self._data) < end + 4 + size:
+            request_end = end + len(HEAD_END) + int(field(head, b"content-length") or 0)
+            if len(self._data) < request_end:
                 return
-            self._data = self._data[end + 4 + size :]
+            self._data = self._data[request_end:]
             key = field(head, b"idempotency-key").decode()
             self._host.received(self, field(head, b"request-id").decode(), key)
 
     def answer(self) -> None:
+        """Send the answer, if the connection is still open."""
         if self.transport is not None:
             self.transport.write(ANSWER)
 
 
 class Host:
-    """One stand-in host. `delay` is the time in seconds to an answer; `hangs` makes it answer nothing."""
+    """One stand-in host on 127.0.0.1.
+
+    `delay` is the time in seconds to an answer; while `hangs` it answers nothing.
+    """
 
     def __init__(self, name: str, delay: float = 0.0, zone: str = "room") -> None:
-        self.name, self.delay, self.hangs, self.zone = name, delay, False, zone
+        self.name = name
+        self.delay = delay
+        self.hangs = False
+        self.zone = zone
         self.port = 0
         self.connects = 0
         self.receipts: list[Receipt] = []
@@ -66,15 +85,16 @@
         self.on_receipt: Callable[[Receipt], None] | None = None
 
     async def start(self, port: int = 0) -> Host:
-        """Listen on this port, or on one that is free."""
+        """Listen on this port, or on a free one; raises OSError where it is taken."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: _Connection(self), "127.0.0.1", port, backlog=1024
+            lambda: _Connection(self), "127.0.0.1", port, backlog=BACKLOG
         )
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
     def received(self, connection: _Connection, request: str, key: str) -> None:
+        """Note a request that has come whole, and answer it."""
         receipt = Receipt(request, self.name, time.monotonic(), key, connection.by)
         self.receipts.append(receipt)
         if self.on_receipt is not None:
@@ -87,7 +107,7 @@
             connection.answer()
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        """Its line in discovery's list."""
+        """Its entry in the endpoint list, with changes."""
         line = {
             "instanceId": self.name,
             "hostPort": f"127.0.0.1:{self.port}",
@@ -101,6 +121,7 @@
         return line | changes
 
     def stop(self) -> None:
+        """Close the listener and all connections."""
         self._server.close()
         for connection in list(self.connections):
             if connection.transport is not None:
@@ -108,29 +129,33 @@
 
 
 class Discovery:
-    """Tells the list of hosts to every watch, and changes as they are told."""
+    """Sends the endpoint list to every watch, and changes as tests make them."""
 
     def __init__(self, hosts: list[Host]) -> None:
         self._entries = {host.name: host.entry() for host in hosts}
-        self._generation, self.port = 1, 0
+        self._generation = 1
+        self.port = 0
         self._watches: list[asyncio.StreamWriter] = []
         self._silent: set[asyncio.StreamWriter] = set()
 
     @staticmethod
     def _as_seen(line: bytes, writer: asyncio.StreamWriter) -> bytes:
-        """Hosts under the address at which this caller finds them: its own, where its lines go through the
-        relay."""
+        """The line with the address at which this caller reaches hosts.
+
+        That is the caller's own, where its connections go through the relay.
+        """
         host = writer.get_extra_info("peername")[0]
         return line if gateway_at(host) < 0 else line.replace(HOSTS_AT, f'"{host}:'.encode())
 
     def _line(
         self, whole: bool, entries: list[dict[str, Any]], writer: asyncio.StreamWriter
     ) -> bytes:
-        told = {"generation": self._generation, "reset": whole, "instances": entries}
-        data = self._as_seen(json.dumps(told).encode() + b"\n", writer)
+        update = {"generation": self._generation, "reset": whole, "instances": entries}
+        data = self._as_seen(json.dumps(update).encode() + b"\n", writer)
         return b"%x\r\n%b\r\n" % (len(data), data)
 
     async def start(self) -> Discovery:
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
@@ -138,41 +163,48 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             await reader.readuntil(b"\r\n\r\n")
-            if not await self._turn(writer):
+            if not await self._is_answered(writer):
                 return
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             writer.write(self._line(True, list(self._entries.values()), writer))
             self._watches.append(writer)
             while not writer.is_closing():
-                await asyncio.sleep(2.0)
+                await asyncio.sleep(KEEPALIVE_S)
                 if writer.is_closing():
                     return
                 if writer in self._silent:
                     continue
-                writer.write(b"1\r\n\n\r\n")  # the empty line that is due every 2 s
+                writer.write(b"1\r\n\n\r\n")  # the empty line
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            pass  # also where the loop ends: the streams' own callback would complain of that
+            # The caller has gone, or the event loop ends. A cancellation is not passed on:
+            # asyncio's streams would log it as an error of this callback.
+            pass
         finally:
             writer.close()
 
-    async def _turn(self, writer: asyncio.StreamWriter) -> bool:
+    async def _is_answered(self, writer: asyncio.StreamWriter) -> bool:
         """Whether this call is answered. Here each is, at once."""
         return True
 
     def tell(self, name: str, **changes: Any) -> None:
-        """Change one host's line, for all that watch."""
+        """Change one host's entry, for all watches; raises KeyError."""
         self._generation += 1
         entry = self._entries[name] = self._entries[name] | changes
         self._write(self._watches, entry)
 
     def break_off(self, name: str, keep: str, most: int | None = None, **changes: Any) -> int:
-        """Change one host's line, and end the oldest `most` watches (None: all) in the middle of telling it:
-        right after `keep`, a part of the line's text. The others hear it whole. Returns how many ended."""
+        """Change one host's entry, and end some watches in the middle of telling it.
+
+        The oldest `most` watches (None: all) end right after `keep`, a part of the line's text; the
+        others get the whole line. Returns how many ended; raises ValueError where the line has no
+        such part.
+        """
         self._generation += 1
         entry = self._entries[name] = self._entries[name] | changes
-        ends, self._watches = self._watches[:most], self._watches[len(self._watches[:most]) :]
-        broken = self._write(ends, entry, keep.encode())
-        for writer in ends:
+        ended = self._watches[:most]
+        self._watches = self._watches[len(ended) :]
+        broken = self._write(ended, entry, keep.encode())
+        for writer in ended:
             writer.close()
         self._write(self._watches, entry)
         return broken
@@ -180,42 +212,48 @@
     def _write(
         self, watches: list[asyncio.StreamWriter], entry: dict[str, Any], keep: bytes = b""
     ) -> int:
-        told = [writer for writer in watches if not writer.is_closing()]
-        for writer in told:
+        listening = [writer for writer in watches if not writer.is_closing()]
+        for writer in listening:
             line = self._line(False, [entry], writer)
             writer.write(line[: line.index(keep) + len(keep)] if keep else line)
-        return len(told)
+        return len(listening)
 
     @property
     def watching(self) -> int:
-        """How many watches are open and told."""
+        """How many watches are open and get changes."""
         return len(self._watches)
 
     def fall_silent(self) -> None:
-        """Open watches hear nothing from now on, not even a sign of life, and stay open; new calls are
-        answered as ever."""
+        """Let open watches stay open and get nothing more, not even empty lines.
+
+        New calls are answered as before.
+        """
         self._silent.update(self._watches)
         self._watches.clear()
 
     def stop(self) -> None:
+        """Close the listener and all watches."""
         self._server.close()
         for writer in (*self._watches, *self._silent):
             writer.close()
 
 
 class CrowdedDiscovery(Discovery):
-    """One service for all gateways: calls are worked through in turn, `work_s` seconds each, and who has
-    waited for `patience_s` is turned away with 503."""
+    """A discovery that serves all its callers one by one.
+
+    A call takes `work_s` seconds; who has waited for `patience_s` is turned away with 503.
+    """
 
     def __init__(self, hosts: list[Host], work_s: float, patience_s: float) -> None:
         super().__init__(hosts)
-        self._work_s, self._patience_s = work_s, patience_s
-        self._busy = asyncio.Lock()  # its waiters take turns in the order of their coming
+        self._work_s = work_s
+        self._wait_timeout_s = patience_s
+        self._busy = asyncio.Lock()  # serves its waiters in the order in which they came
         self.turned_away = 0
 
-    async def _turn(self, writer: asyncio.StreamWriter) -> bool:
+    async def _is_answered(self, writer: asyncio.StreamWriter) -> bool:
         try:
-            async with asyncio.timeout(self._patience_s):
+            async with asyncio.timeout(self._wait_timeout_s):
                 await self._busy.acquire()
         except TimeoutError:
             self.turned_away += 1
--- a/testbed/lines.py
+++ b/testbed/lines.py
@@ -1,9 +1,10 @@
-"""Lines of gateways to hosts and discovery, under rules: silent one way or both, reset, late.
+"""Connections of gateways to hosts and discovery, with faults: silence, resets and delays.
 
-Each gateway has a loopback address of its own here, at which every host and discovery listens under its own
-port; the line goes on from that address, so that discovery can tell each gateway where it reaches the hosts,
-and hosts know whose request they have got. A cut line stays open and says nothing: what was sent waits, as it
-does in the kernel while a cable is out, and arrives once the line is whole, unless the line is reset.
+Each gateway has a loopback address of its own here, at which every host and discovery listens under
+its own port. The connection goes on from that address, so that discovery can tell each gateway
+where it reaches the hosts, and hosts know whose request they have got. A cut line stays open and
+carries nothing: what was sent waits, as it does in the kernel while a cable is out, and arrives
+once the line is whole, unless the line is reset.
 """
 
 from __future__ import annotations
@@ -14,20 +15,23 @@
 import struct
 from collections import Counter
 from collections.abc import Callable, Coroutine
-from typing import Annotated, Any, Literal
+from typing import Annotated, Any, Literal, NamedTuple
 
 from msgspec import Meta, Struct
 
-READ = 65536
-ADDRESS = "127.3.0.{}"
-MOST_OPEN = 4000  # lines at once: what comes then is reset
+READ_BYTES = 65536  # at most of one read
+ADDRESS = "127.3.0.{}"  # of a gateway's side of its lines, by its number plus 1
+MOST_OPEN = 4000  # ends of lines at once; a line beyond that is reset, which bounds descriptors
 
 Way = Literal["there", "back"]
 
 
 class LineRule(Struct, forbid_unknown_fields=True):
-    """What happens on lines of `gateways` to `targets` ("discovery", or a host's name); empty: of or to all.
-    `cut` says on which ways nothing passes; `delay_s` is added to each piece."""
+    """What happens to connections from `gateways` to `targets`; empty: from or to all.
+
+    A target is `discovery` or a host's name. `cut` says in which directions nothing passes;
+    `delay_s` (seconds) is added to each piece of data.
+    """
 
     gateways: list[int] = []
     targets: list[str] = []
@@ -36,18 +40,19 @@
     delay_s: Annotated[float, Meta(ge=0, le=60)] = 0.0
 
     def holds(self, gateway: int, target: str) -> bool:
+        """Whether this rule is for a connection of this gateway to this target."""
         return (not self.gateways or gateway in self.gateways) and (
             not self.targets or target in self.targets
         )
 
 
 def address_of(gateway: int) -> str:
-    """Where this gateway finds hosts and discovery, and from where its lines go on to them."""
+    """Where this gateway reaches hosts and discovery, and from where it is connected to them."""
     return ADDRESS.format(gateway + 1)
 
 
 def gateway_at(host: str) -> int:
-    """The gateway whose lines come from this address, -1: nobody's."""
+    """The number of the gateway whose connections come from this address; -1: none."""
     prefix, _, last = host.rpartition(".")
     return int(last) - 1 if f"{prefix}.{{}}" == ADDRESS else -1
 
@@ -57,19 +62,28 @@
         writer.transport.abort()
 
 
+class _Route(NamedTuple):
+    """Whose line it is and where it leads: a gateway's number, `discovery` or a host's name."""
+
+    gateway: int
+    target: str
+
+
 class Lines:
-    """`targets` are the ports of discovery and hosts on 127.0.0.1 by name."""
+    """All connections of so many gateways; `targets` are ports on 127.0.0.1, by name."""
 
     def __init__(self, gateways: int, targets: dict[str, int]) -> None:
-        self._gateways, self._targets = gateways, targets
+        self._gateways = gateways
+        self._targets = targets
         self._rules: list[LineRule] = []
         self._changed = asyncio.Event()
         self._servers: list[asyncio.Server] = []
-        self._open: dict[asyncio.StreamWriter, tuple[int, str]] = {}
+        self._open: dict[asyncio.StreamWriter, _Route] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self.counts: Counter[str] = Counter()
 
     async def start(self) -> Lines:
+        """Listen for every gateway and target; raises OSError where a port is taken."""
         for gateway in range(self._gateways):
             for target, port in self._targets.items():
                 serve = self._server(gateway, target, port)
@@ -77,7 +91,7 @@
         return self
 
     def rule(self, rules: list[LineRule]) -> None:
-        """From now on these hold, the first that fits, and no others."""
+        """Let these rules hold from now on, the first that fits, and no others."""
         self._rules = rules
         self._changed.set()
         self._changed = asyncio.Event()
@@ -87,10 +101,11 @@
 
     @property
     def open(self) -> int:
-        """Ends of lines that are open."""
+        """How many ends of connections are open."""
         return len(self._open)
 
     def close(self) -> None:
+        """Close the listeners and all connections."""
         for server in self._servers:
             server.close()
         for task in list(self._tasks):
@@ -112,29 +127,30 @@
         self, gateway: int, target: str, port: int
     ) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], Coroutine[Any, Any, None]]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            """Carry one connection until either end closes it."""
             if self._rule(gateway, target).reset or len(self._open) >= MOST_OPEN:
                 self._reset(writer)
                 return
             task = asyncio.current_task()
             assert task is not None
             self._tasks.add(task)
-            self._open[writer] = (gateway, target)
+            self._open[writer] = _Route(gateway, target)
             self.counts["opened"] += 1
-            on: asyncio.StreamWriter | None = None
+            onward: asyncio.StreamWriter | None = None
             try:
-                back, on = await asyncio.open_connection(
+                back, onward = await asyncio.open_connection(
                     "127.0.0.1", port, local_addr=(address_of(gateway), 0)
                 )
-                self._open[on] = (gateway, target)
+                self._open[onward] = _Route(gateway, target)
                 await asyncio.gather(
-                    self._pump(gateway, target, "there", reader, on),
+                    self._pump(gateway, target, "there", reader, onward),
                     self._pump(gateway, target, "back", back, writer),
                 )
             except (OSError, asyncio.CancelledError):
                 pass  # an end was reset, or the testbed ends: so does the other end
             finally:
                 self._tasks.discard(task)
-                for end in (writer, on):
+                for end in (writer, onward):
                     if end is not None:
                         self._open.pop(end, None)
                         _abort(end)
@@ -149,9 +165,9 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Pass on what comes until its end, in order; what is held back waits here and in the kernel."""
+        """Pass on data until its end; what a rule holds back waits here and in the kernel."""
         while True:
-            data = await reader.read(READ)
+            data = await reader.read(READ_BYTES)
             while way in (rule := self._rule(gateway, target)).cut:
                 await self._changed.wait()
             if rule.delay_s:
--- a/testbed/processes.py
+++ b/testbed/processes.py
@@ -1,4 +1,4 @@
-"""Starts the testbed's own processes and joins what they tell."""
+"""Starts the processes of the testbed and joins their accounts."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
 from testbed.account import Tally, Work
 from testbed.gateway import ROOT
 
-PERIOD_S = (
-    0.05  # of a ration: the kernel counts a running process's time every few milliseconds only
-)
+# Period of a ration: the kernel counts a running process's time every few milliseconds only, so
+# that a shorter one would be held to its share too coarsely.
+PERIOD_S = 0.05
+RATION_LIFETIME_S = 600.0  # after which a forgotten ration ends by itself
+MOST_LINE_BYTES = 2**27  # of the one line in which a worker gives its account
 
 
 async def start_part(*command: str) -> asyncio.subprocess.Process:
+    """Start `python -m testbed` with these arguments, its input and output as pipes."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -28,17 +31,24 @@
         stdin=PIPE,
         stdout=PIPE,
         stderr=DEVNULL,
-        limit=2**27,
+        limit=MOST_LINE_BYTES,
     )
 
 
-async def hold(pid: int, share: float, core: int | None = None) -> asyncio.subprocess.Process:
-    """Hold a process to a part of its core (0 to 1) for as long as it lives, ten minutes at the most. In a
-    process of its own: a busy one could not stop another in time."""
-    told: dict[str, Any] = {"pid": pid, "share": share, "period": PERIOD_S, "seconds": 600.0}
+async def hold(pid: int, fraction: float, core: int | None = None) -> asyncio.subprocess.Process:
+    """Hold a process to a part of its core (0 to 1) while it lives, ten minutes at the most.
+
+    Runs in a process of its own: a busy one could not stop another in time.
+    """
+    options: dict[str, Any] = {
+        "pid": pid,
+        "share": fraction,
+        "period": PERIOD_S,
+        "seconds": RATION_LIFETIME_S,
+    }
     if core is not None:
-        told["core"] = core
-    process = await start_part("ration", json.dumps(told))
+        options["core"] = core
+    process = await start_part("ration", json.dumps(options))
     assert process.stdout is not None
     await process.stdout.readline()
     return process
@@ -48,20 +58,23 @@
     """Stand-in hosts and their discovery, in a process of their own."""
 
     def __init__(self, count: int, delay: float = 0.0, core: int | None = None) -> None:
-        self._told: dict[str, Any] = {"count": count, "delay": delay}
+        self._options: dict[str, Any] = {"count": count, "delay": delay}
         if core is not None:
-            self._told["core"] = core
-        self.discovery_port, self.ports = 0, list[int]()
+            self._options["core"] = core
+        self.discovery_port = 0
+        self.ports: list[int] = []
 
     async def start(self) -> HostsProcess:
-        self._process = await start_part("hosts", json.dumps(self._told))
+        """Start them; returns once the ports are known."""
+        self._process = await start_part("hosts", json.dumps(self._options))
         assert self._process.stdout is not None
-        told = json.loads(await self._process.stdout.readline())
-        self.discovery_port, self.ports = told["discovery"], told["hosts"]
+        ports = json.loads(await self._process.stdout.readline())
+        self.discovery_port = ports["discovery"]
+        self.ports = ports["hosts"]
         return self
 
     async def stop(self) -> dict[str, int]:
-        """Requests received by each host."""
+        """End them; returns how many requests each host received, by name."""
         out, _ = await self._process.communicate(b"")  # closes its input, which is its sign to end
         received: dict[str, int] = json.loads(out)
         return received
@@ -69,7 +82,11 @@
 
 @dataclass
 class Result:
-    """What all workers of one load saw together."""
+    """The accounts of all workers of one load, joined.
+
+    `slots` are requests sent and value of answers in time, by tenths of a second; `firsts` are the
+    seconds that the first answer of each connection took.
+    """
 
     rows: dict[str, Tally] = field(default_factory=dict)
     unsent: int = 0
@@ -77,6 +94,19 @@
     slots: dict[int, tuple[int, float]] = field(default_factory=dict)
     firsts: list[float] = field(default_factory=list)
 
+    def add(self, report: dict[str, Any]) -> None:
+        """Add one worker's account, in the form in which `python -m testbed load` prints it."""
+        self.unsent += report["unsent"]
+        self.lag = max(self.lag, report["lag"])
+        self.firsts += report["firsts"]
+        for slot, (sent, value) in report["slots"]:
+            before = self.slots.get(slot, (0, 0.0))
+            self.slots[slot] = (before[0] + sent, before[1] + value)
+        for name, row in report["rows"].items():
+            whole = self.rows.setdefault(name, Tally())
+            for column, value in row.items():
+                setattr(whole, column, getattr(whole, column) + value)
+
 
 async def run_load(
     address: tuple[str, int],
@@ -87,41 +117,44 @@
     seconds: float,
     **more: Any,
 ) -> Result:
-    """One worker a core. `rate`, `connections` and the rates of `parts` are for all together."""
+    """Run a load with one worker process for each of `cores` (None: not pinned).
+
+    `more` are options of `python -m testbed load`; `rate`, `connections` and the rates of `parts`
+    are for all workers together.
+    """
     workers = []
-    for i, core in enumerate(cores):
-        told: dict[str, Any] = {
+    for number, core in enumerate(cores):
+        options: dict[str, Any] = {
             "host": address[0],
             "port": address[1],
             "works": [asdict(work) for work in works],
             "shares": list(shares),
             "kind": kind,
             "seconds": seconds,
-            "seed": i + 1,
-            "prefix": f"c{i}-",
+            "seed": number + 1,
+            "prefix": f"c{number}-",
         }
         if core is not None:
-            told["core"] = core
-        for name, value in more.items():
-            if name in ("rate", "connections"):
-                told[name] = value / len(cores) if name == "rate" else max(1, value // len(cores))
-            elif name == "parts":
-                told[name] = [(rate / len(cores), length) for rate, length in value]
-            else:
-                told[name] = value
-        workers.append(await start_part("load", json.dumps(told)))
+            options["core"] = core
+        options |= _part_of_worker(more, len(cores))
+        workers.append(await start_part("load", json.dumps(options)))
     result = Result()
     for worker in workers:
         out, _ = await worker.communicate()
-        seen = json.loads(out)
-        result.unsent += seen["unsent"]
-        result.lag = max(result.lag, seen["lag"])
-        result.firsts += seen["firsts"]
-        for slot, (sent, worth) in seen["slots"]:
-            before = result.slots.get(slot, (0, 0.0))
-            result.slots[slot] = (before[0] + sent, before[1] + worth)
-        for name, row in seen["rows"].items():
-            whole = result.rows.setdefault(name, Tally())
-            for part, value in row.items():
-                setattr(whole, part, getattr(whole, part) + value)
+        result.add(json.loads(out))
     return result
+
+
+def _part_of_worker(options: dict[str, Any], workers: int) -> dict[str, Any]:
+    """The options of one worker of so many: rates and connections are divided among them."""
+    part: dict[str, Any] = {}
+    for name, value in options.items():
+        if name == "rate":
+            part[name] = value / workers
+        elif name == "connections":
+            part[name] = max(1, value // workers)
+        elif name == "parts":
+            part[name] = [(rate / workers, length) for rate, length in value]
+        else:
+            part[name] = value
+    return part
--- a/testbed/ration.py
+++ b/testbed/ration.py
@@ -1,4 +1,4 @@
-"""A ration of CPU time for one process, without privileges: it is stopped whenever it has used its part."""
+"""A ration of CPU time for one process, without privileges: it is stopped after its part."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 
-LOOK_S = 0.001  # between two looks at what it has used
+POLL_S = 0.001  # between two reads of the CPU time that it has used
 
 
 def used_s(pid: int) -> float:
@@ -15,21 +15,25 @@
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
-def ration(pid: int, share: float, period_s: float, seconds: float) -> int:
-    """Let the process use `share` (0 to 1) of each `period_s`, for so many seconds or until it ends; returns
-    how often it was stopped. Ends with the process running."""
-    end, stops = time.monotonic() + seconds, 0
+def ration(pid: int, fraction: float, period_s: float, seconds: float) -> int:
+    """Let a process use the part `fraction` (0 to 1) of each `period_s`.
+
+    Ends after `seconds`, or with the process. Returns how often it was stopped. A process that
+    still lives is left running.
+    """
+    end = time.monotonic() + seconds
+    stops = 0
     try:
         while (began := time.monotonic()) < end:
             before = used_s(pid)
             while (now := time.monotonic()) < began + period_s:
-                if used_s(pid) - before >= share * period_s:
+                if used_s(pid) - before >= fraction * period_s:
                     os.kill(pid, signal.SIGSTOP)
                     stops += 1
                     time.sleep(max(0.0, began + period_s - now))
                     os.kill(pid, signal.SIGCONT)
                     break
-                time.sleep(LOOK_S)
+                time.sleep(POLL_S)
     except (ProcessLookupError, FileNotFoundError):
         return stops
     return stops
--- a/testbed/relay.py
+++ b/testbed/relay.py
@@ -1,11 +1,10 @@
-"""Every gateway's datagrams to every other go through here, and are treated as a script or a test says.
-
-Each gateway has an address of its own here for each other one: what it sends there goes on to that other's
-own socket, and comes from the address that this other has for it. So each meets the others under addresses
-of its own, and nothing passes that was not let through. Runs as a process: `python -m testbed
-relay JSON`, told
-how many gateways there are and where they listen; prints where each reaches the others, then takes one JSON
-object a line. Losses and delays come from one seed.
+"""Carries every gateway's datagrams to every other, with faults by a script or a test's command.
+
+Each gateway has an address of its own here for each other one: what it sends there goes on to that
+other's own socket, and comes from the address that this other has for it. So nothing passes that
+was not let through. Runs as a process (`python -m testbed relay JSON`), which is given the
+gateways' addresses, prints where each reaches the others, and then takes one JSON object a line.
+Losses and delays come from one seed.
 """
 
 from __future__ import annotations
@@ -25,12 +24,16 @@
 from testbed.lines import LineRule, Lines
 
 Part = Annotated[float, Meta(ge=0, le=1)]
-HELD = 10_000  # datagrams that wait for their time: more than that are lost
+MOST_DELAYED = 10_000  # datagrams that wait out a delay; those beyond are lost
+MOST_DATAGRAM_BYTES = 65536
 
 
 class Rule(Struct, forbid_unknown_fields=True):
-    """What happens to datagrams from `sources` to `targets`; empty: from or to everybody. Delays in
-    seconds. With `both` the other way round, too."""
+    """What happens to datagrams from `sources` to `targets`; empty: from or to all.
+
+    `loss` and `doubled` are parts from 0 to 1, delays are seconds. With `both` the rule is for the
+    other direction, too.
+    """
 
     sources: list[int] = []
     targets: list[int] = []
@@ -42,7 +45,10 @@
     jitter_s: Annotated[float, Meta(ge=0, le=60)] = 0.0
 
     def holds(self, source: int, target: int) -> bool:
+        """Whether this rule is for datagrams from this gateway to that one."""
+
         def between(a: int, b: int) -> bool:
+            """Whether the rule names this way, whatever `both` says."""
             return (not self.sources or a in self.sources) and (
                 not self.targets or b in self.targets
             )
@@ -65,15 +71,16 @@
 
 
 def read_script(text: str) -> Script:
-    """Raises `msgspec.MsgspecError` for a script that makes no sense."""
+    """Read a script; raises `msgspec.MsgspecError` where it is not valid."""
     return msgspec.toml.decode(text, type=Script)
 
 
 class Relay:
-    """`listens` are the gateways' own addresses, by number."""
+    """The relay inside its process; `listens` are the gateways' own addresses, by number."""
 
     def __init__(self, listens: list[tuple[str, int]], seed: int) -> None:
-        self._listens, self._random = listens, Random(seed)
+        self._listens = listens
+        self._random = Random(seed)
         self._loop = asyncio.get_running_loop()
         self._rules: list[Rule] = []
         self._waiting = 0
@@ -114,23 +121,24 @@
         self._rules = rules
 
     def run(self, script: Script) -> None:
+        """Let the script's phases follow each other from now on."""
         self._random.seed(script.seed)
         for phase in script.phases:
             self._loop.call_later(phase.at_s, self.rule, phase.rules)
 
     def inject(self, source: int, target: int, data: bytes, times: int = 1) -> None:
-        """Let one gateway hear what another never said, so many times in one moment."""
+        """Send a gateway a datagram as if from another, so many times at one moment."""
         for _ in range(times):
             self._pass(source, target, data)
 
     def _readable(self, source: int, target: int | None, opened: socket.socket) -> None:
         while True:
             try:
-                data, sender = opened.recvfrom(65536)
+                data, sender = opened.recvfrom(MOST_DATAGRAM_BYTES)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                continue  # word that nobody listens at a gateway's address
+                continue  # ICMP's answer to an earlier datagram: no gateway listened there
             if sender != self._listens[source]:
                 self.counts["stranger"] += 1
                 continue
@@ -148,7 +156,7 @@
             self._pass(source, target, data)
             return
         for _ in range(1 + (self._random.random() < rule.doubled)):
-            if rule.cut or self._random.random() < rule.loss or self._waiting >= HELD:
+            if rule.cut or self._random.random() < rule.loss or self._waiting >= MOST_DELAYED:
                 self.counts["lost"] += 1
                 continue
             late_s = rule.delay_s + rule.jitter_s * self._random.random()
@@ -170,79 +178,88 @@
             self.counts["refused"] += 1
 
     def close(self) -> None:
+        """Close all sockets."""
         for opened in (*self._sockets.values(), *self._all):
             self._loop.remove_reader(opened)
             opened.close()
 
 
-async def run_relay(told: dict[str, Any]) -> None:
-    """Until standard input ends; after each command one line of counts."""
-    relay = Relay([(host, port) for host, port in told["listens"]], told.get("seed", 1))
-    lines = await Lines(len(told["listens"]), told.get("lines", {})).start()
-    numbers = range(len(told["listens"]))
+async def run_relay(options: dict[str, Any]) -> None:
+    """Serve until standard input ends; prints one line of counts after each command."""
+    relay = Relay([(host, port) for host, port in options["listens"]], options.get("seed", 1))
+    lines = await Lines(len(options["listens"]), options.get("lines", {})).start()
+    numbers = range(len(options["listens"]))
     print(json.dumps([(relay.peers(n), relay.everyone(n)) for n in numbers]), flush=True)
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        command = json.loads(line)
-        if "rules" in command:
-            relay.rule(msgspec.convert(command["rules"], list[Rule]))
-        elif "lines" in command:
-            lines.rule(msgspec.convert(command["lines"], list[LineRule]))
-        elif "script" in command:
-            relay.run(read_script(command["script"]))
-        elif "inject" in command:
-            source, target, data = command["inject"]
-            relay.inject(source, target, bytes.fromhex(data), command.get("times", 1))
-        told = {
+        _obey(relay, lines, json.loads(line))
+        report = {
             "counts": relay.counts,
             "bytes": relay.bytes,
             "lines": lines.counts,
             "open": lines.open,
         }
-        print(json.dumps(told), flush=True)
+        print(json.dumps(report), flush=True)
     relay.close()
     lines.close()
 
 
+def _obey(relay: Relay, lines: Lines, command: dict[str, Any]) -> None:
+    """Carry out one command; an empty one only asks for the counts."""
+    if "rules" in command:
+        relay.rule(msgspec.convert(command["rules"], list[Rule]))
+    elif "lines" in command:
+        lines.rule(msgspec.convert(command["lines"], list[LineRule]))
+    elif "script" in command:
+        relay.run(read_script(command["script"]))
+    elif "inject" in command:
+        source, target, data = command["inject"]
+        relay.inject(source, target, bytes.fromhex(data), command.get("times", 1))
+
+
 class RelayProcess:
-    """The relay, from a test's side."""
+    """The relay, from a test's side.
+
+    `lines` are the ports of discovery and hosts, by name, whose connections go through it, too.
+    """
 
     def __init__(
         self, listens: list[tuple[str, int]], seed: int = 1, lines: dict[str, int] | None = None
     ) -> None:
         """`lines` are the ports of discovery and hosts, by name, whose lines go through here."""
-        self._told = {"listens": listens, "seed": seed, "lines": lines or {}}
+        self._options = {"listens": listens, "seed": seed, "lines": lines or {}}
         self.peers: list[list[str]] = []  # what each gateway is told of the others
         self.everyone: list[str] = []
 
     async def start(self) -> RelayProcess:
+        """Start the process; returns once the addresses are known."""
         from testbed.processes import start_part  # noqa: PLC0415
 
-        self._process = await start_part("relay", json.dumps(self._told))
+        self._process = await start_part("relay", json.dumps(self._options))
         assert self._process.stdout is not None
-        told = json.loads(await self._process.stdout.readline())
-        self.peers, self.everyone = [list(part) for part in zip(*told, strict=True)]
+        reached = json.loads(await self._process.stdout.readline())
+        self.peers, self.everyone = [list(part) for part in zip(*reached, strict=True)]
         return self
 
     async def say(self, **command: Any) -> dict[str, Any]:
-        """One command, or none; returns the relay's counts right after it."""
+        """Send a command, or an empty one; returns the relay's counts right after it."""
         assert self._process.stdin is not None and self._process.stdout is not None
         self._process.stdin.write(json.dumps(command).encode() + b"\n")
-        told: dict[str, Any] = json.loads(await self._process.stdout.readline())
-        return told
+        report: dict[str, Any] = json.loads(await self._process.stdout.readline())
+        return report
 
     async def rule(self, *rules: dict[str, Any]) -> None:
-        """From now on these rules hold and no others; none: all is let through."""
+        """Let these rules hold from now on and no others; without any, all passes."""
         await self.say(rules=rules)
 
     async def lines(self, *rules: dict[str, Any]) -> None:
-        """The same for lines to hosts and discovery."""
+        """The same for connections to hosts and discovery."""
         await self.say(lines=rules)
 
     async def apart(self, *groups: list[int]) -> None:
-        """Cut every group off from every other."""
+        """Cut every group of gateways off from every other."""
         await self.rule(
             *(
                 {"sources": a, "targets": b, "cut": True, "both": True}
@@ -252,4 +269,5 @@
         )
 
     async def stop(self) -> None:
+        """End the process."""
         await self._process.communicate(b"")
--- a/testbed/service.py
+++ b/testbed/service.py
@@ -1,5 +1,8 @@
-"""A fleet that asks one service for its list, in virtual time: the program's own waits (`poll_schedule.py`,
-`freshness.py`) against a service that takes calls in turn. No sockets, no clock."""
+"""Many gateways that poll one discovery service for its list, in simulated time.
+
+The program's own waits (`poll_schedule.py`, `freshness.py`) against a service that takes calls one
+by one. No sockets, no clock.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +13,19 @@
 from quillroad.discovery.freshness import SILENCE_S, EndpointFreshness
 from quillroad.discovery.poll_schedule import PollSchedule
 
-PATIENCE_S = 2.0  # that a call waits at most
-END_S = 60.0
+CALL_TIMEOUT_S = 2.0  # that a call waits for its answer at most
+FAILURE_S = 0.005  # that a call takes which fails or is turned away at once
+END_S = 60.0  # of the simulated time
 
 
 @dataclass
 class Service:
-    """Takes calls in turn, one in `work_s`. A call that would wait longer than `overbook` times its patience
-    is turned away at once; one that waits longer than its patience fails then, and costs its work all the
-    same. Until `up_s` each call fails at once."""
+    """A service that takes calls one by one, each for `work_s` seconds.
+
+    A call that would wait for longer than `overbook` times its timeout is turned away at once; one
+    that waits for longer than its timeout fails then, and costs its work all the same. Until `up_s`
+    each call fails at once.
+    """
 
     work_s: float
     overbook: float = 1.0
@@ -27,22 +34,24 @@
     calls: list[float] = field(default_factory=list)
 
     def call(self, at: float) -> tuple[float, bool]:
-        """When the call ends, and whether it has its list then."""
+        """Make a call at a time; returns when it ends, and whether it got the list."""
         self.calls.append(at)
         if at < self.up_s:
-            return at + 0.005, False
+            return at + FAILURE_S, False
         done = max(self.free_s, at) + self.work_s
-        if done - at > self.overbook * PATIENCE_S:
-            return at + 0.005, False
+        if done - at > self.overbook * CALL_TIMEOUT_S:
+            return at + FAILURE_S, False
         self.free_s = done
-        return (done, True) if done - at <= PATIENCE_S else (at + PATIENCE_S, False)
+        return (done, True) if done - at <= CALL_TIMEOUT_S else (at + CALL_TIMEOUT_S, False)
 
 
 def lists_after(
     gateways: int, service: Service, seed: int, silent: bool = True, start: bool = False
 ) -> list[float]:
-    """Seconds after which each gateway has its list again. At 0 all watches fall `silent`, or end; or all
-    gateways `start`. A gateway that never gets one until `END_S` counts with that."""
+    """Seconds after which each gateway has the list again; `END_S` where it never gets it.
+
+    At 0 all watches fall `silent`, or end; or all gateways `start`.
+    """
     rng = random.Random(seed)
     due: list[tuple[float, int]] = []
     pacings = [PollSchedule(gateways, number, rng.random) for number in range(gateways)]
--- a/testbed/stage.py
+++ b/testbed/stage.py
@@ -1,4 +1,4 @@
-"""Hosts, discovery and one or more gateway processes, for tests that judge the program from outside."""
+"""Hosts, discovery and one or more gateway processes, to judge the program from outside."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from pathlib import Path
 from socket import SOCK_DGRAM
-from typing import Any
+from typing import Any, NamedTuple
 
 from testbed.account import Drain, Receipt, Work, broken_rules
 from testbed.clients import Load
@@ -20,17 +20,52 @@
 from testbed.relay import RelayProcess
 
 
+class _GatewayOptions(NamedTuple):
+    """What each gateway is started with; see the parameters of `Stage`."""
+
+    sockets: int
+    upgrades: str
+    budget: str
+    operators: bool
+    path: Path | None
+    tree: Path | None
+
+
+class _Membership(NamedTuple):
+    """How gateways talk to each other: the text of the fleet file (empty: not at all) and more.
+
+    `may_talk`: whether the platform allows it; `broadcast`: each reaches all others by one
+    datagram, too; `view_interval`: how often views are written, as the fleet file has it.
+    """
+
+    file: str
+    may_talk: bool
+    broadcast: bool
+    view_interval: str
+
+
 class Stage:
-    """Stand-ins in this process, and gateways in theirs, each pinned to a core of its own where there are
-    enough. `told` changes the gateways' settings; with several gateways each is told its number. `upgrades`
-    is the text of the file that turns upgrades on, `budget` of the one for traffic between `zones`, over
-    which hosts are dealt out in turn; with `operators` each has an address for them; `path` is a folder whose
-    modules come before those of the build, `tree` one whose packages run in place of the source tree's. The
-    last `later` of the gateways start with `start_later` only, by the list as it is by then; `registry` makes
-    what lists the hosts; `fleet` is the text of the file that turns the view of the fleet on, with the
-    gateways' datagrams through `relay`, where `peers` allows them to talk; with `aloud` each can reach all
-    others by one of them, and with `lines` those to hosts and discovery go through it, too; views are
-    written `every` so often."""
+    """Stand-ins in this process, and gateways in theirs, as an asynchronous context manager.
+
+    Each gateway is pinned to a core of its own while there are enough, and is told its number.
+
+    Parameters:
+        folder: for the gateways' files.
+        works: the classes of requests.
+        hosts: how many; they are dealt out over `zones` in turn and answer after `delay` seconds.
+        sockets: each gateway's limit of descriptors.
+        gateways: how many; the last `later` of them start with `start_later` only.
+        upgrades, budget, fleet: texts of the files that turn upgrades, the cross-zone budget and
+            membership on; empty: off.
+        path: folder whose modules come before those of the build.
+        tree: folder whose packages run in place of the source tree's.
+        operators: whether each gateway has an operators' address.
+        registry: makes the discovery that lists the hosts.
+        peers: whether the platform lets gateways talk to each other, through `relay`; `aloud`: each
+            reaches all others by one datagram, too; `every`: how often views are written.
+        lines: whether connections to hosts and discovery go through the relay, too.
+        changes: changes to the gateways' settings.
+    """
 
     def __init__(
         self,
@@ -54,16 +89,20 @@
         aloud: bool = False,
         lines: bool = False,
         every: str = "100 ms",
-        **told: Any,
+        **changes: Any,
     ) -> None:
-        self._folder, self._works, self._sockets = folder, works, sockets
-        self._told, self._budget = {"zones": list(zones)} | told, budget
+        self._folder = folder
+        self._works = works
+        self._options = _GatewayOptions(sockets, upgrades, budget, operators, path, tree)
+        self._settings = {"zones": list(zones)} | changes
         self.hosts = [Host(f"s-{i}", delay, zones[i % len(zones)]) for i in range(hosts)]
-        self._operators, self._later, self._list = operators, later, registry
-        self._fleet, self._peers, self.relay = fleet, bool(fleet) and peers, RelayProcess([])
-        self._aloud, self._lines, self._every = aloud, lines, every
+        self._started_later = later
+        self._make_discovery = registry
+        self._membership = _Membership(fleet, bool(fleet) and peers, aloud, every)
+        self._relays_lines = lines
+        self.relay = RelayProcess([])
         self.deaf: frozenset[int] = frozenset()  # gateways that cannot hear what discovery tells
-        self._count, self._upgrades, self._path, self._tree = gateways, upgrades, path, tree
+        self._count = gateways
         self.gateways: list[GatewayProcess] = []
         self.log = ""
         self.drains: list[Drain] = []  # that were told
@@ -71,54 +110,75 @@
 
     @property
     def gateway(self) -> GatewayProcess:
+        """The first gateway."""
         return self.gateways[0]
 
     async def __aenter__(self) -> Stage:
         for host in self.hosts:
             await host.start()
-        self.discovery = await self._list(self.hosts).start()
-        cores = sorted(os.sched_getaffinity(0))
-        if self._fleet:
-            # An address for each: the relay's many sockets may get any free port of 127.0.0.1.
-            listens = [(f"127.1.0.{n + 1}", free_port(SOCK_DGRAM)) for n in range(self._count)]
-            lines = {host.name: host.port for host in self.hosts} | {
-                "discovery": self.discovery.port
-            }
-            self.relay = await RelayProcess(listens, lines=lines if self._lines else None).start()
+        self.discovery = await self._make_discovery(self.hosts).start()
+        listens = await self._start_relay() if self._membership.file else []
         for number in range(self._count):
-            folder = self._folder / str(number)
-            folder.mkdir()
-            told = settings(self._works, peers=self._peers)
-            told |= {"balancers": self._count, "my_number": number} | self._told
-            core = cores[-1 - number % len(cores)]
-            gateway = GatewayProcess(folder, self.discovery.port, told, self._sockets, core)
-            gateway.upgrades, gateway.path, gateway.budget = (
-                self._upgrades,
-                self._path,
-                self._budget,
-            )
-            gateway.tree = self._tree or gateway.tree
-            gateway.admin = free_port() if self._operators else 0
-            if self._fleet:
-                everyone = self.relay.everyone[number] if self._aloud else ""
-                if self._lines:
-                    gateway.reconfigure(discovery=f"{address_of(number)}:{self.discovery.port}")
-                gateway.talks(
-                    self._fleet, listens[number], self.relay.peers[number], everyone, self._every
-                )
+            gateway = self._make_gateway(number)
+            if self._membership.file:
+                self._join_fleet(gateway, number, listens[number])
             self.gateways.append(gateway)
-        early = self.gateways[: self._count - self._later]
-        if self._fleet:  # which is to settle from a start of all at once
+        await self._start_gateways()
+        return self
+
+    async def _start_relay(self) -> list[tuple[str, int]]:
+        """Start the relay; returns the gateways' own addresses for datagrams, by number."""
+        # An address for each: the relay's many sockets may get any free port of 127.0.0.1.
+        listens = [(f"127.1.0.{n + 1}", free_port(SOCK_DGRAM)) for n in range(self._count)]
+        lines: dict[str, int] | None = None
+        if self._relays_lines:
+            lines = {host.name: host.port for host in self.hosts}
+            lines["discovery"] = self.discovery.port
+        self.relay = await RelayProcess(listens, lines=lines).start()
+        return listens
+
+    def _make_gateway(self, number: int) -> GatewayProcess:
+        """A gateway with its files and settings, not started yet."""
+        options = self._options
+        folder = self._folder / str(number)
+        folder.mkdir()
+        own_settings = settings(self._works, peers=self._membership.may_talk)
+        own_settings |= {"balancers": self._count, "my_number": number} | self._settings
+        cores = sorted(os.sched_getaffinity(0))
+        core = cores[-1 - number % len(cores)]
+        gateway = GatewayProcess(folder, self.discovery.port, own_settings, options.sockets, core)
+        gateway.upgrades = options.upgrades
+        gateway.path = options.path
+        gateway.budget = options.budget
+        gateway.tree = options.tree or gateway.tree
+        gateway.admin = free_port() if options.operators else 0
+        return gateway
+
+    def _join_fleet(self, gateway: GatewayProcess, number: int, listen: tuple[str, int]) -> None:
+        """Let a gateway talk to the others, and reach hosts and discovery, through the relay."""
+        membership = self._membership
+        everyone = self.relay.everyone[number] if membership.broadcast else ""
+        if self._relays_lines:
+            gateway.reconfigure(discovery=f"{address_of(number)}:{self.discovery.port}")
+        peers = self.relay.peers[number]
+        gateway.talks(membership.file, listen, peers, everyone, membership.view_interval)
+
+    async def _start_gateways(self) -> None:
+        """Start the gateways but the last `later`; with membership all at one instant."""
+        early = self.gateways[: self._count - self._started_later]
+        if self._membership.file:
             await asyncio.gather(*(gateway.start() for gateway in early))
         else:
             for gateway in early:
                 await gateway.start()
-        return self
 
     async def start_later(self) -> None:
-        """Start the gateways that were left for later, all at once; returns once each serves."""
+        """Start the gateways that were left for later; returns once each serves.
+
+        All start at once, and know the endpoint list as it is by now.
+        """
         known = {"generation": 1, "reset": True, "instances": [host.entry() for host in self.hosts]}
-        late = self.gateways[self._count - self._later :]
+        late = self.gateways[self._count - self._started_later :]
         for gateway in late:
             gateway.reconfigure(known=known)
         await asyncio.gather(*(gateway.start() for gateway in late))
@@ -127,22 +187,23 @@
         self.log = "".join([await gateway.stop() for gateway in self.gateways])
         for ration in self._rations:  # it ends with the process that it held
             await ration.wait()
-        if self._fleet:
+        if self._membership.file:
             await self.relay.stop()
         self.discovery.stop()
         for host in self.hosts:
             host.stop()
 
     def load(self, gateway: int = 0, shares: Sequence[float] = (3, 1), **more: Any) -> Load:
+        """A load on one gateway; `shares` weigh the classes, `more` goes to `Load`."""
         more = {"prefix": f"g{gateway}-"} | more
         return Load(self.gateways[gateway].address, self._works, shares, **more)
 
-    async def ration(self, share: float, gateway: int = 0) -> None:
+    async def ration(self, fraction: float, gateway: int = 0) -> None:
         """Hold a gateway to a part of its core (0 to 1)."""
-        self._rations.append(await hold(self.gateways[gateway].pid, share))
+        self._rations.append(await hold(self.gateways[gateway].pid, fraction))
 
     async def no_ration(self) -> None:
-        """Let the gateways have their cores again."""
+        """Let all gateways have their cores again."""
         for ration in self._rations:
             ration.terminate()
             await ration.wait()
@@ -151,21 +212,24 @@
             one.go_on()
 
     def receipts(self) -> list[Receipt]:
+        """All requests that hosts received."""
         return [receipt for host in self.hosts for receipt in host.receipts]
 
     def broken(self, *loads: Load) -> list[str]:
-        """What in the account of these loads no gateway may do."""
+        """Violations in the account of these loads (`account.broken_rules`)."""
         records = [record for load in loads for record in load.records]
         return broken_rules(records, self.receipts(), self._works, drains=self.drains)
 
     def break_off(self, host: Host, keep: str, most: int | None = None, **changes: Any) -> float:
-        """Change a host's line, of which those who watch, the oldest `most` of them, hear the part up to
-        `keep`; returns when."""
+        """Change a host's entry, and end watches in the middle of telling it; returns when.
+
+        The oldest `most` watches get the line up to `keep` (see `Discovery.break_off`).
+        """
         assert self.discovery.break_off(host.name, keep, most, **changes) > 0
         return self._changed(host, changes)
 
     def tell(self, host: Host, **changes: Any) -> float:
-        """Change a host's line in the list; returns when."""
+        """Change a host's entry in the endpoint list; returns when (monotonic clock)."""
         self.discovery.tell(host.name, **changes)
         return self._changed(host, changes)
 
--- a/tests/test_rig.py
+++ b/tests/testbed/test_account.py
@@ -1,23 +1,12 @@
-"""The testbed's own parts that decide: schedules and the account."""
+"""The account of every request: its columns add up, and each broken rule is found."""
 
 from __future__ import annotations
 
 from testbed.account import Drain, Receipt, Record, Work, broken_rules, tally
-from testbed.schedule import poisson, steady, steps, storm, synchronised
 
 WORK = Work("status-check", 0.5, 1.0, 2.0)
 
 
-def test_schedules_hold_what_they_say() -> None:
-    assert list(steady(4, 1.0)) == [0.0, 0.25, 0.5, 0.75]
-    assert list(steps((2, 1.0), (0, 3.0), (1, 2.0))) == [0.0, 0.5, 4.0, 5.0]
-    assert list(storm(3, 2.0)) == [2.0] * 3
-    assert list(synchronised(2, 2, 0.5)) == [0.0, 0.0, 0.5, 0.5]
-    times = list(poisson(100, 10.0, seed=4))
-    assert times == list(poisson(100, 10.0, seed=4)) == sorted(times)
-    assert 800 < len(times) < 1200
-
-
 def record(name: str, status: int, took: float = 0.1) -> Record:
     return Record(name, 0, 5.0, WORK.deadline, done=5.0 + took if status else 0.0, status=status)
 
