--- a/simulation/__init__.py
+++ b/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: many cores on one simulated clock and network, the same run for the same seed."""
+"""Virtual network and clock for the membership core, and other failure detectors to compare."""
--- a/simulation/fleet.py
+++ b/simulation/fleet.py
@@ -1,10 +1,10 @@
-"""A fleet of gateways' cores in the virtual network: started, stopped, killed, cut apart, and compared."""
+"""Gateways' membership cores in the virtual network: started, stopped, killed and compared."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable, Iterable
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from quillroad.membership.core import Core
 from quillroad.membership.member_table import MemberState
@@ -15,43 +15,49 @@
 from quillroad.membership.view import Change, View
 from simulation.net import World
 
-EVERYONE: Address = (
-    "10.255.255.255",
-    7946,
-)  # where a datagram reaches all, in a fleet that has such a place
+PORT = 7946  # of every member's address
+# Where a datagram reaches all, in a fleet that has such a place.
+EVERYONE: Address = ("10.255.255.255", PORT)
 BUFFERED = 200  # datagrams that a stopped process's socket holds: the kernel drops what comes then
 
 
 def address(number: int) -> Address:
-    return (f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}", 7946)
+    """The address of a member by its number."""
+    return (f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}", PORT)
 
 
 class Part(Protocol):
-    """What runs in a member: the fleet's own core, or another way that is weighed beside it."""
+    """What runs in a member: the membership core, or another detector to compare it with."""
 
     outbox: list[Outgoing]
     changes: list[Change]
 
     @property
-    def view(self) -> View: ...
+    def view(self) -> View:
+        """What it holds of the others."""
 
-    def arm(self, now: float) -> float: ...
+    def arm(self, now: float) -> float:
+        """When it has something to do next, in seconds, not before `now`."""
 
-    def tick(self, now: float) -> None: ...
+    def tick(self, now: float) -> None:
+        """Run its timer."""
 
-    def receive(self, source: Address, data: bytes, now: float) -> None: ...
+    def receive(self, source: Address, data: bytes, now: float) -> None:
+        """Take a datagram."""
 
 
 class Member:
     """One process: its core, while it runs, and what the kernel holds for it."""
 
     def __init__(self, fleet: Fleet, number: int) -> None:
-        self.fleet, self.number = fleet, number
+        self.fleet = fleet
+        self.number = number
         self.core: Part | None = None
         self.stopped = False
         self.lag: Callable[[], float] = lambda: 0.0  # seconds by which each of its steps comes late
         self.inbox: deque[tuple[Address, bytes]] = deque(maxlen=BUFFERED)
-        self.bytes = self.datagrams = 0
+        self.bytes = 0
+        self.datagrams = 0
         self.peak_bytes = 0  # most that went out in any second, whenever that began
         self._second: deque[tuple[float, int]] = deque()
         self._in_second = 0
@@ -60,9 +66,11 @@
 
     @property
     def running(self) -> bool:
+        """Whether its process runs and is not stopped."""
         return self.core is not None and not self.stopped
 
     def start(self, roster: Roster | None = None) -> None:
+        """Start a new process, which knows nothing but the roster."""
         world, fleet = self.fleet.world, self.fleet
         self.core = fleet.make(
             roster or Roster(fleet.addresses, self.number, fleet.everyone),
@@ -76,22 +84,24 @@
         self._arm()
 
     def kill(self) -> None:
+        """End the process (SIGKILL)."""
         self.core = None
         self.inbox.clear()
         self._second.clear()  # a process that starts anew has a budget of its own
         self._in_second = 0
 
     def stop(self) -> None:
-        """SIGSTOP."""
+        """Stop the process (SIGSTOP)."""
         self.stopped = True
 
     def go_on(self) -> None:
-        """SIGCONT: what the kernel holds is read before any timer runs."""
+        """Let it run again (SIGCONT): what the kernel holds is read before any timer runs."""
         self.stopped = False
         self._read()
         self._tick(self._woken)
 
     def deliver(self, source: Address, data: bytes) -> None:
+        """A datagram has come to its socket; lost while no process runs."""
         if self.core is None:
             return
         self.inbox.append((source, data))
@@ -128,7 +138,8 @@
         )
 
     def _flush(self, core: Part) -> None:
-        sent, core.outbox = core.outbox, []
+        sent = core.outbox
+        core.outbox = []
         for number, data in sent:
             self.bytes += len(data)
             self.datagrams += 1
@@ -143,8 +154,21 @@
         core.changes = []
 
 
+class _Answer(NamedTuple):
+    """Whether a member's view, at this version, held exactly these members for alive."""
+
+    core: Part
+    version: int
+    expected: frozenset[int]
+    holds: bool
+
+
 class Fleet:
-    """`size` members, none of them started; with `everyone` a datagram to it reaches all others."""
+    """So many members, none of them started.
+
+    `make` builds what runs in a member; with `everyone` a datagram to that address reaches all
+    others.
+    """
 
     def __init__(
         self,
@@ -154,26 +178,25 @@
         make: Callable[..., Part] = Core,
         everyone: Address | None = None,
     ) -> None:
-        self.world, self.timing, self.make, self.everyone = (
-            world,
-            timing or Timing(),
-            make,
-            everyone,
-        )
+        self.world = world
+        self.timing = timing or Timing()
+        self.make = make
+        self.everyone = everyone
         self.addresses = [address(n) for n in range(size)]
         self.members = [Member(self, n) for n in range(size)]
-        self._looked: dict[int, tuple[Part, int, frozenset[int], bool]] = {}
-        self.twins: dict[
-            int, Member
-        ] = {}  # second processes under a number: either may get what comes
+        self._answers: dict[int, _Answer] = {}  # of `_holds`, by member
+        # Second processes under a number: either may get what comes.
+        self.twins: dict[int, Member] = {}
 
     def start(self, numbers: Iterable[int] | None = None, within_s: float = 0.0) -> None:
+        """Start these members, all by default, each at a random time within `within_s`."""
         for n in range(len(self.members)) if numbers is None else numbers:
             self.world.at(
                 self.world.now + within_s * self.world.random.random(), self.members[n].start
             )
 
     def carry(self, source: int, target: int, data: bytes) -> None:
+        """Send a datagram from one member to another, or to all others."""
         if target == TO_ALL:
             for number in range(len(self.members)):
                 if number != source:
@@ -185,13 +208,17 @@
             self.world.send(source, target, data, lambda: to.deliver(self.addresses[source], data))
 
     def running(self) -> list[Member]:
+        """The members that run."""
         return [member for member in self.members if member.running]
 
     def agreed(
         self, among: Iterable[int] | None = None, there: Iterable[int] | None = None
     ) -> bool:
-        """Whether each of `among`, the running ones as a rule, holds exactly `there`, as a rule these as
-        well, for there: alive, and everyone else in the roster gone, left or never heard of."""
+        """Whether each of `among` holds exactly `there` for alive.
+
+        By default both are the members that run. Everyone else in the roster must be faulty, left
+        or never heard of.
+        """
         numbers = [m.number for m in self.running()] if among is None else list(among)
         if not numbers:
             return False
@@ -199,23 +226,28 @@
         return all(self._holds(n, expected) for n in numbers)
 
     def _holds(self, number: int, expected: frozenset[int]) -> bool:
-        """Whether this member holds exactly these for there; looked at again once its view has changed."""
+        """Whether this member holds exactly these for alive; kept until its view changes."""
         core = self.members[number].core
         if core is None:
             return False
         view = core.view
-        looked = self._looked.get(number)
-        if looked is not None and looked[0] is core and looked[1:3] == (view.version, expected):
-            return looked[3]
-        held = {n for n, seen in view.members.items() if seen.state is MemberState.ALIVE}
-        holds = held == expected - {number} and not view.count(MemberState.SUSPECT)
-        self._looked[number] = (core, view.version, expected, holds)
+        answer = self._answers.get(number)
+        if (
+            answer is not None
+            and answer.core is core
+            and answer.version == view.version
+            and answer.expected == expected
+        ):
+            return answer.holds
+        alive = {n for n, seen in view.members.items() if seen.state is MemberState.ALIVE}
+        holds = alive == expected - {number} and not view.count(MemberState.SUSPECT)
+        self._answers[number] = _Answer(core, view.version, expected, holds)
         return holds
 
     def until(
         self, condition: Callable[[], bool], most_s: float, step_s: float = 0.1
     ) -> float | None:
-        """Seconds until something holds, looked at every `step_s`; None: not within `most_s`."""
+        """Seconds until a condition holds, checked every `step_s`; None: not within `most_s`."""
         began = self.world.now
         while not condition():
             if self.world.now - began >= most_s:
--- a/simulation/heartbeats.py
+++ b/simulation/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats from all to all, to measure beside: who was not heard for five periods counts as gone."""
+"""Heartbeats from all to all, to compare the membership core with."""
 
 from __future__ import annotations
 
@@ -14,16 +14,26 @@
 from quillroad.membership.view import Cause, Change, ChangeKind, MemberRecord, View
 from quillroad.membership.wire import VERSION, Datagram, MessageKind, decode, encode
 
-MISSED = 5
+MISSED = 5  # periods of silence after which a member counts as gone
 
 
 class Heartbeats:
-    """One member, with the datagrams of the fleet's own wire and none of its budget."""
+    """One member, with the datagrams of the membership wire and no bandwidth budget.
+
+    A member that was not heard for `MISSED` periods counts as gone.
+    """
 
     def __init__(
-        self, roster: Roster, timing: Timing, now: float, draw: Callable[[], float], life: int
+        self,
+        roster: Roster,
+        timing: Timing,
+        now: float,
+        draw: Callable[[], float],
+        incarnation: int,
     ) -> None:
-        self._roster, self._period_s, self._life = roster, 2 * timing.period_s, life
+        self._roster = roster
+        self._period_s = 2 * timing.period_s
+        self._incarnation = incarnation
         self.outbox: list[Outgoing] = []
         self.changes: list[Change] = []
         self._heard: dict[int, float] = {}
@@ -36,17 +46,20 @@
 
     @property
     def view(self) -> View:
+        """What it holds of the others."""
         return View(self._version, self._roster.number, 1, HealthState.HEALTHY, 0.0, self._members)
 
     def arm(self, now: float) -> float:
+        """When it has something to do next, in seconds."""
         return max(now, self._next)
 
     def tick(self, now: float) -> None:
+        """Send a heartbeat to all, and look who has not been heard."""
         if now < self._next:
             return
         self._next += self._period_s
         data = encode(
-            Datagram(VERSION, self._roster.number, self._life, 1, MessageKind.GOSSIP, 0, 0)
+            Datagram(VERSION, self._roster.number, self._incarnation, 1, MessageKind.GOSSIP, 0, 0)
         )
         self.outbox += [Outgoing(n, data) for n in self._members]
         for number, at in list(self._heard.items()):
@@ -55,6 +68,7 @@
                 self._set(number, MemberState.FAULTY, now)
 
     def receive(self, source: Address, data: bytes, now: float) -> None:
+        """Take a datagram: its sender lives."""
         number = decode(data).number
         self._heard[number] = now
         if self._members[number].state is not MemberState.ALIVE:
--- a/simulation/net.py
+++ b/simulation/net.py
@@ -1,7 +1,7 @@
-"""A virtual network with one clock: datagrams get lost, late, doubled, reordered and cut, all by one seed.
+"""A virtual network with one clock: datagrams get lost, late, doubled, reordered and cut.
 
-Times are simulated seconds. Whatever runs here is told the time and draws from the world's own generator, so
-the same seed gives the same trace, whose hash `World.trace` keeps.
+Times are simulated seconds. Whatever runs here is given the time and draws from the world's own
+generator, so that the same seed gives the same trace, whose hash `World.trace` keeps.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from random import Random
 from typing import Any
 
-MOST_AT_ONCE = 100_000  # things in one instant
+MOST_AT_ONCE = 100_000  # events at one instant, before the clock counts as standing still
 
 
 @dataclass(slots=True)
 class Link:
-    """How the network treats what goes from one place to another: parts from 0 to 1, delays in seconds."""
+    """How the network treats datagrams on one way: parts from 0 to 1, delays in seconds."""
 
     loss: float = 0.0
     doubled: float = 0.0
@@ -40,7 +40,9 @@
         self._events: list[tuple[float, int, Callable[[], Any]]] = []
         self._order = itertools.count()
         self._hash = hashlib.sha256()
-        self.sent = self.delivered = self.lost = 0
+        self.sent = 0
+        self.delivered = 0
+        self.lost = 0
 
     @property
     def trace(self) -> str:
@@ -52,7 +54,7 @@
         heapq.heappush(self._events, (max(time, self.now), next(self._order), act))
 
     def link(self, source: int, target: int) -> Link:
-        """The link's own treatment, made from that of every link at its first mention."""
+        """The settings of this link alone, copied from those of all links at first."""
         key = (source, target)
         if key not in self._links:
             every = self.every
@@ -62,17 +64,17 @@
         return self._links[key]
 
     def cut(self, sources: set[int], targets: set[int], on: bool = True) -> None:
-        """Let nothing through from these to those, or let it through again; one way."""
+        """Let nothing through from `sources` to `targets`, or (`on` false) let it through again."""
         pairs = {(a, b) for a in sources for b in targets if a != b}
         self._cut = self._cut | pairs if on else self._cut - pairs
 
     def send(self, source: int, target: int, data: bytes, deliver: Callable[[], Any]) -> None:
-        """Carry a datagram as the link has it; `deliver` is called for each copy that arrives."""
+        """Carry a datagram as the link has it; `deliver` is called each time that it arrives."""
         self.sent += 1
         self._note(b"s", source, target, data)
         link = self._links.get((source, target), self.every)
-        copies = 1 + (self.random.random() < link.doubled if link.doubled else 0)
-        for _ in range(copies):
+        deliveries = 1 + (self.random.random() < link.doubled if link.doubled else 0)
+        for _ in range(deliveries):
             late = link.delay_s + link.jitter_s * self.random.random()
             if (
                 link.cut
@@ -95,7 +97,7 @@
         self._hash.update(b"%b %d %d %.6f " % (what, source, target, self.now) + data)
 
     def step(self) -> bool:
-        """Do the next thing; False: there is none."""
+        """Run the next event; returns False where there is none."""
         if not self._events:
             return False
         time, _, act = heapq.heappop(self._events)
@@ -104,12 +106,17 @@
         return True
 
     def run(self, until: float) -> None:
-        """Do all that is due up to a time."""
-        at, things = self.now, 0
+        """Run all events up to a time; raises RuntimeError where the clock stands still."""
+        at = self.now
+        events = 0  # at that instant
         while self._events and self._events[0][0] <= until:
             self.step()
-            at, things = (at, things + 1) if self.now == at else (self.now, 0)
-            if things > MOST_AT_ONCE:
+            if self.now == at:
+                events += 1
+            else:
+                at = self.now
+                events = 0
+            if events > MOST_AT_ONCE:
                 raise RuntimeError(
                     f"{at:.3f}: time stands still: something is due again at once, for ever"
                 )
