--- a/quillroad/balancing/zone_routing.py
+++ b/quillroad/balancing/zone_routing.py
@@ -164,9 +164,8 @@
             )
         if self.is_exceeded and now >= self._past_until:
             self.is_exceeded = False
-            lines.append(
-                f"zone budget kept again: past={sum(s.over_budget for s in self.counts)} since the start"
-            )
+            over_budget = sum(counts.over_budget for counts in self.counts)
+            lines.append(f"zone budget kept again: past={over_budget} since the start")
         return "; ".join(lines)
 
     # What is decided.
--- a/quillroad/upstream/pool.py
+++ b/quillroad/upstream/pool.py
@@ -32,8 +32,6 @@
     "Upstream",
 ]
 
-# Names by which other packages know these until they import them from `quillroad.http_answer`.
-
 # Seconds after an answer before its connection is used again. A faulty host may write a second
 # answer right behind the first; within this time it arrives at an idle connection, which is then
 # closed, instead of being given to the next client.
