--- a/simulation/schedule.py
+++ b/simulation/schedule.py
@@ -184,20 +184,19 @@
 
     def _do_to_member(self, act: Act, member: Member) -> None:
         """What a step does to a process; a step that makes no sense for it now does nothing."""
-        has_process = member.core is not None
-        if act == "kill" and has_process:
-            member.kill()
-        elif act == "start" and not has_process:
-            member.start()
-        elif act == "stop":
-            member.stop()
-        elif act == "go_on" and has_process:
-            if member.stopped:
-                member.go_on()
-        elif act == "slow":
+        if act == "slow":
             member.lag = partial(self._fleet.world.random.uniform, 0.0, SLOW_S)
         elif act == "quick":
             member.lag = _no_lag
+        elif act == "stop":
+            member.stop()
+        elif member.core is None:
+            if act == "start":
+                member.start()
+        elif act == "kill":
+            member.kill()
+        elif act == "go_on" and member.stopped:
+            member.go_on()
 
     def _do_to_network(self, step: Step) -> None:
         """What a step does to the links between its members and the others."""
