--- a/tests/downstream/test_descriptors.py
+++ b/tests/downstream/test_descriptors.py
@@ -171,7 +171,10 @@
 
 @pytest.mark.parametrize(("closes", "leaks"), [("", 0), ("", 4), ("os.close(0)", 0)])
 def test_what_a_process_was_started_with_is_counted(closes: str, leaks: int) -> None:
-    code = f"import os\n{closes}\nfrom quillroad.inherited_descriptors import count_inherited_descriptors\nprint(count_inherited_descriptors())"
+    code = (
+        f"import os\n{closes}\nimport quillroad.inherited_descriptors as inherited\n"
+        "print(inherited.count_inherited_descriptors())"
+    )
     leaked = [os.dup(2) for _ in range(leaks)]
     done = subprocess.run(
         [sys.executable, "-c", code],
