--- a/quillroad/balancing/admission.py
+++ b/quillroad/balancing/admission.py
@@ -34,7 +34,8 @@
 WORK_SMOOTHING = 64
 """Arrivals that the mean work of a request is a mean of: the mix of routes changes slowly."""
 ISOLATION_SMOOTHING = 256
-"""Arrivals of mean work that the part of long requests is a mean of: hosts change lanes with it."""
+"""Arrivals of mean work that the part of long requests is a mean of: it decides how many hosts are
+kept for long requests."""
 
 
 def on_request_arrived(state: BalancerState, event: RequestArrived) -> None:
--- a/quillroad/balancing/balancer.py
+++ b/quillroad/balancing/balancer.py
@@ -4,8 +4,8 @@
 `request_queue`, `retry`, `hedging` and `final_answer`. The rules that these ask are modules of
 their own: `load_shedding`, `tenant_quota`, `subsetting`, `concurrency_limit`, `outlier_detection`,
 `overdue`, `slow_start`, `workload_isolation`, `zone_awareness` and `zone_routing`. What they share
-is in `state`. Three promises hold over all of them: each request has one final answer in time, no
-request takes effect twice, and hosts that drain or warm up are not sent more than they may get.
+is in `state`. Four promises hold over all of them: each request has one final answer in time, no
+request takes effect twice, drains are honoured, and hosts that warm up are not overloaded.
 """
 
 from __future__ import annotations
@@ -113,7 +113,11 @@
         return None if host is None else host.endpoint
 
     def gauges(self, now_us: int) -> dict[str, float]:
-        """How the balancer stands, by the names that the log of each second has for it."""
+        """How the balancer stands, by the names that the log of each second has for it.
+
+        `pace` is the recent arrivals, `ejected` the hosts that are not healthy (ejected, resting or
+        silent), and `cold` those that were warming up at the last endpoint update.
+        """
         return {
             "queued": self.queued,
             "admitted": round(self.admitted_ratio, 3),
--- a/quillroad/balancing/events.py
+++ b/quillroad/balancing/events.py
@@ -21,7 +21,9 @@
     ERROR = "error"  # the host answered with an error; it may have run
     REJECTED = "full"  # the host answered that it has not started the request
     TIMEOUT = "timeout"  # no answer in time; it may have run or still run
-    CONNECT_FAILED = "connect_failed"  # never reached the host
+    CONNECT_FAILED = (
+        "connect_failed"  # no connection, or lost before the last byte left: has not run
+    )
     RESET = "reset"  # the connection broke while the attempt was in flight
     CANCELLED = "cancelled"  # by the gateway; it may have run
     NOT_SENT = "moot"  # never reached a socket
@@ -67,7 +69,10 @@
 
 
 class StreamStarted(NamedTuple):
-    """A streamed answer has begun: the attempt belongs to the client from now on."""
+    """A streamed answer has begun: the attempt belongs to the client from now on.
+
+    Only the simulator tells this; the engine reports a streamed answer as a success at once.
+    """
 
     request: int
     attempt: int
--- a/quillroad/balancing/final_answer.py
+++ b/quillroad/balancing/final_answer.py
@@ -2,8 +2,9 @@
 
 Decides what a client is told that gets no host's answer: that a retry is harmless (reject), or
 nothing (fail). Inputs: the reason, the attempts, whether their repeat does harm (`retry`). Every
-request gets exactly one final answer, and nothing is sent after it: `finish` is the only place that
-gives one, and `close` the only one that ends a request.
+request gets exactly one final answer, and nothing is sent after it: `finish` is the only place
+where the balancer gives one. (The engine answers by itself if the balancer decides nothing in
+time.)
 """
 
 from __future__ import annotations
--- a/quillroad/balancing/load_shedding.py
+++ b/quillroad/balancing/load_shedding.py
@@ -5,8 +5,8 @@
 are in time and rises while more are. Without it a fleet that is slower than its traffic works on
 nothing but requests that are too late: no limit of a single gateway can bound that.
 
-Where a subset is drawn from, permits bound what is in flight: no jam is fed, and hosts that fail
-say nothing of one. There nothing is shed.
+Where a subset is drawn from, permits bound what is in flight, so that this gateway cannot add to an
+overload, and failures there do not prove one. There nothing is shed.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 """Share of attempts in time at which the admitted share holds: with more the fleet is not used in
 full, with fewer most of its work is wasted."""
 LEAST_ADMITTED = 0.1
-"""Share admitted at the worst: it finds out that the overload is over, and feeds a jam little."""
+"""Share admitted at the worst: it finds out that the overload is over, and adds little to it."""
 STEP = 4.0
-"""What as many outcomes as there were recent arrivals, all good or all bad, would move the share
-by: it follows an overload within a quarter of that many."""
+"""Gain on the reward less `TARGET_IN_TIME`, spread over the recent arrivals: as many good outcomes
+as there were arrivals move the ratio up by 1.2, as many bad ones down by 2.8."""
 LEAST_REMEMBERED = 1.0 / 0.12
 """Recent arrivals counted with at least: so many outcomes make up a payoff."""
 
--- a/quillroad/balancing/outlier_detection.py
+++ b/quillroad/balancing/outlier_detection.py
@@ -7,9 +7,10 @@
 and fades to the mean of all hosts, so blame fades too; of a host that was not heard of for long one
 outcome says much.
 
-Ejection: a host whose payoff falls below `EJECTION_PAYOFF` leaves rotation. The first time is as
-long as the work of one trial by each gateway that shares the host; it doubles with each ejection up
-to four times, and one answer ends the count. Without ejection a host that fails fast keeps drawing
+Ejection: a host whose payoff falls below `EJECTION_PAYOFF` leaves rotation. The first time is
+`TRIAL_WORK` times the work of one trial by each gateway that shares the host, and no shorter than
+the longest route deadline; it doubles with each ejection up to four times, and one answer ends the
+count. Without ejection a host that fails fast keeps drawing
 requests; without the wait the trials of all gateways together jam the host that they test.
 
 Rest: where a subset is drawn from, the next host of the ring is as near. There every quick failure
--- a/quillroad/balancing/rejection.py
+++ b/quillroad/balancing/rejection.py
@@ -9,12 +9,15 @@
 
 
 class RejectionReason(StrEnum):
-    """Why the gateway gave a final answer of its own to a request."""
+    """Why the gateway gave a final answer of its own to a request.
+
+    The client gets a rejection (503), or a failure (502) where a retry may do harm.
+    """
 
     OBJECTIVE_LOST = "refused_late"
     """It is an unmarked retry that has already missed its latency objective."""
     LOAD_SHED = "refused_share"
-    """Too few attempts meet their objective: a share of the arrivals is turned away."""
+    """Too few attempts meet their objective: a part of the arrivals is rejected."""
     NO_ZONE_REACHABLE = "refused_crossing"
     """No host of the local zone is healthy, and no cross-zone budget comes free in its time."""
     WAIT_TOO_LONG = "refused_wait"
--- a/quillroad/balancing/send_gate.py
+++ b/quillroad/balancing/send_gate.py
@@ -12,7 +12,7 @@
 
 from quillroad.balancing.endpoint import EndpointStatus
 from quillroad.balancing.retry import may_try_again
-from quillroad.balancing.slow_start import may_warm
+from quillroad.balancing.slow_start import may_send_while_warming
 from quillroad.balancing.zone_awareness import may_cross
 
 if TYPE_CHECKING:
@@ -27,6 +27,6 @@
         return False
     if host.endpoint.status is not EndpointStatus.READY:
         return False
-    if state.warming and not may_warm(state, request, host):
+    if state.warming and not may_send_while_warming(state, request, host):
         return False
     return state.cross_zone is None or may_cross(state, request, host, state.cross_zone)
--- a/quillroad/balancing/slow_start.py
+++ b/quillroad/balancing/slow_start.py
@@ -47,8 +47,12 @@
     return bool(started_us) and state.now_us < (started_us or 0) + state.settings.warm_up_us
 
 
-def may_warm(state: BalancerState, request: Request, host: HostState) -> bool:
-    """Whether a request may go to the host as far as its warming up goes."""
+def may_send_while_warming(state: BalancerState, request: Request, host: HostState) -> bool:
+    """Whether a request may go to the host as far as its warming up goes.
+
+    Its work has to fit into what is left of the slot, and has to be done at the host's present
+    capacity while its answer still has a value.
+    """
     if not is_warming(state, host):
         return True
     if not state.owns_slow_start:
--- a/quillroad/balancing/state.py
+++ b/quillroad/balancing/state.py
@@ -66,7 +66,8 @@
 class HostState:
     """What this gateway knows of one endpoint.
 
-    `payoff` is its smoothed share of attempts within the objective, as of `heard_us`.
+    `payoff` is its smoothed share of attempts within the objective, as of `heard_us`: when it was
+    last heard of, or, for an ejected host, when it returns.
     `ring_position` is its place in an order that all gateways have in common. `in_flight` and
     `overdue` count attempts of this gateway; of them `sibling_in_flight` and `sibling_overdue` are
     of another process of the same gateway. `slow_start_slot` is the last slot in which it was
--- a/quillroad/balancing/zone_routing.py
+++ b/quillroad/balancing/zone_routing.py
@@ -4,11 +4,11 @@
 Inputs: first attempts, attempts and bytes that leave the zone, and how many local hosts are
 healthy. No I/O. Times are whole microseconds of the balancer's clock.
 
-One `Crossing` belongs to one balancer, which asks `allows` before each attempt at a remote host and
-tells `spend` of each that it starts. What is allowed follows from counts that fade over the window.
-Attempts within the budget never pass the told share of first attempts, whatever their order: there
-is no bucket that a quiet night fills for a storm. Without a budget a zone in trouble fills the
-links to the others, and their hosts.
+One `CrossZoneBudget` belongs to one balancer, which asks `allows` before each attempt at a remote
+host and tells `spend` of each that it starts. What is allowed follows from counts that fade over
+the window. Attempts within the budget never pass the told share of first attempts, whatever their
+order: there is no bucket that a quiet night fills for a storm. Without a budget a zone in trouble
+fills the links to the others, and their hosts.
 
 While the local zone is lost, routes that were told to spend go past the budget. What they send then
 is counted apart and does not use the budget up. Otherwise the outage would be paid for by
@@ -93,8 +93,8 @@
 class CrossZoneCounts:
     """Counts of one route since the start.
 
-    `by_reason` has the attempts that left the zone, `past` those of them that went past the budget,
-    `refused` requests that were rejected because no budget was left for them.
+    `by_reason` has the attempts that left the zone, `over_budget` those of them that went past the
+    budget, `rejected` requests that were rejected because no budget was left for them.
     """
 
     by_reason: list[int] = field(default_factory=lambda: [0] * len(CrossZoneReason))
@@ -110,8 +110,9 @@
 class CrossZoneBudget:
     """The budget of one balancer.
 
-    `lost`: too few hosts of the local zone are healthy; `all_lost`: none is. `past`: attempts went
-    past the budget of late. `sent` has the counts of each route since the start.
+    `local_zone_lost`: too few hosts of the local zone are healthy; `no_local_host_healthy`: none
+    is. `is_exceeded`: attempts went past the budget of late. `counts` has those of each route since
+    the start.
     """
 
     def __init__(self, budget: CrossZoneLimits) -> None:
--- a/quillroad/discovery/consul/index.py
+++ b/quillroad/discovery/consul/index.py
@@ -45,7 +45,7 @@
         """Another agent, or a failed query: indexes of two servers cannot be compared."""
         self.value = 0
 
-    def told(self, text: str | None) -> str:
+    def update(self, text: str | None) -> str:
         """Take over the index of an answer; returns what was wrong with it, or an empty line."""
         if text is None or not (text.isascii() and text.isdigit() and len(text) <= LONGEST_DIGITS):
             self.value = 0
--- a/quillroad/discovery/consul/merge.py
+++ b/quillroad/discovery/consul/merge.py
@@ -28,7 +28,7 @@
         self._merged: Instances | None = None
         self.state = SourceState()
 
-    def told(self, watch: Hashable, now: float, instances: Instances) -> Instances | None:
+    def update(self, watch: Hashable, now: float, instances: Instances) -> Instances | None:
         """Take over a whole list from one watch; returns the merged list if it changed."""
         self._views[watch] = {instance.id: instance for instance in instances}
         if self.state.health is not SourceHealth.FRESH:
--- a/quillroad/discovery/consul/source.py
+++ b/quillroad/discovery/consul/source.py
@@ -112,13 +112,13 @@
     def resume(self, position: int) -> None:
         """Each agent is queried from its own index on."""
 
-    def begin(self, config: Config) -> None:
+    def load_known_hosts(self, config: Config) -> None:
         """Nothing is known without asking."""
 
-    def divide(self, number: int, balancers: int) -> None:
+    def set_gateway_count(self, gateway_index: int, gateway_count: int) -> None:
         """Each gateway queries an agent of its own."""
 
-    def follow(self, config: Config) -> None:
+    def switch_to(self, config: Config) -> None:
         """Watch by another configuration; see `use`."""
         assert isinstance(config.hosts, ConsulHosts)
         self.use(query_for(config.hosts))
@@ -163,12 +163,12 @@
         where = f"agent {address[0]}:{address[1]}"
         response = await self._fetch(address, where, index)
         reading = self._read(response, where)
-        if problem := index.told(response.headers.get("x-consul-index")):
+        if problem := index.update(response.headers.get("x-consul-index")):
             log.info("consul: %s: %s", where, problem)
         for line in reading.unread[:SHOWN_UNREAD]:
             log.warning("consul: %s: %s", where, line)
         agents.answered()
-        self._tell(self._views.told(number, monotonic(), reading.instances))
+        self._tell(self._views.update(number, monotonic(), reading.instances))
 
     async def _fetch(self, address: Address, where: str, index: QueryIndex) -> Response:
         token_file = self._query.hosts.token_file
--- a/quillroad/discovery/feed.py
+++ b/quillroad/discovery/feed.py
@@ -33,13 +33,13 @@
         """What the source calls."""
         return SourceListener(self._take, self._note)
 
-    def starts(self) -> dict[str, tuple[int, bool]]:
+    def start_times(self) -> dict[str, tuple[int, bool]]:
         """See `Reducer.starts`."""
-        return self._reducer.starts()
+        return self._reducer.start_times()
 
-    def learn(self, starts: Mapping[str, tuple[int, bool]]) -> None:
+    def restore_start_times(self, starts: Mapping[str, tuple[int, bool]]) -> None:
         """See `Reducer.learn`; a list that was told already takes effect again with it."""
-        self._reducer.learn(starts)
+        self._reducer.restore_start_times(starts)
         if self._last is not None:
             self._take(self._last)
 
--- a/quillroad/discovery/platform.py
+++ b/quillroad/discovery/platform.py
@@ -118,12 +118,12 @@
         )
         self._freshness = EndpointFreshness(monotonic(), has_own_agent=not self._is_shared)
 
-    def divide(self, number: int, balancers: int) -> None:
+    def set_gateway_count(self, gateway_index: int, gateway_count: int) -> None:
         """So many gateways poll this service now, and which of them this is, from 0."""
         if self._is_shared:
-            self._schedule.divide(number, balancers)
+            self._schedule.set_gateway_count(gateway_index, gateway_count)
 
-    def begin(self, config: Config) -> None:
+    def load_known_hosts(self, config: Config) -> None:
         """Serve by the list as this gateway last had it until discovery's first answer."""
         if config.known:
             try:
@@ -160,7 +160,7 @@
             self._task.cancel()
             self._task = None
 
-    def follow(self, config: Config) -> None:
+    def switch_to(self, config: Config) -> None:
         """Watch another discovery service; the list stays in use until its first answer.
 
         The old watch takes no further step, so that nothing left in its buffers can undo what the
--- a/quillroad/discovery/poll_schedule.py
+++ b/quillroad/discovery/poll_schedule.py
@@ -62,10 +62,10 @@
         self._gateway_index = gateway_index
         self._gateway_count = gateway_count
 
-    def divide(self, number: int, balancers: int) -> None:
+    def set_gateway_count(self, gateway_index: int, gateway_count: int) -> None:
         """So many gateways poll now, and which of them this is: the next waits follow it."""
-        self._gateway_index = number
-        self._gateway_count = balancers
+        self._gateway_index = gateway_index
+        self._gateway_count = gateway_count
 
     def start_s(self, left_s: float) -> float:
         """Seconds from a start until the first call, which should begin within `left_s`."""
--- a/quillroad/discovery/reducer.py
+++ b/quillroad/discovery/reducer.py
@@ -143,7 +143,7 @@
         remembered.was_out = is_out
         return remembered.started_us
 
-    def starts(self) -> dict[str, tuple[int, bool]]:
+    def start_times(self) -> dict[str, tuple[int, bool]]:
         """What is remembered of each id.
 
         When it started (Unix time, microseconds; 0: long ago), and whether it was told to be
@@ -154,7 +154,7 @@
             for name, remembered in self._remembered.items()
         }
 
-    def learn(self, starts: Mapping[str, tuple[int, bool]]) -> None:
+    def restore_start_times(self, starts: Mapping[str, tuple[int, bool]]) -> None:
         """Go on with what another process remembered, in the form of `starts`.
 
         Of two starts of one id the later counts: a host that came back a moment before stays
--- a/quillroad/discovery/source.py
+++ b/quillroad/discovery/source.py
@@ -14,7 +14,7 @@
     The list that it told last stays in use whatever becomes of the source.
     """
 
-    def begin(self, config: Config) -> None:
+    def load_known_hosts(self, config: Config) -> None:
         """Tell what is known without asking anybody. Raises `ConfigError` where that is no list."""
 
     @property
@@ -30,10 +30,10 @@
     def stop(self) -> None:
         """Tell nothing more."""
 
-    def divide(self, number: int, balancers: int) -> None:
+    def set_gateway_count(self, gateway_index: int, gateway_count: int) -> None:
         """So many gateways share the source now, and which of them this is, from 0."""
 
-    def follow(self, config: Config) -> None:
+    def switch_to(self, config: Config) -> None:
         """Use another configuration for the same kind of source.
 
         What was told stays in use until the source tells more.
--- a/quillroad/discovery/static.py
+++ b/quillroad/discovery/static.py
@@ -22,7 +22,7 @@
         self._listener = listener
         self._version = 0
 
-    def begin(self, config: Config) -> None:
+    def load_known_hosts(self, config: Config) -> None:
         """Tell the hosts of the configuration."""
         assert isinstance(config.hosts, StaticHosts)
         self._version += 1
@@ -44,12 +44,12 @@
     def stop(self) -> None:
         """Nothing to end."""
 
-    def divide(self, number: int, balancers: int) -> None:
+    def set_gateway_count(self, gateway_index: int, gateway_count: int) -> None:
         """Nobody is polled."""
 
-    def follow(self, config: Config) -> None:
+    def switch_to(self, config: Config) -> None:
         """Tell the hosts of another configuration."""
-        self.begin(config)
+        self.load_known_hosts(config)
 
 
 def _instance(host: StaticHost) -> Instance:
--- a/quillroad/downstream/connection.py
+++ b/quillroad/downstream/connection.py
@@ -164,11 +164,11 @@
         wait_s = validator.wait_s(route, seen.wait_ms)
         if not self._queue(self._parser.read_at, wait_s, route, validator.tenant(seen.tenant)):
             self._parser.unparsed = b""
-            self._shed(route)
+            self._reject_unparsed(route)
         return True
 
-    def _shed(self, route: int) -> None:
-        """Turn away a request that no parser has seen."""
+    def _reject_unparsed(self, route: int) -> None:
+        """Reject a request that no parser has seen."""
         if self._server.on_end is not None:
             self._server.on_end(route, 503)
         self.last_change = monotonic()
--- a/quillroad/downstream/connection_limit.py
+++ b/quillroad/downstream/connection_limit.py
@@ -90,7 +90,7 @@
         return self._states.get(connection)
 
     def set_state(self, connection: Connection, stage: ConnectionState, now: float) -> None:
-        """It joins, or comes to another stage. One that had its last answer moves no more."""
+        """It joins, or comes to another state. One that had its last answer changes no more."""
         before = self._states.get(connection)
         if before is ConnectionState.LEAVING:
             return
--- a/quillroad/downstream/early_rejection.py
+++ b/quillroad/downstream/early_rejection.py
@@ -21,9 +21,10 @@
 
 # Made ahead: a Fibonacci number of golden-ratio steps fills the circle of times evenly.
 REJECTIONS = 233
-# Of waiting in the kernel, from which on accepts get more of the time: clients begin to give up.
+# Age of unread data, in seconds, above which accepts get a larger part of the CPU time: clients
+# begin to give up.
 OUTSIDE_S = 0.5
-# Part of the process's CPU time for turning away those outside, and in place of it while they wait
+# Part of the process's CPU time for rejecting at the accept, and in place of it while clients wait
 # for long.
 CPU_PART = 0.05
 LATE_CPU_PART = 0.15
@@ -57,11 +58,11 @@
 
 
 class EarlyRejection:
-    """Refuses at the accept, within a part of the CPU time.
+    """Rejects at the accept, within a part of the CPU time.
 
-    Refusals must not use up a core with a ration.
+    Where the platform allows only part of a core, rejecting must not use all of it.
 
-    `on_end` is told of each request that is refused: its route and the status.
+    `on_end` is told of each request that is rejected: its route and the status.
     """
 
     def __init__(
--- a/quillroad/downstream/request_parser.py
+++ b/quillroad/downstream/request_parser.py
@@ -27,7 +27,7 @@
 )
 from quillroad.framing import FRAMED, HEAD_LIMIT, check_framing
 from quillroad.overload.body_budget import BodyBudget
-from quillroad.overload.heap import return_freed_memory
+from quillroad.overload.heap import fix_mmap_threshold
 
 HEAD = ReadState.HEAD  # by itself, as it is looked at for each header
 log = logging.getLogger("quillroad.downstream")
@@ -297,7 +297,7 @@
 
     def _reserve(self, size: int) -> None:
         """Take so many bytes more from the budget of long bodies."""
-        return_freed_memory()
+        fix_mmap_threshold()
         if not self._buffers.take(size):
             raise self._failed(BodyMemoryError())
         self._body_reserved += size
--- a/quillroad/downstream/server.py
+++ b/quillroad/downstream/server.py
@@ -285,7 +285,7 @@
         self.scheduler.log_rejections()
 
     def stop_listening(self) -> None:
-        """The front has stopped sending connections: no more are taken, and idle ones end."""
+        """The platform's load balancer sends no more connections: accept none, close idle ones."""
         self._acceptor.close()
         self.close_idle()
 
--- a/quillroad/engine/client_request.py
+++ b/quillroad/engine/client_request.py
@@ -9,9 +9,9 @@
 class ClientRequest:
     """A request that has passed all checks of its form.
 
-    `since` is when it came, wherever it has waited since, and `expires` when its client stops
-    waiting; both are seconds of the monotonic clock. `work_us` is the client's estimate of its
-    work.
+    `received_at` is when it came, wherever it has waited since, and `deadline_at` when its client
+    stops waiting; both are seconds of the monotonic clock. `work_estimate_us` is the client's
+    estimate of its work.
     """
 
     id: str
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -192,7 +192,7 @@
 
     # From discovery.
 
-    def update(
+    def update_endpoints(
         self, servers: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
         """Take an endpoint update; `names` and `addresses` are those of its endpoints, by id.
@@ -229,7 +229,7 @@
         try:
             actions = self._balancer.handle(self._clock.now_us(), [event])
         except Exception:
-            log.exception("the module failed on %s", type(event).__name__)
+            log.exception("the balancer failed on %s", type(event).__name__)
             actions = self._balancer.actions
             if isinstance(event, RequestArrived | AttemptFinished | StreamStarted):
                 self._fail_request(event.request)
--- a/quillroad/gateway.py
+++ b/quillroad/gateway.py
@@ -84,7 +84,7 @@
         # Where sources of endpoints tell of them: operators' overrides are laid over what they
         # tell.
         self.update_endpoints: Update = (
-            self.engine.update if self.admin is None else self.admin.update_endpoints
+            self.engine.update_endpoints if self.admin is None else self.admin.update_endpoints
         )
         self.source, self.feed = open_source(config, self.update_endpoints)
         self._discovery = (config.discovery, config.hosts)
@@ -110,7 +110,7 @@
 
     def _make_engine(self, engine: type[Engine]) -> Engine:
         """The engine round a balancer of its own, under the cross-zone budget if there is one."""
-        budget = None if self.zones is None else self.zones.crossing
+        budget = None if self.zones is None else self.zones.cross_zone_budget
         balancer = Balancer(self.config.settings, self.config.seed, budget)
         made = engine(self.loop, balancer, self.upstream)
         if self.zones is not None:
@@ -134,7 +134,7 @@
 
     async def start(self) -> None:
         """Serve by the known list at once. Raises OSError where an address cannot be used."""
-        self.source.begin(self.config)
+        self.source.load_known_hosts(self.config)
         if self.admin is not None:
             self.admin.start()
         self.listen(open_listener(*self.config.listen))
@@ -182,11 +182,11 @@
             return
         log.info("hosts are now told by %s", config.hosts or config.discovery)
         if type(config.hosts) is type(self._discovery[1]):
-            self.source.follow(config)
+            self.source.switch_to(config)
         else:
             self.source.stop()
             self.source, self.feed = open_source(config, self.update_endpoints)
-            self.source.begin(config)
+            self.source.load_known_hosts(config)
             self.source.start()
         self._discovery = discovery
 
@@ -219,7 +219,7 @@
         self, update: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
         """Go by these endpoints, operators' overrides included; maps are by endpoint number."""
-        self.engine.update(update, names, addresses)
+        self.engine.update_endpoints(update, names, addresses)
 
     def set_drained(self, on: bool) -> None:
         """Serve no new connection and keep none, until an operator takes it back.
--- a/quillroad/membership/live_count.py
+++ b/quillroad/membership/live_count.py
@@ -63,4 +63,4 @@
         if (source, rounds) != (self._known_source, self._known_rounds):
             self._known_source = source
             self._known_rounds = rounds
-            source.divide(rounds.gateway_index, rounds.gateway_count)
+            source.set_gateway_count(rounds.gateway_index, rounds.gateway_count)
--- a/quillroad/overload/admission_queue.py
+++ b/quillroad/overload/admission_queue.py
@@ -51,9 +51,9 @@
 class RoutePriority:
     """What admission knows of a route.
 
-    `worth` is its priority weight. `within_s` is the time from arrival in which an answer has
-    value: the latency objective, or the deadline where there is no objective or late answers have
-    value.
+    `priority_weight` is the value of its answers against others. `useful_s` is the time from
+    arrival in which an answer has value: the latency objective, or the deadline where there is no
+    objective or late answers have value.
     """
 
     priority_weight: float
--- a/quillroad/overload/event_loop_monitor.py
+++ b/quillroad/overload/event_loop_monitor.py
@@ -45,7 +45,7 @@
         return self.busy or self.loop_lag.late(time.monotonic())
 
     def stalled(self) -> bool:
-        """Whether callbacks have to wait with `hold`.
+        """Whether callbacks have to wait with `defer`.
 
         A stall is found by whoever comes first after it, a timer or a socket.
         """
--- a/quillroad/overload/fast_path_parse.py
+++ b/quillroad/overload/fast_path_parse.py
@@ -20,9 +20,9 @@
 class RequestPreview(NamedTuple):
     """What admission asks of a request.
 
-    `kind` is the first part of its path, which names the route; `tenant` is empty where none is
-    named; `wait_ms` is how long its client waits for the answer in milliseconds, None where that is
-    not plainly there.
+    `route_name` is the first part of its path, which names the route; `tenant` is empty where none
+    is named; `wait_ms` is how long its client waits for the answer in milliseconds, None where that
+    is not plainly there.
     """
 
     route_name: bytes
--- a/quillroad/overload/heap.py
+++ b/quillroad/overload/heap.py
@@ -16,7 +16,7 @@
 
 
 @cache
-def return_freed_memory() -> None:
+def fix_mmap_threshold() -> None:
     """Fix the size from which on freed blocks go back to the system; called with a long body.
 
     The first call sets it for the process, later ones do nothing. Where the C library has no such
--- a/quillroad/upgrade/canary.py
+++ b/quillroad/upgrade/canary.py
@@ -71,7 +71,7 @@
     _old: RequestCounts = field(default_factory=RequestCounts)
     _new: RequestCounts = field(default_factory=RequestCounts)
 
-    def serves(self, now: float, counts: RequestCounts) -> None:
+    def count_old(self, now: float, counts: RequestCounts) -> None:
         """The process that serves tells what it did since it told last."""
         self._before.append((now, counts))
         while self._before and self._before[0][0] < now - self.tuning.memory_s:
@@ -86,7 +86,7 @@
         self._rate = self._old.whole / spent_s if spent_s > 0 else 0.0
         self._before.clear()
 
-    def told(self, counts: RequestCounts) -> None:
+    def count_new(self, counts: RequestCounts) -> None:
         """The new process tells what it did since it told last."""
         self._new.add(counts)
 
--- a/quillroad/upgrade/control_socket.py
+++ b/quillroad/upgrade/control_socket.py
@@ -33,7 +33,7 @@
         self, path: Path, ask: Callable[[str], str], status: Callable[[], Iterator[str]]
     ) -> None:
         self._path = path
-        self._ask = ask
+        self._on_command = ask
         self._status = status
         self._server: asyncio.Server | None = None
         self._inode = 0
@@ -100,14 +100,14 @@
         if command in WAITED_FOR:
             why = await self._ask_and_wait(command, writer)
         else:
-            why = self._ask(command)
+            why = self._on_command(command)
         return f"error: {why}\n".encode() if why else b"done\n"
 
     async def _ask_and_wait(self, command: str, writer: asyncio.StreamWriter) -> str:
         waiting: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         # Before the command is given: its result may be known at once.
         self._waiting.append(waiting)
-        why = self._ask(command)
+        why = self._on_command(command)
         if why:
             if waiting in self._waiting:
                 self._waiting.remove(waiting)
--- a/quillroad/upgrade/messages.py
+++ b/quillroad/upgrade/messages.py
@@ -336,7 +336,7 @@
 
 
 def decode(body: bytes) -> Message:
-    """One message of its bytes; raises `BadPacket`."""
+    """One message of its bytes; raises `BadPacketError`."""
     try:
         return _DECODER.decode(body)
     except msgspec.ValidationError as error:
--- a/quillroad/upgrade/migration.py
+++ b/quillroad/upgrade/migration.py
@@ -28,8 +28,8 @@
 class MigratingServer(Server):
     """A client side whose connections can migrate to another process between two requests.
 
-    `leaving`: another process accepts, or is about to. `on_idle` is called with each connection that
-    becomes idle then.
+    `leaving`: another process accepts, or is about to. `on_idle` is called with each connection
+    that becomes idle then.
     """
 
     def __init__(
@@ -50,8 +50,8 @@
         if not self.leaving:
             super().mark_resting(connection)
         elif self.connection_limit.state(connection) is not None:
-            # None is closed for being idle for long: all of them are about to migrate, and the places
-            # here only get fewer.
+            # None is closed for being idle for long: all of them are about to migrate, and the
+            # places here only get fewer.
             self.connection_limit.set_state(connection, ConnectionState.RESTING, monotonic())
             if self.on_idle is not None:
                 self.on_idle(connection)
@@ -115,8 +115,8 @@
     def offer(self, batch: int, size: int) -> tuple[list[int], list[int]]:
         """Hold connections for a batch.
 
-        Returns how many requests each has brought, and the descriptors. A connection that has brought
-        another request meanwhile is left for when it is idle again.
+        Returns how many requests each has brought, and the descriptors. A connection that has
+        brought another request meanwhile is left for when it is idle again.
         """
         offered: list[_Offered] = []
         while self._waiting and len(offered) < size:
--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -60,7 +60,9 @@
         self._command = command
         self._listener: socket.socket | None = listener
         self._supervisor = Supervisor(upgrades.limits, Canary(upgrades.tuning))
-        self._control = ControlSocket(upgrades.control, self.ask, self._supervisor.status)
+        self._control = ControlSocket(
+            upgrades.control, self.operator_asked, self._supervisor.status
+        )
         self._channels: dict[int, Channel] = {}
         self._processes: dict[int, asyncio.subprocess.Process] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -91,9 +93,9 @@
         self._processes.pop(number, None)
         self._perform_all(self._supervisor.ended(time.monotonic(), number, status))
 
-    def ask(self, what: str) -> str:
+    def operator_asked(self, what: str) -> str:
         """Take an operator's command; returns why not, or nothing."""
-        why, commands = self._supervisor.ask(time.monotonic(), what)
+        why, commands = self._supervisor.operator_asked(time.monotonic(), what)
         self._perform_all(commands)
         if why:
             log.error("%s: %s", what, why)
@@ -234,9 +236,9 @@
     loop = asyncio.get_running_loop()
     supervisor = SupervisorProcess(loop, upgrades, await _listen(config), command)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, supervisor.ask, "stop")
+        loop.add_signal_handler(number, supervisor.operator_asked, "stop")
     loop.add_signal_handler(signal.SIGHUP, supervisor.reload)
-    loop.add_signal_handler(signal.SIGUSR2, supervisor.ask, "upgrade")
+    loop.add_signal_handler(signal.SIGUSR2, supervisor.operator_asked, "upgrade")
     try:
         await supervisor.start()
         return await supervisor.status
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -110,7 +110,7 @@
     if (done := by_hand(gateway)) is not None:
         sections["by-hand"] = done
     if (zones := gateway.zones) is not None:
-        sections["zones"] = ZoneWindow(*zones.crossing.window_state())
+        sections["zones"] = ZoneWindow(*zones.cross_zone_budget.window_state())
     return {name: msgspec.msgpack.encode(section) for name, section in sections.items()}
 
 
@@ -122,7 +122,7 @@
         for number, host in engine.hosts.items()
         if engine.balancer.endpoint(number) is not None
     ]
-    starts = gateway.feed.starts() if gateway.feed is not None else {}
+    starts = gateway.feed.start_times() if gateway.feed is not None else {}
     return Hosts(lines, source, position, starts)
 
 
@@ -201,7 +201,7 @@
     """
     told = msgspec.msgpack.decode(body, type=Hosts)
     if gateway.feed is not None and not trial:
-        gateway.feed.learn(told.starts)
+        gateway.feed.restore_start_times(told.starts)
     source, position = gateway.source.position
     later = bool(told.source) and told.source == source and told.position > position
     if trial or not (later or not gateway.engine.hosts):
@@ -255,5 +255,5 @@
     if gateway.zones is None:
         return ["zones: the budget for other zones is off here"]
     if not trial:
-        gateway.zones.crossing.resume(told.firsts, told.crossed, told.size, told.now_us)
+        gateway.zones.cross_zone_budget.resume(told.firsts, told.crossed, told.size, told.now_us)
     return []
--- a/quillroad/upgrade/sibling_handover.py
+++ b/quillroad/upgrade/sibling_handover.py
@@ -154,7 +154,7 @@
 
     # Either.
 
-    def heard(self, message: Message) -> list[HandoverCommand]:
+    def sibling_said(self, message: Message) -> list[HandoverCommand]:
         """Take a message of the sibling that is not for the worker state."""
         match message:
             case Hello() if self.may_come():
@@ -167,7 +167,7 @@
                 return [HandoverStep.PREPARE]
         return []
 
-    def seat(self, message: Message) -> list[HandoverCommand]:
+    def worker_said(self, message: Message) -> list[HandoverCommand]:
         """Take a message that the own worker state has for its supervisor."""
         match message:
             case Prepared() if self.stage is HandoverStage.GIVES:
@@ -178,7 +178,7 @@
                 return self._own()
         return []
 
-    def cut(self) -> list[HandoverCommand]:
+    def link_lost(self) -> list[HandoverCommand]:
         """The sibling cannot be heard any more; the own worker state knows."""
         if self.ending:
             return []  # a process that ends takes nothing over
--- a/quillroad/upgrade/sibling_process.py
+++ b/quillroad/upgrade/sibling_process.py
@@ -122,7 +122,7 @@
 
     def _sibling_ended(self) -> None:
         self._unwatch_process()
-        self._perform_all(self._state.told(Ended(SIBLING)))
+        self._perform_all(self._state.supervisor_said(Ended(SIBLING)))
 
     def _on_sibling_message(self, message: Message, descriptors: list[int]) -> None:
         if not isinstance(message, Hello | Ready | Welcome):
@@ -133,7 +133,7 @@
             self._listener = socket.socket(fileno=descriptors.pop())
             self._listener.setblocking(False)
         close_all(descriptors)
-        self._perform_handover(self._handover.heard(message))
+        self._perform_handover(self._handover.sibling_said(message))
 
     def _serve_operators(self, on: bool) -> None:
         """Each process has an address of its own for operators, from its start to its end."""
@@ -142,10 +142,10 @@
         was_linked = self._sibling is not None
         super()._close_link()
         if was_linked:
-            self._perform_handover(self._handover.cut())
+            self._perform_handover(self._handover.link_lost())
 
     def _to_supervisor(self, message: Message) -> None:
-        self._perform_handover(self._handover.seat(message))
+        self._perform_handover(self._handover.worker_said(message))
 
     # Commands of the hand-over.
 
@@ -166,7 +166,7 @@
                 self._send_to_sibling(command.message, descriptors)
             case TellWorker():
                 if not (isinstance(command.message, Room) and self._gateway is None):
-                    self._perform_all(self._state.told(command.message))
+                    self._perform_all(self._state.supervisor_said(command.message))
             case HandoverStep.PREPARE:
                 self._own_task(self._prepare())
             case HandoverStep.OPEN:
--- a/quillroad/upgrade/state_snapshot.py
+++ b/quillroad/upgrade/state_snapshot.py
@@ -2,8 +2,8 @@
 
 Hosts are told by their numbers, routes, tenants and machine types by their names, so that a new
 process with another configuration takes what it can use and says what it cannot. Times are
-microseconds of the balancer's clock, which both processes share (`Engine.epoch_us` goes along), so
-nothing gets younger by moving.
+microseconds of the balancer's clock, which both processes share (`SiblingEngine.epoch_us` goes
+along), so nothing gets younger by moving.
 
 With `work` the document holds the open requests, the queue and the timers too, and a balancer made
 from it decides every event that follows as the first one would have. In service open requests stay
--- a/quillroad/upgrade/supervisor.py
+++ b/quillroad/upgrade/supervisor.py
@@ -149,7 +149,7 @@
         self.reloaded = True
         return [number for number, worker in self.workers.items() if worker.welcomed]
 
-    def ask(self, now: float, what: str) -> tuple[str, list[Command]]:
+    def operator_asked(self, now: float, what: str) -> tuple[str, list[Command]]:
         """Take an operator's word: `upgrade`, `check`, `rollback` or `stop`.
 
         `check` is whether an upgrade would begin. Returns why not, or nothing, and the commands.
@@ -331,6 +331,6 @@
             return
         counts = RequestCounts(report.served, report.refused, report.failed)
         if self.phase is Phase.CANARY:
-            self.canary.told(counts)
+            self.canary.count_new(counts)
         else:
-            self.canary.serves(now, counts)
+            self.canary.count_old(now, counts)
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -81,7 +81,7 @@
             self._open_link(socket.socket(fileno=descriptors.pop()))
         close_all(descriptors)
         if self._gateway is not None:
-            self._perform_all(self._state.told(message))
+            self._perform_all(self._state.supervisor_said(message))
 
     def _on_supervisor_lost(self, why: str) -> None:
         """Nobody would start another worker: what was taken is answered, then this process ends."""
--- a/quillroad/upgrade/worker_process.py
+++ b/quillroad/upgrade/worker_process.py
@@ -118,12 +118,12 @@
             self._on_link_lost("descriptors are missing")
             return
         self._descriptors = descriptors
-        self._perform_all(self._state.heard(message))
+        self._perform_all(self._state.sibling_said(message))
         close_all(self._descriptors)
         self._descriptors = []
 
     def _on_link_lost(self, why: str) -> None:
-        if self._state.part is not LinkRole.NONE:
+        if self._state.role is not LinkRole.NONE:
             log.info("the other process is not heard any more: %s", why)
         self._close_link()
 
@@ -136,7 +136,7 @@
             self._share_timer = None
         if self._gateway is not None:
             self.engine.on_change = None
-            self._perform_all(self._state.cut())
+            self._perform_all(self._state.link_lost())
 
     def _send_to_sibling(self, message: Message, descriptors: Sequence[int] = ()) -> None:
         if self._sibling is not None:
@@ -160,7 +160,7 @@
         for part in (gateway.zones, gateway.registrar, gateway.membership):
             if part is not None:
                 part.is_serving = self._accepts
-        gateway.source.begin(config)
+        gateway.source.load_known_hosts(config)
         if gateway.admin is not None:
             gateway.admin.on_change = self._operator_acted
         gateway.start_parts()
@@ -213,7 +213,7 @@
 
     def _owns_slow_start(self) -> bool:
         """Whether the slow-start slots are this process's: they belong to the one that accepts."""
-        return self._state.accepts or self._state.part is LinkRole.NONE
+        return self._state.accepts or self._state.role is LinkRole.NONE
 
     # Commands of the worker state.
 
@@ -259,7 +259,7 @@
                 self.migrations.drop()
             case ReleaseBatch():
                 # First: it was released, and never comes back whatever fails.
-                self._state.gone(command.batch)
+                self._state.batch_released(command.batch)
                 self.migrations.release(command.batch)
                 self._offer_connections()
             case TakeBackBatch():
--- a/quillroad/upgrade/worker_state.py
+++ b/quillroad/upgrade/worker_state.py
@@ -1,8 +1,8 @@
 """A worker's part of an upgrade: its answers to the supervisor and to the sibling. No I/O.
 
-`told` takes what the supervisor says, `heard` what the sibling (the other worker) says, `cut` that
-the sibling cannot be heard any more; each returns what is to be done, in order. A worker accepts
-from `Own` to `Yield` and at no other time.
+`supervisor_said` takes what the supervisor says, `sibling_said` what the other worker says,
+`link_lost` that the sibling cannot be heard any more; each returns what is to be done, in order. A
+worker accepts from `Own` to `Yield` and at no other time.
 
 A hand-over over the link between two workers, where the giver is the one that served:
 
@@ -187,20 +187,20 @@
 
     window: int = 1
     batch: int = BATCH
-    part: LinkRole = LinkRole.NONE
+    role: LinkRole = LinkRole.NONE
     accepts: bool = False
     yielded: bool = False  # has served, and accepts nothing now
-    moving: bool = False  # connections are being offered
+    migrating: bool = False  # connections are being offered
     lent: int = 0  # descriptors that the sibling may hold of ours
-    other: int = 0  # the sibling's number
-    dead: bool = False  # the sibling's end was seen
+    sibling: int = 0  # the sibling's number
+    sibling_has_ended: bool = False  # the sibling's end was seen
     offered: dict[int, int] = field(default_factory=dict)  # batches not released, and their sizes
-    held: set[int] = field(default_factory=set)  # batches of the sibling
+    received: set[int] = field(default_factory=set)  # batches of the sibling
     _next_batch: int = 0
 
     # What the supervisor says.
 
-    def told(self, message: Message) -> list[WorkerCommand]:
+    def supervisor_said(self, message: Message) -> list[WorkerCommand]:
         """Take a message of the supervisor."""
         match message:
             case Give():
@@ -220,7 +220,7 @@
         return []
 
     def _link_to(self, role: LinkRole, sibling: int) -> None:
-        self.part, self.other, self.dead = role, sibling, False
+        self.role, self.sibling, self.sibling_has_ended = role, sibling, False
 
     def _give(self, message: Give) -> list[WorkerCommand]:
         self._link_to(LinkRole.GIVER, message.other)
@@ -228,10 +228,10 @@
         return [LimitDescriptors(-message.descriptors, True), ExportState(False)]
 
     def _ended(self, message: Ended) -> list[WorkerCommand]:
-        if message.worker != self.other:
+        if message.worker != self.sibling:
             return []
-        self.dead = True
-        return self._own_held_batches() if self.part is LinkRole.NONE else []
+        self.sibling_has_ended = True
+        return self._own_held_batches() if self.role is LinkRole.NONE else []
 
     def _stop_accepting(self) -> list[WorkerCommand]:
         if not self.accepts:
@@ -242,36 +242,36 @@
     def _yield(self, grant: int) -> list[WorkerCommand]:
         commands = self._stop_accepting()
         # What this process gave before, it may have to take again: only the first giver exports.
-        if self.part is LinkRole.GIVER and not self.yielded:
+        if self.role is LinkRole.GIVER and not self.yielded:
             commands.append(ExportState(True))
         self.yielded = True
-        if self.part is not LinkRole.NONE:
+        if self.role is not LinkRole.NONE:
             commands.append(Step.SHARE)
         return [*commands, ToSupervisor(Yielded(grant))]
 
     def _own(self, grant: int) -> list[WorkerCommand]:
         commands: list[WorkerCommand] = []
-        if self.moving:
-            self.moving = False
+        if self.migrating:
+            self.migrating = False
             commands.append(Step.STAY)
         if not self.accepts:
             commands.append(Step.ACCEPT)
         self.accepts, self.yielded = True, False
         commands.append(ToSupervisor(Owning(grant)))
-        if self.part is not LinkRole.NONE:
+        if self.role is not LinkRole.NONE:
             commands += [Step.SHARE, ToSibling(Come())]
         return commands
 
     # What the sibling says.
 
-    def heard(self, message: Message) -> list[WorkerCommand]:
+    def sibling_said(self, message: Message) -> list[WorkerCommand]:
         """Take a message of the sibling."""
         match message:
             case State():
-                takes = self.part is LinkRole.TAKER and not self.accepts
+                takes = self.role is LinkRole.TAKER and not self.accepts
                 return [AdoptState(message)] if takes else []
             case Taken():
-                is_rehearsed = self.part is LinkRole.GIVER and not message.final
+                is_rehearsed = self.role is LinkRole.GIVER and not message.final
                 return [ToSupervisor(Prepared(message.left))] if is_rehearsed else []
             case AttemptsInFlight():
                 return [LearnAttempts(message)]
@@ -280,7 +280,7 @@
             case Come():
                 return self._come()
             case Connections():
-                self.held.add(message.batch)
+                self.received.add(message.batch)
                 keep = KeepBatch(message.batch, tuple(message.brought))
                 return [keep, ToSibling(Kept(message.batch))]
             case Kept():
@@ -293,7 +293,7 @@
         """The sibling accepts: connections may go there."""
         if not self.yielded:
             return []
-        self.moving = True
+        self.migrating = True
         return [Step.MOVE]
 
     def _kept(self, message: Kept) -> list[WorkerCommand]:
@@ -312,9 +312,9 @@
         ]
 
     def _released(self, message: Release) -> list[WorkerCommand]:
-        if message.batch not in self.held:
+        if message.batch not in self.received:
             return []
-        self.held.discard(message.batch)
+        self.received.discard(message.batch)
         return [LimitDescriptors(message.descriptors, True), OwnBatch(message.batch)]
 
     # What else happens.
@@ -327,43 +327,43 @@
         result = Held() if final else Prepared(left)
         return [ToSibling(Taken(final, left)), ToSupervisor(result)]
 
-    def gone(self, batch: int) -> None:
+    def batch_released(self, batch: int) -> None:
         """Note that a batch was released and is closed here."""
         self.offered.pop(batch, None)
 
-    def cut(self) -> list[WorkerCommand]:
+    def link_lost(self) -> list[WorkerCommand]:
         """The sibling cannot be heard any more, or makes no sense."""
-        if self.part is LinkRole.NONE:
+        if self.role is LinkRole.NONE:
             return []
         commands: list[WorkerCommand] = [TakeBackBatch(batch) for batch in self.offered]
-        if self.held:
-            commands += self._own_held_batches() if self.dead else [Step.WAIT]
+        if self.received:
+            commands += self._own_held_batches() if self.sibling_has_ended else [Step.WAIT]
         if self.lent:
             commands.append(LimitDescriptors(self.lent, True))
-        if self.moving:
+        if self.migrating:
             commands.append(Step.STAY)
         self.offered.clear()
-        self.part, self.lent, self.moving = LinkRole.NONE, 0, False
+        self.role, self.lent, self.migrating = LinkRole.NONE, 0, False
         return [*commands, Step.ALONE]
 
     def lend(self, spare: int) -> list[WorkerCommand]:
         """Leave descriptors that this process has no use for any more to the sibling."""
-        if not self.yielded or self.part is LinkRole.NONE or spare < LEAST_LENT:
+        if not self.yielded or self.role is LinkRole.NONE or spare < LEAST_LENT:
             return []
         self.lent += spare
         return [LimitDescriptors(-spare, True), ToSibling(Lend(spare))]
 
     def waited(self) -> list[WorkerCommand]:
         """The sibling was not heard to end, so it goes on with what was held here."""
-        if not self.held or self.part is not LinkRole.NONE:
+        if not self.received or self.role is not LinkRole.NONE:
             return []
-        self.held.clear()
+        self.received.clear()
         return [DropBatches()]
 
     def _own_held_batches(self) -> list[WorkerCommand]:
         """What a dead process had offered and not released is nobody else's."""
-        commands: list[WorkerCommand] = [OwnBatch(batch) for batch in sorted(self.held)]
-        self.held.clear()
+        commands: list[WorkerCommand] = [OwnBatch(batch) for batch in sorted(self.received)]
+        self.received.clear()
         return commands
 
     def offer(self, waiting: int) -> tuple[int, int] | None:
@@ -371,7 +371,7 @@
 
         `waiting` connections are ready to be offered.
         """
-        if not self.moving or not waiting or len(self.offered) >= self.window:
+        if not self.migrating or not waiting or len(self.offered) >= self.window:
             return None
         batch = self._next_batch
         self._next_batch += 1
--- a/quillroad/upstream/connection.py
+++ b/quillroad/upstream/connection.py
@@ -17,7 +17,7 @@
 from quillroad.balancing.events import Outcome
 from quillroad.http_answer import Answer, StreamedBody
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
-from quillroad.overload.heap import return_freed_memory
+from quillroad.overload.heap import fix_mmap_threshold
 from quillroad.overload.socket_age import data_age
 from quillroad.upstream.attempt import Attempt
 from quillroad.upstream.connection_state import (
@@ -43,8 +43,8 @@
     """What a connection needs of the pool that owns it.
 
     `connect_timeout_s` is the settings' own measure of a network that is stuck;
-    `longest_body_bytes` is what an answer's body may have; `written` counts requests whose last
-    byte the kernel has taken.
+    `longest_body_bytes` is what an answer's body may have; `requests_written` counts requests whose
+    last byte the kernel has taken.
     """
 
     loop_monitor: EventLoopMonitor
@@ -267,7 +267,7 @@
         response = self._response
         if attempt is not self.attempt or response.phase is ResponsePhase.COMPLETE:
             return  # the rest came after all, while this waited for the event loop to catch up
-        return_freed_memory()
+        fix_mmap_threshold()
         self.state = TRANSITIONS[HostConnectionEvent.STREAM_STARTED][self.state]
         response.streamed = True
         rest = StreamedBody(self)
--- a/quillroad/upstream/outcome.py
+++ b/quillroad/upstream/outcome.py
@@ -24,7 +24,7 @@
     ANSWER_200 = "a complete, readable answer of status 200, or the first bytes of a long one"
     ANSWER_NOT_STARTED = "status 503 or 504 with `Not-Started: 1`"
     ANSWER_OTHER = "any other status, also 503 and 504 without that header"
-    ANSWER_UNREADABLE = "an answer that is no HTTP, too long, or stops half-way"
+    ANSWER_UNREADABLE = "an answer that is no HTTP, too long, or stalls half-way"
     LOST_BEFORE_LAST_BYTE = "the connection ended with a part of the request still in this process"
     LOST_AFTER_LAST_BYTE = "the connection ended after the kernel had taken the whole request"
     TIMED_OUT_CONNECTING = "the attempt's time was over while the connection was coming up"
--- a/quillroad/upstream/pool.py
+++ b/quillroad/upstream/pool.py
@@ -238,7 +238,7 @@
         return len(self._idle)
 
     def retire(self, host: Host) -> None:
-        """The host drains or is gone: attempts with no byte sent yet are called back."""
+        """The host drains or is gone: attempts with no byte sent yet are withdrawn."""
         host.ready = False
         for attempt in list(host.connecting):
             attempt.withdraw()
--- a/quillroad/zones/zones.py
+++ b/quillroad/zones/zones.py
@@ -48,7 +48,7 @@
             since=time.time(),
         )
         route_count = len(self._gateway.route_names)
-        self.crossing = CrossZoneBudget(self._settings.limits)
+        self.cross_zone_budget = CrossZoneBudget(self._settings.limits)
         self._counters = TrafficCounters(route_count, len(config.zones))
         self._minutes = MinuteHistory(route_count)
         self._engine: Engine | None = None
@@ -96,10 +96,10 @@
         """Return the report as things are now; needs `attach` before."""
         assert self._engine is not None
         now = time.time()
-        self._minutes.update(now, self.crossing.counts)
+        self._minutes.update(now, self.cross_zone_budget.counts)
         return make_report(
             self._gateway,
-            self.crossing,
+            self.cross_zone_budget,
             self._counters,
             self._minutes,
             at=now,
@@ -113,7 +113,7 @@
         if limits != self._settings.limits:
             log.info("zone budget: share=%g per_second=%g", limits.share, limits.per_s)
         self._settings = settings
-        self.crossing.budget = limits
+        self.cross_zone_budget.budget = limits
 
     def start(self) -> None:
         """Write reports from now on."""
@@ -123,7 +123,9 @@
         """Say the counts in the log and write the last report."""
         if not self._writer.is_started:
             return
-        for name, counts in zip(self._gateway.route_names, self.crossing.counts, strict=True):
+        for name, counts in zip(
+            self._gateway.route_names, self.cross_zone_budget.counts, strict=True
+        ):
             log.info(
                 "%s: crossed=%d past=%d refused=%d",
                 name,
--- a/tests/balancing/test_property.py
+++ b/tests/balancing/test_property.py
@@ -253,7 +253,7 @@
 
 
 def break_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(send_gate, "may_warm", lambda state, request, host: True)
+    monkeypatch.setattr(send_gate, "may_send_while_warming", lambda state, request, host: True)
 
 
 @pytest.mark.plain
--- a/tests/discovery/test_consul_rules.py
+++ b/tests/discovery/test_consul_rules.py
@@ -20,15 +20,15 @@
 def test_indexes_follow_the_published_rules() -> None:
     index = QueryIndex(QueryPace())
     assert index.silence_s() == QueryPace().grace_s  # the first query does not block
-    assert index.told("17") == ""
+    assert index.update("17") == ""
     assert index.value == 17
     assert index.silence_s() > QueryPace().wait_s
-    assert "went back from 17 to 5" in index.told("5")
+    assert "went back from 17 to 5" in index.update("5")
     assert index.value == 0
-    assert index.told("0")
+    assert index.update("0")
     assert index.value == 1  # never below 1: 0 would not block, and spin
     for odd in (None, "", "-3", "x", "9" * 30, "\uff11"):
-        assert index.told(odd)
+        assert index.update(odd)
         assert index.value == 0
 
 
--- a/tests/discovery/test_platform.py
+++ b/tests/discovery/test_platform.py
@@ -127,7 +127,7 @@
         new = await FakeDiscovery().start()
         new.generation = 7
         new.first = indented(new, True, leaves.entry(), stays.entry())
-        w.gateway.source.follow(make_config(new.port))
+        w.gateway.source.switch_to(make_config(new.port))
         assert await new.asked.get() == "/discovery/hosts"
         assert (await new.asked.get()).endswith("from=7")
         new.generation = 8
@@ -184,7 +184,7 @@
 async def successor(w: World, *entries: dict[str, Any]) -> FakeDiscovery:
     """Another discovery, whose generations begin anew, and a gateway told to watch it."""
     new = await FakeDiscovery(*entries).start()
-    w.gateway.source.follow(make_config(new.port))
+    w.gateway.source.switch_to(make_config(new.port))
     return new
 
 
@@ -231,7 +231,7 @@
     async with world(serve_ok) as w, w.client() as client:
         assert (await client.ask()).status == 200
         silent = await FakeHost("discovery", hang).start()
-        w.gateway.source.follow(make_config(silent.address[1]))
+        w.gateway.source.switch_to(make_config(silent.address[1]))
         await silent.came.get()
         assert (await client.ask()).status == 200
         assert w.hosts[0].closed.empty()  # its connection stands too
--- a/tests/discovery/test_poll_schedule.py
+++ b/tests/discovery/test_poll_schedule.py
@@ -176,21 +176,21 @@
     calls = []
     for rank in range(left):
         pacing = PollSchedule(200, 3 * rank, random.Random(seed + rank).random)
-        pacing.divide(rank, left)
+        pacing.set_gateway_count(rank, left)
         calls.append(pacing.wait_s(LEFT_S))
     round_s = min(ROUND_S, left / CALLS_PER_S)
     assert all(
         round_s * rank / left <= at <= round_s * (rank + 1) / left for rank, at in enumerate(calls)
     )
     alone = PollSchedule(200, 3, random.Random(seed).random)
-    alone.divide(0, 1)
+    alone.set_gateway_count(0, 1)
     assert alone.wait_s(LEFT_S) <= FIRST_WAIT_S
 
 
 def test_waits_that_have_grown_outlive_a_change_of_company() -> None:
     pacing = PollSchedule(2, 0, lambda: 0.5)
     grown = [pacing.wait_s(LEFT_S) for _ in range(6)][-1]
-    pacing.divide(1, 3)
+    pacing.set_gateway_count(1, 3)
     assert pacing.wait_s(LEFT_S) >= grown > FIRST_WAIT_S
 
 
--- a/tests/discovery/test_reducer.py
+++ b/tests/discovery/test_reducer.py
@@ -145,16 +145,16 @@
 def test_the_more_careful_word_counts() -> None:
     views = MergedViews()
     both = (one("a"), one("b"))
-    assert views.told(1, 0.0, both) == both
-    assert views.told(2, 0.1, both) is None
+    assert views.update(1, 0.0, both) == both
+    assert views.update(2, 0.1, both) is None
     drains = one("a", InstanceStatus.DRAINING)
-    assert views.told(1, 0.2, (drains, one("b"))) == (drains, one("b"))
-    assert views.told(2, 0.3, (drains,)) == (drains,)
+    assert views.update(1, 0.2, (drains, one("b"))) == (drains, one("b"))
+    assert views.update(2, 0.3, (drains,)) == (drains,)
     assert views.failed(1, 0.4, "silent") is None
     assert views.state == SourceState(SourceHealth.FRESH, 0.0)
     assert views.failed(2, 0.5, "silent") is None  # the last list stands
     assert views.state == SourceState(SourceHealth.STALE, 0.5, "silent")
-    assert views.told(2, 0.6, both) == both
+    assert views.update(2, 0.6, both) == both
 
 
 @given(
@@ -181,7 +181,7 @@
             got = views.failed(watch, float(now), "why")
         else:
             heard[watch] = told
-            got = views.told(watch, float(now), tuple(one(name, s) for name, s in told.items()))
+            got = views.update(watch, float(now), tuple(one(name, s) for name, s in told.items()))
         if got is not None:
             merged = {instance.id: instance.status for instance in got}
         if heard:
--- a/tests/downstream/test_long_bodies.py
+++ b/tests/downstream/test_long_bodies.py
@@ -138,10 +138,10 @@
 def test_memory_of_long_bodies_goes_back_to_the_system() -> None:
     """Freed blocks below one that stays: the heap's end could not move down past that."""
     program = """
-from quillroad.overload.heap import return_freed_memory
+from quillroad.overload.heap import fix_mmap_threshold
 def rss():
     return int(open("/proc/self/statm").read().split()[1]) * 4096
-return_freed_memory()
+fix_mmap_threshold()
 bytearray(30 << 20)  # freed at once: without the call the C library keeps blocks of this size from here on
 before = rss()
 held = [bytearray(b"x") * 300_000 for _ in range(100)]
--- a/tests/downstream/test_one_answer.py
+++ b/tests/downstream/test_one_answer.py
@@ -137,7 +137,7 @@
         for _ in range(3):
             assert (await client.ask()).status == 200
         assert read
-        assert "the module failed" not in caplog.text
+        assert "the balancer failed" not in caplog.text
 
 
 @pytest.mark.plain
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -57,7 +57,7 @@
         upstream = Upstream(loop, self.descriptors, 1.0, 15.0, EventLoopMonitor(loop))
         self.engine = Engine(loop, cast(Balancer, self.balancer), upstream)
         update = EndpointUpdate(UpdateKind.FULL, (Endpoint(1),))
-        self.engine.update(update, {1: host.name}, {1: host.address})
+        self.engine.update_endpoints(update, {1: host.name}, {1: host.address})
         self.replies: list[Reply] = []
 
     def ask(self, left_s: float = 5.0, **changes: Any) -> Any:
--- a/tests/membership/test_service.py
+++ b/tests/membership/test_service.py
@@ -26,7 +26,7 @@
     def feed(self, event: GatewayCountChanged) -> None:
         self.heard.append(event)
 
-    def divide(self, number: int, balancers: int) -> None:
+    def set_gateway_count(self, number: int, balancers: int) -> None:
         self.heard.append((number, balancers))
 
 
--- a/tests/upgrade/test_machines.py
+++ b/tests/upgrade/test_machines.py
@@ -139,7 +139,7 @@
             while wire:
                 self.deliver(number, process.other)
             if process.other in self.processes:
-                self.act(process.other, self.processes[process.other].seat.cut())
+                self.act(process.other, self.processes[process.other].seat.link_lost())
         self.carry(self.supervisor.ended(self.now, number, status))
 
     def carry(self, acts: list[commands.Command]) -> None:
@@ -184,7 +184,7 @@
                     self.closed |= process.kept.pop(act.batch)
                 else:
                     if isinstance(act, ReleaseBatch):
-                        process.seat.gone(act.batch)
+                        process.seat.batch_released(act.batch)
                         process.batches.pop(act.batch, None)  # copies are closed first
                     self.part(number)
                 if number not in self.processes:
@@ -194,7 +194,7 @@
                 case ToSupervisor():
                     self.post(number, 0, act.message)
                 case ToSibling():
-                    if process.seat.part is not LinkRole.NONE:
+                    if process.seat.role is not LinkRole.NONE:
                         self.post(number, process.other, act.message)
                 case ExportState():
                     self.post(number, process.other, State({}, act.final))
@@ -219,7 +219,7 @@
                     process.kept.clear()
                 case ReleaseBatch():
                     process.batches.pop(act.batch, None)
-                    process.seat.gone(act.batch)
+                    process.seat.batch_released(act.batch)
                     self.offer(number)
                 case TakeBackBatch():
                     process.holds |= process.batches.pop(act.batch, set())
@@ -233,12 +233,12 @@
         """The link of a worker is cut, as after a fault of its own: what was sent before is still read."""
         other = self.processes[number].other
         self.wires.get((other, number), deque()).clear()
-        self.act(number, self.processes[number].seat.cut())
+        self.act(number, self.processes[number].seat.link_lost())
         wire = self.wires.get((number, other), deque())
         while wire and other in self.processes:
             self.deliver(number, other)
         if other in self.processes and self.processes[other].other == number:
-            self.act(other, self.processes[other].seat.cut())
+            self.act(other, self.processes[other].seat.link_lost())
 
     def offer(self, number: int) -> None:
         process = self.processes[number]
@@ -264,7 +264,7 @@
             process.limit = message.descriptors - RESERVED
             self.post(to, 0, Ready())
         else:
-            told = process.seat.told if sender == 0 else process.seat.heard
+            told = process.seat.supervisor_said if sender == 0 else process.seat.sibling_said
             self.act(to, told(message))
 
     def run(self, choose: st.DataObject | None = None, until: float = 60.0) -> None:
@@ -313,7 +313,7 @@
 
 
 def upgrade(machine: Machine, choose: st.DataObject | None = None, seconds: float = 40.0) -> None:
-    why, acts = machine.supervisor.ask(machine.now, "upgrade")
+    why, acts = machine.supervisor.operator_asked(machine.now, "upgrade")
     assert not why
     machine.carry(acts)
     machine.run(choose, machine.now + seconds)
@@ -378,9 +378,9 @@
     """All that workers carry out in an upgrade and on the way back, from the machines' own run."""
     machine = started()
     machine.did.clear()
-    machine.carry(machine.supervisor.ask(machine.now, "upgrade")[1])
+    machine.carry(machine.supervisor.operator_asked(machine.now, "upgrade")[1])
     machine.run(until=machine.now + 1.0)
-    machine.carry(machine.supervisor.ask(machine.now, "rollback")[1])
+    machine.carry(machine.supervisor.operator_asked(machine.now, "rollback")[1])
     machine.run(until=machine.now + 5.0)
     upgrade(machine)
     return sorted({step for step in machine.did if step[1] < 3})
@@ -392,10 +392,10 @@
     """A fault inside a step, on either side, on the way forward and on the way back."""
     machine = started()
     machine.fail_at = (what, who)
-    machine.carry(machine.supervisor.ask(machine.now, "upgrade")[1])
+    machine.carry(machine.supervisor.operator_asked(machine.now, "upgrade")[1])
     machine.run(until=machine.now + 1.0)
     if back:
-        machine.carry(machine.supervisor.ask(machine.now, "rollback")[1])
+        machine.carry(machine.supervisor.operator_asked(machine.now, "rollback")[1])
     machine.run(until=machine.now + 40.0)
     assert len(machine.settled) == 1
     survivor = machine.serving()
@@ -420,7 +420,7 @@
         upgrade(machine, data, 25.0)
         machine.kill_at = None
         machine.serving()
-    why, acts = machine.supervisor.ask(machine.now, "stop")
+    why, acts = machine.supervisor.operator_asked(machine.now, "stop")
     machine.carry(acts)
     machine.run(until=machine.now + 5.0)
     assert not why and machine.status == 0 and not machine.processes
@@ -428,7 +428,7 @@
 
 def test_a_bad_new_process_hands_back() -> None:
     machine = started()
-    machine.carry(machine.supervisor.ask(machine.now, "upgrade")[1])
+    machine.carry(machine.supervisor.operator_asked(machine.now, "upgrade")[1])
     machine.run(until=machine.now + 1.0)
     assert machine.serving() == 2
     machine.carry(machine.supervisor.heard(machine.now, 2, Report(served=10, failed=90)))
@@ -441,15 +441,18 @@
 
 def test_a_rollback_by_command_and_a_second_upgrade_meanwhile() -> None:
     machine = started()
-    machine.carry(machine.supervisor.ask(machine.now, "upgrade")[1])
-    assert machine.supervisor.ask(machine.now, "upgrade")[0] == "not now: probing"
+    machine.carry(machine.supervisor.operator_asked(machine.now, "upgrade")[1])
+    assert machine.supervisor.operator_asked(machine.now, "upgrade")[0] == "not now: probing"
     machine.run(until=machine.now + 1.0)
     assert machine.serving() == 2
-    why, acts = machine.supervisor.ask(machine.now, "rollback")
+    why, acts = machine.supervisor.operator_asked(machine.now, "rollback")
     machine.carry(acts)
     machine.run(until=machine.now + 5.0)
     assert not why and machine.serving() == 1 and machine.settled == ["asked for"]
-    assert machine.supervisor.ask(machine.now, "rollback")[0] == "nothing to go back to: serving"
+    assert (
+        machine.supervisor.operator_asked(machine.now, "rollback")[0]
+        == "nothing to go back to: serving"
+    )
 
 
 def test_an_unfit_or_too_large_candidate_changes_nothing() -> None:
@@ -463,7 +466,7 @@
         supervisor.heard(0.0, 1, Hello(VERSION))
         supervisor.heard(0.0, 1, Ready(60.0))
         supervisor.heard(0.0, 1, Owning(1))
-        _, acts = supervisor.ask(1.0, "upgrade")
+        _, acts = supervisor.operator_asked(1.0, "upgrade")
         acts = supervisor.heard(1.1, 2, message)
         assert commands.UpgradeEnded(why) in acts and commands.KillWorker(2) in acts
         assert supervisor.granted == {1} and not any(
@@ -474,7 +477,7 @@
 
 def test_a_check_proves_the_build_and_changes_nothing() -> None:
     machine = started()
-    why, acts = machine.supervisor.ask(machine.now, "check")
+    why, acts = machine.supervisor.operator_asked(machine.now, "check")
     machine.said.clear()
     machine.carry(acts)
     machine.run(until=machine.now + 5.0)
@@ -490,7 +493,7 @@
     supervisor.heard(0.0, 1, Ready())
     supervisor.heard(0.0, 1, Owning(1))
     assert supervisor.reload() == [1]
-    supervisor.ask(1.0, "upgrade")
+    supervisor.operator_asked(1.0, "upgrade")
     assert supervisor.reload() == [1]  # the new one could not take a signal yet
     assert supervisor.heard(1.0, 2, Hello(VERSION))[-1] == commands.SendMessage(
         2, Welcome(64, reloaded=True)
@@ -550,16 +553,16 @@
 def test_the_canary_is_sure_before_it_speaks(new: RequestCounts, worse: bool) -> None:
     canary = Canary(CanaryTuning())
     for i in range(20):
-        canary.serves(i / 10, RequestCounts(10, 0, 0))
+        canary.count_old(i / 10, RequestCounts(10, 0, 0))
     canary.begin(2.0)
-    canary.told(new)
+    canary.count_new(new)
     assert bool(canary.worse(3.0)) is worse
 
 
 def test_a_new_process_to_which_nobody_comes() -> None:
     canary = Canary(CanaryTuning())
     for i in range(20):
-        canary.serves(i / 10, RequestCounts(10, 0, 0))
+        canary.count_old(i / 10, RequestCounts(10, 0, 0))
     canary.begin(2.0)
     assert not canary.worse(2.1)
     assert canary.worse(3.0).startswith("no request in 1.0 s")
--- a/tests/upgrade/test_sibling_handover.py
+++ b/tests/upgrade/test_sibling_handover.py
@@ -70,7 +70,7 @@
                 case SendToSibling():
                     self.wire.append(act.message)
                 case TellWorker():
-                    self.do(self.seat.told(act.message))
+                    self.do(self.seat.supervisor_said(act.message))
                 case HandoverStep.PREPARE:
                     self.prepares = True
                     whole = self.pair.descriptors
@@ -88,7 +88,7 @@
         for act in acts:
             match act:
                 case ToSupervisor():
-                    self.carry(self.pair.seat(act.message))
+                    self.carry(self.pair.worker_said(act.message))
                 case ToSibling():
                     self.wire.append(act.message)
                 case ExportState():
@@ -107,15 +107,15 @@
         if kind == "Welcome":
             self.listens = True
         if kind in ("Hello", "Ready", "Welcome"):
-            self.carry(self.pair.heard(message))
+            self.carry(self.pair.sibling_said(message))
         else:
-            self.do(self.seat.heard(message))
+            self.do(self.seat.sibling_said(message))
 
     def cut(self) -> None:
         if self.linked:
             self.linked = False
-            self.do(self.seat.cut())
-            self.carry(self.pair.cut())
+            self.do(self.seat.link_lost())
+            self.carry(self.pair.link_lost())
 
 
 def serving() -> Side:
@@ -214,7 +214,7 @@
 def test_another_builds_version_is_not_served() -> None:
     old = serving()
     old.linked = True
-    old.carry(old.pair.heard(Hello(99)))
+    old.carry(old.pair.sibling_said(Hello(99)))
     assert not old.linked and old.accepts and old.pair.may_come()
 
 
