--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -28,7 +28,7 @@
         moves.wait()
         written.append(data)
 
-    monkeypatch.setattr(files, "put", slow)
+    monkeypatch.setattr(files, "replace_file", slow)
     writer = FileWriter(asyncio.get_running_loop())
     for number in range(1000):
         writer.replace(tmp_path / "view", b"%d" % number)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -105,7 +105,7 @@
 @on_loop
 async def test_a_drain_serves_what_the_front_still_sends(monkeypatch: pytest.MonkeyPatch) -> None:
     """The front learns of the end late: until then it opens and uses connections as before."""
-    monkeypatch.setattr(quillroad.gateway, "ACCEPT_S", 1000.0)
+    monkeypatch.setattr(quillroad.gateway, "FRONT_DELAY_S", 1000.0)
     async with world(serve_ok) as w, w.client() as before:
         assert (await before.ask()).status == 200
         drain = asyncio.ensure_future(w.gateway.drain())
--- a/tests/zones/test_report_writer.py
+++ b/tests/zones/test_report_writer.py
@@ -115,7 +115,7 @@
         writes.append(path)
         released.wait(HANG_S)
 
-    monkeypatch.setattr(report_writer, "put", hanging_put)
+    monkeypatch.setattr(report_writer, "replace_file", hanging_put)
     report = CountingReport()
     writer = writer_to(tmp_path / "report", report)
     writer.start()
