--- a/tests/balancing/test_simulator.py
+++ b/tests/balancing/test_simulator.py
@@ -9,6 +9,7 @@
 
 import pytest
 
+from quillroad.balancing.settings import Settings
 from quillroad.balancing.simulator import SimulatedGateways
 
 PROFILE: dict[str, Any] = {
@@ -84,15 +85,24 @@
         assert errors.startswith("benchlink: line 2: ") and errors.count("\n") == 1, errors
 
 
+class BrokenBalancer:
+    """Fails at each call, as a balancer with a fault would.
+
+    It stands in for a whole balancer: a method of a compiled one cannot be replaced.
+    """
+
+    def __init__(self, settings: Settings) -> None:
+        self.settings = settings
+
+    def handle(self, now_us: int, events: list[Any]) -> list[Any]:
+        raise KeyError("broken")
+
+
 def test_a_fault_of_one_instance_is_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
     host = SimulatedGateways()
     host.reply(json.loads(batch(1000, START, *LISTED)))
     host.reply(json.loads(batch(1000, START, *LISTED, gateway=1)))
-
-    def fail(now_us: int, events: list[Any]) -> list[Any]:
-        raise KeyError("broken")
-
-    monkeypatch.setattr(host.balancers[0], "handle", fail)
+    monkeypatch.setitem(host.balancers, 0, BrokenBalancer(host.balancers[0].settings))
     news = [["job_in", 9, 0, 500000]]
     parts = [{"gateway": g, "news": news} for g in (0, 1)]
     reply = host.reply({"moment": 2000, "parts": parts})
