--- a/bench/membership.py
+++ b/bench/membership.py
@@ -23,8 +23,9 @@
 from testbed.account import Work, percentile, tally, total
 from testbed.clients import Load
 from testbed.consul import SERVICE, Agent, Catalogue, Registered
-from testbed.gateway import FileGateway, free_port
+from testbed.gateway import FileGateway
 from testbed.hosts import Host
+from testbed.ports import free_port
 from testbed.schedule import steady
 
 WORKS = [
--- a/testbed/beside.py
+++ b/testbed/beside.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, Self
 
-from testbed.gateway import GatewayProcess, free_port
+from testbed.gateway import GatewayProcess
 
 READY_TIMEOUT_S = 6.0  # operators give up on a new process that is not ready by then
 READY_POLL_S = 0.02  # between two calls of /healthcheck
@@ -34,7 +34,7 @@
 
     async def start(self, log: bool = False, command: Sequence[str] = ("-m", "quillroad")) -> Self:
         """Start the first process and wait until `/up` answers 200."""
-        self.admin = free_port()
+        self.admin = self.reserve_port()
         return await self._start(command, self._environment(self.admin), log)
 
     def _environment(self, admin: int) -> dict[str, str]:
@@ -47,7 +47,7 @@
 
     async def newcomer(self) -> tuple[asyncio.subprocess.Process, int]:
         """Start a sibling process; returns it and the port of its operators' address."""
-        admin = free_port()
+        admin = self.reserve_port()
         return await self._spawn(("-m", "quillroad"), self._environment(admin), False), admin
 
     async def yes(self, process: asyncio.subprocess.Process, admin: int) -> bool:
--- a/testbed/gateway.py
+++ b/testbed/gateway.py
@@ -7,7 +7,6 @@
 import json
 import os
 import signal
-import socket
 import sys
 from asyncio.subprocess import DEVNULL, PIPE
 from collections.abc import Sequence
@@ -15,6 +14,7 @@
 from typing import Any, Self
 
 from testbed.account import Work
+from testbed.ports import ReservedPort
 
 ROOT = Path(__file__).parent.parent
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")  # unit of CPU times in /proc/PID/stat
@@ -63,14 +63,6 @@
     }
 
 
-def free_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    """A port of 127.0.0.1 that was free a moment ago."""
-    with socket.socket(type=kind) as bound:
-        bound.bind(("127.0.0.1", 0))
-        port: int = bound.getsockname()[1]
-        return port
-
-
 def _descriptor_count(pid: int) -> int:
     """Open file descriptors of a process; raises OSError where it has ended."""
     return sum(1 for _ in Path(f"/proc/{pid}/fd").iterdir())
@@ -92,7 +84,8 @@
         core: int | None = None,
         cores: float = 1.0,
     ) -> None:
-        self.port = free_port()
+        self._ports: list[ReservedPort] = []
+        self.port = self.reserve_port()
         self._folder = folder
         self._core = core
         self._data = {
@@ -113,6 +106,12 @@
         self.tree = Path(build) if build else None
         self.path: Path | None = None  # of modules that replace those of the build, on the disk
 
+    def reserve_port(self) -> int:
+        """A port for this gateway alone, also while it is killed and not started again yet."""
+        reserved = ReservedPort()
+        self._ports.append(reserved)
+        return reserved.number
+
     @property
     def control(self) -> Path:
         """Where commands of its operators go, with upgrades on."""
--- a/testbed/stage.py
+++ b/testbed/stage.py
@@ -13,9 +13,10 @@
 
 from testbed.account import Drain, Receipt, Work, broken_rules
 from testbed.clients import Load
-from testbed.gateway import GatewayProcess, free_port, settings
+from testbed.gateway import GatewayProcess, settings
 from testbed.hosts import Discovery, Host
 from testbed.lines import address_of
+from testbed.ports import free_port
 from testbed.processes import hold
 from testbed.relay import RelayProcess
 
@@ -151,7 +152,7 @@
         gateway.path = options.path
         gateway.budget = options.budget
         gateway.tree = options.tree or gateway.tree
-        gateway.admin = free_port() if options.operators else 0
+        gateway.admin = gateway.reserve_port() if options.operators else 0
         return gateway
 
     def _join_fleet(self, gateway: GatewayProcess, number: int, listen: tuple[str, int]) -> None:
--- a/tests/discovery/test_program.py
+++ b/tests/discovery/test_program.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from testbed.consul import SERVICE, Agent, Catalogue, Registered
-from testbed.gateway import free_port
+from testbed.ports import free_port
 from tests.net import Client, FakeHost, on_loop, serve_ok, until
 
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/downstream/test_descriptors.py
+++ b/tests/downstream/test_descriptors.py
@@ -21,6 +21,7 @@
 from quillroad.config import RESERVED
 from quillroad.downstream import connection_limit, server, time_limits
 from testbed.gateway import ROOT
+from testbed.ports import free_port
 from tests.net import (
     Client,
     FakeDiscovery,
@@ -35,7 +36,7 @@
     until,
     world,
 )
-from tests.test_process import ended, free_port, program
+from tests.test_process import ended, program
 
 SOCKETS, IDLE = 64, 150
 
--- a/tests/membership/test_service.py
+++ b/tests/membership/test_service.py
@@ -13,7 +13,7 @@
 from quillroad.engine.engine import Engine
 from quillroad.membership.quota_division import GatewayPosition
 from quillroad.membership.service import MembershipService
-from testbed.gateway import free_port
+from testbed.ports import free_port
 from tests.net import make_config, on_loop, told_settings
 
 
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -9,7 +9,7 @@
 
 from quillroad.membership.transport import MAX_DATAGRAMS_PER_TURN, UdpTransport
 from quillroad.membership.wire import MAX_DATAGRAM_BYTES
-from testbed.gateway import free_port
+from testbed.ports import free_port
 from tests.net import on_loop
 
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -6,7 +6,6 @@
 import json
 import os
 import signal
-import socket
 import sys
 from asyncio.subprocess import PIPE, Process
 from functools import partial
@@ -17,6 +16,7 @@
 
 import quillroad.gateway
 from quillroad.config import ConfigError, load, reload
+from testbed.ports import free_port
 from tests.net import (
     Client,
     FakeDiscovery,
@@ -53,13 +53,6 @@
     )
 
 
-def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        port: int = probe.getsockname()[1]
-        return port
-
-
 async def started(folder: Path, host: FakeHost) -> tuple[Process, int]:
     """A gateway that has answered `/up` with 200."""
     discovery = await FakeDiscovery(host.entry()).start()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -18,6 +18,7 @@
 from quillroad.downstream.state import NOT_BEGUN, ReadState
 from quillroad.gateway import ANSWERS_FLUSH_S, DRAIN_MARGIN_S, FRONT_DELAY_S
 from quillroad.overload.acceptor import Acceptor, open_listener
+from testbed.ports import free_port
 from tests.net import (
     Client,
     FakeDiscovery,
@@ -35,7 +36,7 @@
     until,
     world,
 )
-from tests.test_process import ended, free_port, program
+from tests.test_process import ended, program
 
 BODY = b"x" * 60_000
 HEAD = (
