--- a/bench/admission.py
+++ b/bench/admission.py
@@ -39,16 +39,16 @@
     for load in (0.9, 1.0, 1.1, 1.5, 3.0, 5.0):
         some = core(way)
         some.run(4.0, mix(load * CAPACITY))
-        told.append(f"{some.worth(1) / some.worth(0):.2f}")
+        told.append(f"{some.value(1) / some.value(0):.2f}")
         waits += some.refusal_waits
     some = core(way)
     some.run(1.0, mix(0.2 * CAPACITY))
     some.run(2.0, mix(3.0 * CAPACITY))
-    told.append(f"{some.worth(1) / some.worth(0):.2f}")
+    told.append(f"{some.value(1) / some.value(0):.2f}")
     some, worth = core(way), [0.0, 0.0]
     for load in (3.0, 0.3) * 3:
         some.run(0.7, mix(load * CAPACITY))
-        worth = [worth[0] + some.worth(0), worth[1] + some.worth(1)]
+        worth = [worth[0] + some.value(0), worth[1] + some.value(1)]
     told.append(f"{worth[1] / worth[0]:.2f}")
     some = core(way, UNEVEN)
     some.hosts = 0.005
--- a/bench/counts.py
+++ b/bench/counts.py
@@ -20,7 +20,7 @@
 
 import uvloop
 
-from testbed.account import Work
+from testbed.account import RequestClass
 from testbed.clients import Load
 from testbed.gateway import GatewayProcess, settings
 from testbed.hosts import Discovery, Host
@@ -28,28 +28,30 @@
 RECORDED = Path(__file__).with_name("counts.json")
 MOST_GROWTH = 0.015  # runs of the same code lay within 0.7% of one another
 CLASSES = {
-    "status-check": Work("status-check", 5.0, 10.0),
-    "seat-checkout, 0.2 KiB": Work("seat-checkout", 5.0, 10.0, keyed=True, body=200),
-    "seat-checkout, 4 KiB": Work("seat-checkout", 5.0, 10.0, keyed=True, body=4096),
-    "seat-checkout, 60 KiB": Work("seat-checkout", 5.0, 10.0, keyed=True, body=61_440),
+    "status-check": RequestClass("status-check", 5.0, 10.0),
+    "seat-checkout, 0.2 KiB": RequestClass("seat-checkout", 5.0, 10.0, keyed=True, body_bytes=200),
+    "seat-checkout, 4 KiB": RequestClass("seat-checkout", 5.0, 10.0, keyed=True, body_bytes=4096),
+    "seat-checkout, 60 KiB": RequestClass(
+        "seat-checkout", 5.0, 10.0, keyed=True, body_bytes=61_440
+    ),
 }
 SHORT, LONG = 50, 250  # requests of the two runs
 
 Counts = dict[str, float]
 
 
-async def run(work: Work, requests: int, tree: Path | None = None) -> Counts:
+async def run(request_class: RequestClass, requests: int, tree: Path | None = None) -> Counts:
     hosts = [await Host(f"s-{i}").start() for i in range(4)]
     discovery = await Discovery(hosts).start()
     with tempfile.TemporaryDirectory() as name:
         file = Path(name) / "counts.json"
         # No second copies: whether one is sent depends on times.
         gateway = GatewayProcess(
-            Path(name), discovery.port, settings([work], parallel_tries=False), sockets=256
+            Path(name), discovery.port, settings([request_class], parallel_tries=False), sockets=256
         )
         gateway.tree = tree
         await gateway.start(command=("-m", "testbed.counted", str(file)))
-        load = Load(gateway.address, [work], (1,))
+        load = Load(gateway.address, [request_class], (1,))
         reader, writer = await asyncio.open_connection(*gateway.address)
         for _ in range(requests):
             writer.write(load.request()[1])
@@ -70,9 +72,9 @@
     return counts | {"reads": reads, "writes": writes}
 
 
-async def per_request(work: Work, tree: Path | None = None) -> Counts:
+async def per_request(request_class: RequestClass, tree: Path | None = None) -> Counts:
     """Counts of one request of this class, at the packages of this tree or of the source tree."""
-    short, long = [await run(work, requests, tree) for requests in (SHORT, LONG)]
+    short, long = [await run(request_class, requests, tree) for requests in (SHORT, LONG)]
     return {name: round((long[name] - short[name]) / (LONG - SHORT), 2) for name in long}
 
 
@@ -90,8 +92,8 @@
     found, broken = {}, []
     print("| class | python calls | built-in calls | instructions | reads | writes |")
     print("| --- " * 6 + "|")
-    for name, work in CLASSES.items():
-        counts = found[name] = await per_request(work)
+    for name, request_class in CLASSES.items():
+        counts = found[name] = await per_request(request_class)
         before = known.get(name, {})
         cells = [
             f"{value:.2f}" + (f" ({value - before[key]:+.2f})" if record and key in before else "")
--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -14,13 +14,13 @@
 
 import uvloop
 
-from testbed.account import Work, total
+from testbed.account import RequestClass, total
+from testbed.environment import Environment
 from testbed.processes import run_load
-from testbed.stage import Stage
 
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 SETTLE_S = 3.0
 
@@ -30,25 +30,30 @@
     text = '[use]\nhold = "5 s"' if view else ""
     with tempfile.TemporaryDirectory() as folder:
         # Reports are seldom, as in service: ten a second of twelve gateways cost more than the view does.
-        async with Stage(
-            Path(folder), WORKS, 6, gateways=gateways, fleet=text, every="10 s"
-        ) as stage:
+        async with Environment(
+            Path(folder), REQUEST_CLASSES, 6, gateways=gateways, fleet=text, every="10 s"
+        ) as environment:
             await asyncio.sleep(SETTLE_S)
-            before = [gateway.cpu_s() for gateway in stage.gateways]
+            before = [gateway.cpu_s() for gateway in environment.gateways]
             await asyncio.sleep(seconds)
             rest_s = (
-                sum(g.cpu_s() - b for g, b in zip(stage.gateways, before, strict=True)) / gateways
+                sum(g.cpu_s() - b for g, b in zip(environment.gateways, before, strict=True))
+                / gateways
+            )
+            one, told = environment.gateway, {"connections": 24}
+            await run_load(
+                one.address, REQUEST_CLASSES, [3, 1], [None], "closed", 1.0, prefix="w", **told
             )
-            one, told = stage.gateway, {"connections": 24}
-            await run_load(one.address, WORKS, [3, 1], [None], "closed", 1.0, prefix="w", **told)
             cpu_s = one.cpu_s()
-            result = await run_load(one.address, WORKS, [3, 1], [None], "closed", seconds, **told)
+            result = await run_load(
+                one.address, REQUEST_CLASSES, [3, 1], [None], "closed", seconds, **told
+            )
             used_s = one.cpu_s() - cpu_s
             whole = total(result.rows.values())
             return (
                 1e3 * rest_s / seconds,
                 1e6 * used_s / max(1, whole.sent),
-                whole.in_aim + whole.served,
+                whole.within_objective + whole.served,
             )
 
 
--- a/bench/fleet_processes.py
+++ b/bench/fleet_processes.py
@@ -20,29 +20,29 @@
 import uvloop
 
 from quillroad.membership.report import Report, read_report
-from testbed.account import Work, tally, total
+from testbed.account import RequestClass, count_outcomes, total
+from testbed.environment import Environment
 from testbed.schedule import steady
-from testbed.stage import Stage
 
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 MOST_S = 60.0
 LOOK_S = 0.1
 RATE, LOADED = 5.0, 6  # requests a second of each gateway that has load, and how many have
 
 
-def _view(stage: Stage, number: int) -> Report | None:
+def _view(environment: Environment, number: int) -> Report | None:
     try:
-        return read_report(stage.gateways[number].view_file.read_bytes())
+        return read_report(environment.gateways[number].view_file.read_bytes())
     except Exception:  # it is just being written, or there is none yet
         return None
 
 
-def _agreed(stage: Stage, among: set[int]) -> bool:
+def _agreed(environment: Environment, among: set[int]) -> bool:
     for number in among:
-        view = _view(stage, number)
+        view = _view(environment, number)
         if view is None:
             return False
         alive = {line.number for line in view.members if line.standing == "alive"}
@@ -51,11 +51,11 @@
     return True
 
 
-def _wrong(stage: Stage, among: set[int], since: float) -> int:
+def _wrong(environment: Environment, among: set[int], since: float) -> int:
     """How many of these held how many of these for gone since then, by their own clock."""
     found = 0
     for number in among:
-        for line in stage.gateways[number].changes_file.read_text().splitlines():
+        for line in environment.gateways[number].changes_file.read_text().splitlines():
             if '"event": "gone"' in line and any(f'"member": {m},' in line for m in among):
                 found += float(line.split('"clock": ')[1].split(",")[0].rstrip("}")) >= since
     return found
@@ -76,60 +76,70 @@
     left = everybody - dead
     one, other = set(range(2 * count // 5)), set(range(2 * count // 5, count))
     with tempfile.TemporaryDirectory() as folder:
-        stage = Stage(
+        environment = Environment(
             Path(folder),
-            WORKS,
+            REQUEST_CLASSES,
             6,
             delay=0.01,
             gateways=count,
             fleet='[use]\nhold = "5 s"',
-            aloud=told.aloud,
+            broadcast=told.aloud,
         )
         began = time.monotonic()
-        async with stage:
-            await _row(stage, "all start", [everybody], began)
-            loads = [stage.load(number) for number in sorted(left)[:LOADED]]
+        async with environment:
+            await _row(environment, "all start", [everybody], began)
+            loads = [environment.load(number) for number in sorted(left)[:LOADED]]
             running = [
                 asyncio.ensure_future(load.open_loop(steady(RATE, told.seconds))) for load in loads
             ]
             began = time.monotonic()
             for number in dead:
-                stage.gateways[number].kill()
-            await _row(stage, "seven in ten killed", [left], began)
-            await asyncio.gather(*(stage.gateways[n].stop() for n in dead))
+                environment.gateways[number].kill()
+            await _row(environment, "seven in ten killed", [left], began)
+            await asyncio.gather(*(environment.gateways[n].stop() for n in dead))
             began = time.monotonic()
-            await asyncio.gather(*(stage.gateways[n].start() for n in dead))
+            await asyncio.gather(*(environment.gateways[n].start() for n in dead))
             # Who started sooner held the others for gone until they had, and rightly so.
-            await _row(stage, "these start again", [everybody], began, time.monotonic())
+            await _row(environment, "these start again", [everybody], began, time.monotonic())
             began = time.monotonic()
-            await stage.relay.apart(sorted(one), sorted(other))
-            await _row(stage, "partition", [one, other], began)
+            await environment.relay.apart(sorted(one), sorted(other))
+            await _row(environment, "partition", [one, other], began)
             began = time.monotonic()
-            await stage.relay.rule()
-            await _row(stage, "heal", [everybody], began)
+            await environment.relay.rule()
+            await _row(environment, "heal", [everybody], began)
             await asyncio.gather(*running)
             for load in loads:
                 await load.settle()
-            rows: list[Any] = [total(tally(load.records, WORKS).values()) for load in loads]
-            sent, served = sum(r.sent for r in rows), sum(r.in_aim + r.served for r in rows)
-            refused, failed = sum(r.refused for r in rows), sum(r.failed for r in rows)
+            rows: list[Any] = [
+                total(count_outcomes(load.records, REQUEST_CLASSES).values()) for load in loads
+            ]
+            sent, served = (
+                sum(r.sent for r in rows),
+                sum(r.within_objective + r.served for r in rows),
+            )
+            refused, failed = sum(r.rejected for r in rows), sum(r.failed for r in rows)
             print(
                 f"sent {sent}, served {served}, refused {refused}, failed {failed}, "
-                f"unanswered {sent - served - refused - failed}, rules broken {len(stage.broken(*loads))}"
+                f"unanswered {sent - served - refused - failed}, "
+                f"rules broken {len(environment.broken(*loads))}"
             )
 
 
 async def _row(
-    stage: Stage, event: str, parts: Iterable[set[int]], began: float, judged: float = 0.0
+    environment: Environment,
+    event: str,
+    parts: Iterable[set[int]],
+    began: float,
+    judged: float = 0.0,
 ) -> None:
     """Wait until the parts agree; who is held for gone from `judged` on, else from `began`, is so wrongly."""
     parts = list(parts)
-    before: dict[str, int] = (await stage.relay.say())["bytes"]
-    took = await _until(lambda: all(_agreed(stage, part) for part in parts))
-    after: dict[str, int] = (await stage.relay.say())["bytes"]
+    before: dict[str, int] = (await environment.relay.send_command())["bytes"]
+    took = await _until(lambda: all(_agreed(environment, part) for part in parts))
+    after: dict[str, int] = (await environment.relay.send_command())["bytes"]
     spent = max(LOOK_S, time.monotonic() - began)
     rates = [(after[n] - before.get(n, 0)) / spent for n in after]
-    wrong = sum(_wrong(stage, part, max(began, judged)) for part in parts)
+    wrong = sum(_wrong(environment, part, max(began, judged)) for part in parts)
     agreed = "never" if took is None else f"{time.monotonic() - began:.1f}"
     print(f"| {event} | {agreed} | {wrong} | {sum(rates) / max(1, len(rates)):.0f} |", flush=True)
 
--- a/bench/fleet_worth.py
+++ b/bench/fleet_worth.py
@@ -15,13 +15,13 @@
 
 import uvloop
 
-from testbed.account import Work, tally, total
+from testbed.account import RequestClass, count_outcomes, total
+from testbed.environment import Environment
 from testbed.schedule import poisson
-from testbed.stage import Stage
 
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 CALM_S, AFTER_S = 5.0, 10.0
 
@@ -33,11 +33,11 @@
     text = f'[use]\nwindows = {"true" if used else "false"}\nhold = "1 s"'
     dead = 7 * gateways // 10
     with tempfile.TemporaryDirectory() as folder:
-        async with Stage(
-            Path(folder), WORKS, 6, delay=delay_s, gateways=gateways, fleet=text
-        ) as stage:
+        async with Environment(
+            Path(folder), REQUEST_CLASSES, 6, delay=delay_s, gateways=gateways, fleet=text
+        ) as environment:
             left = range(dead, gateways)
-            calm = [stage.load(n, seed=seed, prefix=f"a{n}-") for n in left]
+            calm = [environment.load(n, seed=seed, prefix=f"a{n}-") for n in left]
             share = rate / len(left)
             await asyncio.gather(
                 *(
@@ -45,9 +45,9 @@
                     for n, load in zip(left, calm, strict=True)
                 )
             )
-            for gateway in stage.gateways[:dead]:
+            for gateway in environment.gateways[:dead]:
                 gateway.kill()
-            loads = [stage.load(n, seed=seed, prefix=f"b{n}-") for n in left]
+            loads = [environment.load(n, seed=seed, prefix=f"b{n}-") for n in left]
             await asyncio.gather(
                 *(
                     load.open_loop(poisson(gateways / len(left) * share, AFTER_S, seed * 200 + n))
@@ -56,13 +56,15 @@
             )
             for load in [*calm, *loads]:
                 await load.settle()
-            rows = [total(tally(load.records, WORKS).values()) for load in loads]
-            assert all(r.sent == r.in_aim + r.served + r.refused + r.failed for r in rows)
+            rows = [total(count_outcomes(load.records, REQUEST_CLASSES).values()) for load in loads]
+            assert all(
+                r.sent == r.within_objective + r.served + r.rejected + r.failed for r in rows
+            )
             return (
-                sum(r.worth for r in rows),
-                sum(r.refused for r in rows),
+                sum(r.value for r in rows),
+                sum(r.rejected for r in rows),
                 sum(r.sent for r in rows),
-                stage.broken(*calm, *loads),
+                environment.broken(*calm, *loads),
             )
 
 
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -20,7 +20,7 @@
 
 import uvloop
 
-from testbed.account import Work, percentile, tally, total
+from testbed.account import RequestClass, count_outcomes, percentile, total
 from testbed.clients import Load
 from testbed.consul import SERVICE, Agent, Catalogue, Registered
 from testbed.gateway import FileGateway
@@ -28,9 +28,9 @@
 from testbed.ports import free_port
 from testbed.schedule import steady
 
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 KINDS = ("service maintenance", "node maintenance", "critical", "weight 0", "deregister")
 SETTLE_S = 0.12  # between two changes: longer than any of them took to be heard
@@ -93,7 +93,7 @@
         path = Path(folder) / "gateway.toml"
         path.write_text(FILE.format(port=port, agents=listed, service=SERVICE))
         gateway = await FileGateway(path, port, core).start()
-        load = Load(("127.0.0.1", port), WORKS, (3, 1))
+        load = Load(("127.0.0.1", port), REQUEST_CLASSES, (3, 1))
         before, seconds = gateway.cpu_s(), changes * 2 * SETTLE_S + 4.0
         sending = asyncio.ensure_future(load.open_loop(steady(rate, seconds)))
         await asyncio.sleep(1.0)
@@ -130,10 +130,10 @@
             f"| {percentile(times, 0.99) * 1e3:.1f} | {max(times) * 1e3:.1f} "
             f"| {percentile(waits[label], 0.5) * 1e3:.0f} |"
         )
-    whole = total(tally(load.records, WORKS).values())
+    whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
     print(
-        f"\n{whole.sent} requests: {whole.in_aim} in aim, {whole.served} after it, {whole.late} late, "
-        f"{whole.refused} refused, {whole.failed} failed, {whole.unanswered} unanswered. "
+        f"\n{whole.sent} requests: {whole.within_objective} in aim, {whole.served} after it, "
+        f"{whole.late} late, {whole.rejected} refused, {whole.failed} failed, {whole.unanswered} unanswered. "
         f"{len(nodes) + instances} instances: {cpu_s / seconds * 1e3:.1f} ms of CPU a second, "
         f"{memory_mb:.1f} MB."
     )
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -17,13 +17,13 @@
 import uvloop
 
 from bench.picture import lines
-from testbed.account import Work, percentile, total
+from testbed.account import RequestClass, percentile, total
 from testbed.gateway import GatewayProcess, settings
 from testbed.processes import HostsProcess, hold, run_load
 
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 SHARES = [0.56, 0.44]
 LOADS = (0.9, 1.0, 1.1, 1.5, 2.0, 3.0, 5.0)
@@ -38,21 +38,38 @@
     hosts = await HostsProcess(12, delay, core=host_core).start()
     with tempfile.TemporaryDirectory() as folder:
         gateway = GatewayProcess(
-            Path(folder), hosts.discovery_port, settings(WORKS), sockets, gateway_core, share
+            Path(folder),
+            hosts.discovery_port,
+            settings(REQUEST_CLASSES),
+            sockets,
+            gateway_core,
+            share,
         )
         await gateway.start()
         rationing = await hold(gateway.pid, share, host_core) if share < 1.0 else None
         try:
             await run_load(
-                gateway.address, WORKS, SHARES, client_cores, "closed", 2.0, connections=64
+                gateway.address,
+                REQUEST_CLASSES,
+                SHARES,
+                client_cores,
+                "closed",
+                2.0,
+                connections=64,
             )
             before = gateway.cpu_s()
             closed = await run_load(
-                gateway.address, WORKS, SHARES, client_cores, "closed", seconds, connections=64
+                gateway.address,
+                REQUEST_CLASSES,
+                SHARES,
+                client_cores,
+                "closed",
+                seconds,
+                connections=64,
             )
             whole = total(closed.rows.values())
-            capacity = whole.in_aim / seconds
-            cpu_s = (gateway.cpu_s() - before) / max(1, whole.in_aim)
+            capacity = whole.within_objective / seconds
+            cpu_s = (gateway.cpu_s() - before) / max(1, whole.within_objective)
             print(f"capacity {capacity:.0f} requests/s, {cpu_s * 1e6:.0f} us of CPU a request\n")
             print(
                 "| load | sent/s | worth/s | of offered | in aim | after it | late | refused | failed "
@@ -68,7 +85,7 @@
                     length = sum(part[1] for part in parts)
                     result = await run_load(
                         gateway.address,
-                        WORKS,
+                        REQUEST_CLASSES,
                         SHARES,
                         client_cores,
                         "steps",
@@ -80,7 +97,7 @@
                     length = seconds
                     result = await run_load(
                         gateway.address,
-                        WORKS,
+                        REQUEST_CLASSES,
                         SHARES,
                         client_cores,
                         "open",
@@ -89,16 +106,19 @@
                         most=1500,
                     )
                 whole = total(result.rows.values())
-                offered = sum(result.rows[work.name].sent * work.worth for work in WORKS)
+                offered = sum(
+                    result.rows[request_class.name].sent * request_class.priority_weight
+                    for request_class in REQUEST_CLASSES
+                )
                 used = gateway.cpu_s() - before
-                idle = 1.0 - (whole.in_aim + whole.served) * cpu_s / used
+                idle = 1.0 - (whole.within_objective + whole.served) * cpu_s / used
                 if not isinstance(load, str):
-                    worths.append(whole.worth / seconds)
-                took, waits = whole.took, whole.refusal_took
+                    worths.append(whole.value / seconds)
+                took, waits = whole.took, whole.rejection_took
                 print(
-                    f"| {load} | {whole.sent / length:.0f} | {whole.worth / length:.0f} "
-                    f"| {whole.worth / max(1.0, offered):.2f} | {whole.in_aim} | {whole.served} "
-                    f"| {whole.late} | {whole.refused} | {whole.failed} | {whole.unanswered} "
+                    f"| {load} | {whole.sent / length:.0f} | {whole.value / length:.0f} "
+                    f"| {whole.value / max(1.0, offered):.2f} | {whole.within_objective} | {whole.served} "
+                    f"| {whole.late} | {whole.rejected} | {whole.failed} | {whole.unanswered} "
                     f"| {percentile(took, 0.5) * 1e3:.0f} / {percentile(took, 0.99) * 1e3:.0f} "
                     f"| {percentile(waits, 0.5) * 1e3:.1f} / {percentile(waits, 0.99) * 1e3:.1f} "
                     f"| {used / length:.2f}, {max(0.0, idle):.2f} |"
--- a/bench/path.py
+++ b/bench/path.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from bench.picture import lines
-from testbed.account import Work, percentile, total
+from testbed.account import RequestClass, percentile, total
 from testbed.gateway import ROOT, GatewayProcess, settings
 from testbed.processes import HostsProcess, run_load
 
@@ -29,13 +29,13 @@
 KIB = 1024
 
 
-def checkout(body: int) -> Work:
-    return Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=body)
+def checkout(body: int) -> RequestClass:
+    return RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=body)
 
 
-STATUS = Work("status-check", 0.58, 1.4, 2.0)
-MIX: tuple[list[Work], list[float]] = ([STATUS, checkout(200)], [3, 1])
-CASES: dict[str, tuple[list[Work], list[float]]] = {
+STATUS = RequestClass("status-check", 0.58, 1.4, 2.0)
+MIX: tuple[list[RequestClass], list[float]] = ([STATUS, checkout(200)], [3, 1])
+CASES: dict[str, tuple[list[RequestClass], list[float]]] = {
     "status-check": ([STATUS], [1]),
     "seat-checkout, 0.2 KiB": ([checkout(200)], [1]),
     "seat-checkout, 4 KiB": ([checkout(4 * KIB)], [1]),
@@ -60,29 +60,40 @@
 
 async def run(
     form: str,
-    case: tuple[list[Work], list[float]],
+    case: tuple[list[RequestClass], list[float]],
     cores: list[int],
     seconds: float,
     hosts: int = 12,
     connections: int = 24,
 ) -> Cost:
     gateway_core, host_core, client_core = cores
-    works, shares = case
+    request_classes, weights = case
     servers = await HostsProcess(hosts, core=host_core).start()
     with tempfile.TemporaryDirectory() as folder:
         gateway = GatewayProcess(
-            Path(folder), servers.discovery_port, settings(works), sockets=8192, core=gateway_core
+            Path(folder),
+            servers.discovery_port,
+            settings(request_classes),
+            sockets=8192,
+            core=gateway_core,
         )
         gateway.tree = COMPILED if form == "compiled" else None
         relay = ["-m", "bench.relay", *map(str, servers.ports)]
         await gateway.start(command=relay if form == "relay" else ("-m", "quillroad"))
         told = {"connections": connections}
         await run_load(
-            gateway.address, works, shares, [client_core], "closed", 1.0, prefix="w", **told
+            gateway.address,
+            request_classes,
+            weights,
+            [client_core],
+            "closed",
+            1.0,
+            prefix="w",
+            **told,
         )
         cpu_s, io = gateway.cpu_s(), gateway.io()
         result = await run_load(
-            gateway.address, works, shares, [client_core], "closed", seconds, **told
+            gateway.address, request_classes, weights, [client_core], "closed", seconds, **told
         )
         used_s, (reads, writes) = gateway.cpu_s() - cpu_s, gateway.io()
         await gateway.stop()
@@ -96,7 +107,7 @@
         (writes - io[1]) / count,
         percentile(whole.took, 0.5) * 1e3,
         percentile(whole.took, 0.99) * 1e3,
-        whole.refused,
+        whole.rejected,
     )
 
 
--- a/bench/storm.py
+++ b/bench/storm.py
@@ -15,13 +15,13 @@
 
 import uvloop
 
-from testbed.account import Work, percentile, total
+from testbed.account import RequestClass, percentile, total
 from testbed.gateway import GatewayProcess, settings
 from testbed.processes import HostsProcess, run_load
 
-WORKS = [
-    Work("status-check", 0.58, 0.9, 2.0),
-    Work("seat-checkout", 0.75, 0.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 0.9, 2.0),
+    RequestClass("seat-checkout", 0.75, 0.9, 8.0, keyed=True, body_bytes=200),
 ]
 SIZES = (150, 300, 1000, 4000)
 
@@ -38,14 +38,20 @@
                 gateway = GatewayProcess(
                     Path(folder),
                     hosts.discovery_port,
-                    settings(WORKS),
+                    settings(REQUEST_CLASSES),
                     sockets=10_000,
                     core=gateway_core,
                 )
                 relay = ["-m", "bench.relay", *map(str, hosts.ports)]
                 await gateway.start(command=relay if name == "relay" else ("-m", "quillroad"))
                 result = await run_load(
-                    gateway.address, WORKS, [3, 1], [client_core], "closed", 2.0, connections=size
+                    gateway.address,
+                    REQUEST_CLASSES,
+                    [3, 1],
+                    [client_core],
+                    "closed",
+                    2.0,
+                    connections=size,
                 )
                 await gateway.stop()
                 await hosts.stop()
@@ -53,8 +59,8 @@
             print(
                 f"{size:7d}  {name:>7}  {len(result.firsts):13d}  "
                 f"{percentile(result.firsts, 0.5) * 1e3:6.0f}  "
-                f"{max(result.firsts, default=0) * 1e3:6.0f}  {whole.late:9d}  {whole.in_aim:6d}  "
-                f"{whole.refused:7d}  {whole.failed:6d}  {whole.unanswered:4d}",
+                f"{max(result.firsts, default=0) * 1e3:6.0f}  {whole.late:9d}  {whole.within_objective:6d}  "
+                f"{whole.rejected:7d}  {whole.failed:6d}  {whole.unanswered:4d}",
                 flush=True,
             )
 
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -22,15 +22,15 @@
 
 import uvloop
 
-from testbed.account import Record, Work, percentile, tally, total
+from testbed.account import Record, RequestClass, count_outcomes, percentile, total
 from testbed.builds import BROKEN, Builds
 from testbed.clients import Load
+from testbed.environment import Environment
 from testbed.schedule import steady
-from testbed.stage import Stage
 
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 FILE = """
 [times]
@@ -70,14 +70,14 @@
     return whole * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-async def watch(stage: Stage, seen: Seen, over: asyncio.Event) -> None:
+async def watch(environment: Environment, seen: Seen, over: asyncio.Event) -> None:
     """Look at the gateway's processes every few milliseconds."""
     serving = ""
     while not over.is_set():
-        held = stage.gateway.processes()
+        held = environment.gateway.processes()
         seen.most_descriptors = max(seen.most_descriptors, sum(held.values()))
         seen.most_mb = max(seen.most_mb, memory_mb(list(held)))
-        lines = await stage.gateway.say("status")
+        lines = await environment.gateway.send_command("status")
         now_serving = next((line for line in lines if ": serves" in line), "").partition(":")[0]
         if now_serving != serving and now_serving:
             if serving:
@@ -104,9 +104,10 @@
 
 
 def line(name: str, records: list[Record]) -> str:
-    whole = total(tally(records, WORKS).values())
+    whole = total(count_outcomes(records, REQUEST_CLASSES).values())
     return (
-        f"| {name} | {whole.sent} | {whole.in_aim} | {whole.refused} | {whole.failed} | {whole.unanswered} "
+        f"| {name} | {whole.sent} | {whole.within_objective} | {whole.rejected} | {whole.failed} "
+        f"| {whole.unanswered} "
         f"| {percentile(whole.took, 0.5) * 1e3:.0f} / {percentile(whole.took, 0.99) * 1e3:.0f} |"
     )
 
@@ -115,19 +116,19 @@
     with tempfile.TemporaryDirectory() as text:
         folder = Path(text)
         builds = Builds(folder / "build")
-        async with Stage(
+        async with Environment(
             folder,
-            WORKS,
+            REQUEST_CLASSES,
             hosts=6,
             delay=0.02,
             sockets=1024,
             upgrades=FILE.format(canary=canary),
             path=builds.folder,
-        ) as stage:
+        ) as environment:
             seen, over = Seen(), asyncio.Event()
-            load = stage.load(shares=(3, 1), most=400)
+            load = environment.load(weights=(3, 1), most=400)
             sending = asyncio.ensure_future(load.open_loop(steady(rate, 3600.0)))
-            watching = asyncio.ensure_future(watch(stage, seen, over))
+            watching = asyncio.ensure_future(watch(environment, seen, over))
             await asyncio.sleep(1.0)
             connects = len(load.records) and sum(
                 record.first_on_connection for record in load.records
@@ -135,19 +136,19 @@
             for number in range(count):
                 kind = broken[number % len(broken)]
                 builds.put(kind)
-                answer = await stage.gateway.say("upgrade")
+                answer = await environment.gateway.send_command("upgrade")
                 seen.became.setdefault(kind or "a good build", []).append(answer[-1])
-                while len(await stage.gateway.say("status")) > 2:
+                while len(await environment.gateway.send_command("status")) > 2:
                     await asyncio.sleep(0.02)
             await asyncio.sleep(1.0)
             over.set()
             await watching
             sending.cancel()
             await load.settle()
-            again = sum(record.again for record in load.records)
+            again = sum(record.resent for record in load.records)
             new = sum(record.first_on_connection for record in load.records) - connects
-        report(load, seen, steps(stage.log), stage.broken(load), again, new)
-        return 1 if stage.broken(load) else 0
+        report(load, seen, steps(environment.log), environment.broken(load), again, new)
+        return 1 if environment.broken(load) else 0
 
 
 def report(
@@ -181,31 +182,31 @@
     with tempfile.TemporaryDirectory() as text:
         folder = Path(text)
         builds = Builds(folder / "build")
-        async with Stage(
+        async with Environment(
             folder,
-            WORKS,
+            REQUEST_CLASSES,
             hosts=6,
             delay=0.02,
             sockets=1024,
             upgrades=FILE.format(canary="500 ms"),
             path=builds.folder,
-        ) as stage:
-            load = stage.load(shares=(3, 1), most=400)
+        ) as environment:
+            load = environment.load(weights=(3, 1), most=400)
             sending = asyncio.ensure_future(load.open_loop(steady(rate, 3600.0)))
-            stage.hosts[0].hangs = True
+            environment.hosts[0].hangs = True
             await asyncio.sleep(4.0)
             if told == "nothing":
                 (builds.folder / "sitecustomize.py").write_text(
                     (builds.folder / "sitecustomize.py").read_text() + COLD + "\n"
                 )
-            say, switches = stage.gateway.say, told != "no upgrade"
+            say, switches = environment.gateway.send_command, told != "no upgrade"
             asking = asyncio.ensure_future(say("upgrade" if switches else "status"))
             while switches and not any("stands by" in row for row in await say("status")):
                 await asyncio.sleep(0.002)
             at = time.monotonic()
             await asyncio.sleep(seconds)
             await asking
-            wrong = [r for r in stage.hosts[0].receipts if at <= r.at < at + seconds]
+            wrong = [r for r in environment.hosts[0].receipts if at <= r.at < at + seconds]
             sent = window(load.records, at, 0.0, seconds)
             sending.cancel()
             await load.settle()
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -33,13 +33,13 @@
 from quillroad.balancing.settings import Idempotency, Route, Settings
 from quillroad.balancing.zone_routing import CrossZoneBudget, CrossZoneLimits, RouteAllowance
 from quillroad.zones.report import Report, read_report
-from testbed.account import Record, Work, percentile, tally, total
+from testbed.account import Record, RequestClass, count_outcomes, percentile, total
+from testbed.environment import Environment
 from testbed.schedule import steady
-from testbed.stage import Stage
 
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 FILE = """
 [budget]
@@ -87,11 +87,11 @@
     with tempfile.TemporaryDirectory() as name:
         file = Path(name) / "report.json"
         budget = text.replace("{report}", str(file))
-        async with Stage(
-            Path(name), WORKS, hosts=8, delay=0.02, zones=("east", "west"), budget=budget
-        ) as stage:
-            load = stage.load(shares=(3, 1), most=900)
-            home = [host for host in stage.hosts if host.zone == "east"]
+        async with Environment(
+            Path(name), REQUEST_CLASSES, hosts=8, delay=0.02, zones=("east", "west"), budget=budget
+        ) as environment:
+            load = environment.load(weights=(3, 1), most=900)
+            home = [host for host in environment.hosts if host.zone == "east"]
             for part in PARTS:
                 for number, host in enumerate(home):
                     host.hangs = part == "all hangs" or (part == "half hangs" and number % 2 == 0)
@@ -99,10 +99,14 @@
                 await load.open_loop(steady(rate, seconds))
                 run.records.append(load.records[before:])
             run.began = load.records[0].sent
-            run.away = [r.at for host in stage.hosts if host.zone == "west" for r in host.receipts]
+            run.away = [
+                r.at for host in environment.hosts if host.zone == "west" for r in host.receipts
+            ]
             for zone in ("east", "west"):
-                run.received[zone] = sum(len(h.receipts) for h in stage.hosts if h.zone == zone)
-            run.broken = stage.broken(load)
+                run.received[zone] = sum(
+                    len(h.receipts) for h in environment.hosts if h.zone == zone
+                )
+            run.broken = environment.broken(load)
             if budget:
                 await asyncio.sleep(0.5)
                 run.report = read_report(file.read_bytes())
@@ -112,11 +116,12 @@
 def rows(name: str, run: Run) -> list[str]:
     lines = []
     for part, records in zip(PARTS, run.records, strict=True):
-        per = tally(records, WORKS)
+        per = count_outcomes(records, REQUEST_CLASSES)
         first, last = records[0].sent, records[-1].sent
         away = sum(1 for at in run.away if first <= at <= last)
         cells = [
-            f"{row.in_aim / row.sent:.3f} / {row.refused / row.sent:.3f}" for row in per.values()
+            f"{row.within_objective / row.sent:.3f} / {row.rejected / row.sent:.3f}"
+            for row in per.values()
         ]
         took = total(per.values()).took
         lines.append(
@@ -156,10 +161,13 @@
         for record in (record for part in run.records for record in part):
             if (
                 0 <= (slot := int((record.sent - run.began) / SLOT_S)) < slots
-                and WORKS[record.work].keyed
+                and REQUEST_CLASSES[record.class_index].keyed
             ):
                 sent[slot] += 1
-                good[slot] += record.status == 200 and record.took <= WORKS[record.work].aim
+                good[slot] += (
+                    record.status == 200
+                    and record.took <= REQUEST_CLASSES[record.class_index].latency_objective
+                )
         crossings[name] = away
         served[name] = [g / s if s else 1.0 for g, s in zip(good, sent, strict=True)]
     over_time(
--- a/quillroad/cli/demo.py
+++ b/quillroad/cli/demo.py
@@ -17,14 +17,14 @@
 from rich.table import Table
 
 from quillroad.cli.exit_status import ExitStatus
-from testbed.account import Tally, Work, percentile, tally
+from testbed.account import OutcomeCounts, RequestClass, count_outcomes, percentile
 from testbed.clients import Load
+from testbed.environment import Environment
 from testbed.schedule import steady
-from testbed.stage import Stage
 
 ROUTES = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 ROUTE_SHARES = (3, 1)  # requests of each route, in their proportion
 HOST_COUNT = 6
@@ -72,14 +72,14 @@
     """Play the demo; the status is 1 where a rule was broken."""
     console = Console(width=max(MIN_WIDTH, Console().width))
     with tempfile.TemporaryDirectory() as folder:
-        async with Stage(Path(folder), ROUTES, hosts=HOST_COUNT, delay=ANSWER_S) as testbed:
+        async with Environment(Path(folder), ROUTES, hosts=HOST_COUNT, delay=ANSWER_S) as testbed:
             testbed.hosts[SLOW_HOST].delay = SLOW_ANSWER_S
             testbed.hosts[HANGING_HOST].hangs = True
-            load = testbed.load(shares=ROUTE_SHARES)
+            load = testbed.load(weights=ROUTE_SHARES)
             drained_at = await _send(console, testbed, load, seconds, rate)
             broken = testbed.broken(load)
             console.print(
-                _route_table(tally(load.records, ROUTES)), _host_table(testbed, drained_at)
+                _route_table(count_outcomes(load.records, ROUTES)), _host_table(testbed, drained_at)
             )
             return _conclude(console, broken)
 
@@ -95,7 +95,9 @@
     return ExitStatus.OK
 
 
-async def _send(console: Console, testbed: Stage, load: Load, seconds: float, rate: float) -> float:
+async def _send(
+    console: Console, testbed: Environment, load: Load, seconds: float, rate: float
+) -> float:
     """Send all requests, and drain a host half way; return when (monotonic clock, seconds)."""
     request_count = rate * seconds
     drained_at = 0.0
@@ -111,11 +113,18 @@
     return drained_at
 
 
-def _route_table(rows: Mapping[str, Tally]) -> Table:
+def _route_table(rows: Mapping[str, OutcomeCounts]) -> Table:
     """Return what became of the requests of each route."""
     table = Table(*ROUTE_COLUMNS)
     for name, row in rows.items():
-        counts = (row.sent, row.in_aim, row.served, row.refused, row.failed, row.unanswered)
+        counts = (
+            row.sent,
+            row.within_objective,
+            row.served,
+            row.rejected,
+            row.failed,
+            row.unanswered,
+        )
         table.add_row(
             name,
             *(str(count) for count in counts),
@@ -125,7 +134,7 @@
     return table
 
 
-def _host_table(testbed: Stage, drained_at: float) -> Table:
+def _host_table(testbed: Environment, drained_at: float) -> Table:
     """Return what each host received, and what the drained one did after its drain."""
     table = Table(*HOST_COLUMNS)
     for number, host in enumerate(testbed.hosts):
--- a/simulation/schedule.py
+++ b/simulation/schedule.py
@@ -53,12 +53,12 @@
 
 
 class Schedule(Struct, forbid_unknown_fields=True, frozen=True):
-    """Steps for `size` members; with `aloud` they can reach all others by one datagram."""
+    """Steps for `size` members; with `broadcast` they can reach all others by one datagram."""
 
     seed: int
     size: int
     steps: tuple[Step, ...]
-    aloud: bool = False
+    broadcast: bool = False
 
 
 def read_schedule(text: str) -> Schedule:
@@ -71,7 +71,7 @@
     return msgspec.json.format(msgspec.json.encode(schedule), indent=1).decode()
 
 
-def draw(seed: int, size: int, length: int, aloud: bool = False) -> Schedule:
+def draw(seed: int, size: int, length: int, broadcast: bool = False) -> Schedule:
     """A schedule of `length` steps, by this seed."""
     random = Random(seed)
     acts: tuple[Act, ...] = (
@@ -101,7 +101,7 @@
                 random.choice(DRAWN_LOSSES) if act == "loss" else 0.0,
             )
         )
-    return Schedule(seed, size, tuple(steps), aloud)
+    return Schedule(seed, size, tuple(steps), broadcast)
 
 
 class _MemberView(NamedTuple):
@@ -132,7 +132,7 @@
             World(schedule.seed, Link(loss=QUIET_LOSS)),
             schedule.size,
             timing,
-            everyone=EVERYONE if schedule.aloud else None,
+            everyone=EVERYONE if schedule.broadcast else None,
         )
         self._incarnations = [0] * schedule.size  # the highest that each ever had
         self._views: dict[tuple[int, int], _MemberView] = {}  # by (holder, member)
--- a/simulation/walk.py
+++ b/simulation/walk.py
@@ -62,7 +62,7 @@
     """One state of the whole system.
 
     `cores` are pickled, None for one that does not run; `due` is when each has something to do;
-    `said` the highest incarnation that each ever had; `lives` how often each was started.
+    `said` the highest incarnation that each ever had; `starts` how often each was started.
     """
 
     now: float
@@ -70,7 +70,7 @@
     due: tuple[float, ...]
     flights: tuple[Flight, ...]
     said: tuple[int, ...]
-    lives: tuple[int, ...]
+    starts: tuple[int, ...]
 
 
 class Step(NamedTuple):
@@ -163,12 +163,12 @@
 
     def _after_start(self, state: State, number: int) -> State:
         """The state after a member has started from nothing."""
-        starts = state.lives[number] + 1
-        lives = (*state.lives[:number], starts, *state.lives[number + 1 :])
-        seed = SEEDS_PER_MEMBER * number + starts
+        start_count = state.starts[number] + 1
+        starts = (*state.starts[:number], start_count, *state.starts[number + 1 :])
+        seed = SEEDS_PER_MEMBER * number + start_count
         roster = Roster(self._addresses, number, self._everyone)
         core = Core(roster, self._timing, state.now, Draws(seed), seed)
-        return self._after(state._replace(lives=lives), number, None, core)
+        return self._after(state._replace(starts=starts), number, None, core)
 
     def _with(self, state: State, number: int, blob: bytes | None, due: float) -> State:
         cores = (*state.cores[:number], blob, *state.cores[number + 1 :])
--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from testbed import schedule
-from testbed.account import Record, Work, tally
+from testbed.account import Record, RequestClass, count_outcomes
 from testbed.clients import Load
 from testbed.hosts import Discovery, Host
 from testbed.ration import ration
@@ -50,15 +50,17 @@
 async def run_load(options: dict[str, Any]) -> None:
     """Send a load and print its account.
 
-    `options`: the gateway's `host` and `port`, `works` (fields of `Work`), their weights `shares`,
-    and a `kind`: `closed` with `connections` and `seconds`, `open` with `rate` and `seconds`,
-    `steps` with `parts` of (rate, seconds). Raises ValueError for any other kind.
+    `options`: the gateway's `host` and `port`, `request_classes` (fields of `RequestClass`), their
+    `weights` in the mix, and a `kind`: `closed` with `connections` and `seconds`, `open` with
+    `rate` and `seconds`, `steps` with `parts` of (rate, seconds). Raises ValueError for any other kind.
     """
-    works = [Work(**work) for work in options["works"]]
+    request_classes = [
+        RequestClass(**request_class) for request_class in options["request_classes"]
+    ]
     load = Load(
         (options["host"], options["port"]),
-        works,
-        options["shares"],
+        request_classes,
+        options["weights"],
         tenants=options.get("tenants", ["acme"]),
         most=options.get("most", 1000),
         seed=options.get("seed", 1),
@@ -73,32 +75,36 @@
         await load.open_loop(schedule.steps(*[(rate, length) for rate, length in options["parts"]]))
     else:
         raise ValueError(f"kind: {kind!r} is none of closed, open, steps")
-    print(json.dumps(_report(load, works)))
+    print(json.dumps(_report(load, request_classes)))
 
 
-def _report(load: Load, works: Sequence[Work]) -> dict[str, Any]:
+def _report(load: Load, request_classes: Sequence[RequestClass]) -> dict[str, Any]:
     """The account of a load as one JSON object; durations in seconds."""
-    rows = {name: asdict(row) for name, row in tally(load.records, works).items()}
+    rows = {
+        name: asdict(row) for name, row in count_outcomes(load.records, request_classes).items()
+    }
     firsts = [r.took for r in load.records if r.first_on_connection and r.done]
     return {
         "rows": rows,
         "unsent": load.unsent,
         "lag": load.lag,
-        "slots": _slots(load.records, works),
+        "slots": _slots(load.records, request_classes),
         "firsts": firsts,
     }
 
 
-def _slots(records: Sequence[Record], works: Sequence[Work]) -> list[tuple[int, list[float]]]:
+def _slots(
+    records: Sequence[Record], request_classes: Sequence[RequestClass]
+) -> list[tuple[int, list[float]]]:
     """By tenths of a second since the first request: requests sent, value of answers in time."""
     began = min((record.sent for record in records), default=0.0)
     slots: dict[int, list[float]] = {}
     for record in records:
         slot = slots.setdefault(int((record.sent - began) * SLOTS_PER_S), [0, 0.0])
         slot[0] += 1
-        work = works[record.work]
-        if record.status == HTTPStatus.OK and record.took <= work.aim:
-            slot[1] += work.worth
+        request_class = request_classes[record.class_index]
+        if record.status == HTTPStatus.OK and record.took <= request_class.latency_objective:
+            slot[1] += request_class.priority_weight
     return sorted(slots.items())
 
 
--- a/testbed/account.py
+++ b/testbed/account.py
@@ -22,16 +22,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class RequestClass:
     """One class of requests as clients see it. Times in seconds."""
 
     name: str
-    aim: float
+    latency_objective: float
     deadline: float
-    worth: float = 1.0
+    priority_weight: float = 1.0
     keyed: bool = False
-    body: int = 0  # bytes that a request of this class carries
-    window: float = 6.0  # for which hosts drop repeats of a key
+    body_bytes: int = 0  # that a request of this class carries
+    key_window: float = 6.0  # for which hosts drop repeats of a key
 
 
 @dataclass(slots=True)
@@ -39,12 +39,12 @@
     """One request. Times are of the monotonic clock, in seconds."""
 
     id: str
-    work: int  # index into the load's classes
+    class_index: int  # into the load's classes
     sent: float  # its last byte was written
-    wait: float  # for so long the client waits
+    client_timeout: float  # for so long the client waits
     tenant: str = ""
     first_on_connection: bool = False
-    again: bool = False  # sent once more: its connection had been closed between two requests
+    resent: bool = False  # sent once more: its connection had been closed between two requests
     done: float = 0.0  # last byte of the answer; 0: none came
     status: int = 0  # 0: no answer
     retry_after: float = 0.0
@@ -56,75 +56,85 @@
 
 
 @dataclass(slots=True)
-class Tally:
-    """Requests of one class by what became of them; `sent` is the sum of all others but `worth`."""
+class OutcomeCounts:
+    """Requests of one class by what became of them; `sent` is the sum of the other counts."""
 
     sent: int = 0
-    in_aim: int = 0  # 200 within the aim
-    served: int = 0  # 200 after the aim, before the deadline
+    within_objective: int = 0  # 200 within the latency objective
+    served: int = 0  # 200 after the objective, before the deadline
     late: int = 0  # 200 after the deadline: what must never be
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
     unanswered: int = 0  # no answer, or the connection ended first
-    worth: float = 0.0
+    value: float = 0.0  # priority weights of what was answered within the objective
     took: list[float] = field(default_factory=list)  # of those answered 200
-    refusal_took: list[float] = field(default_factory=list)
+    rejection_took: list[float] = field(default_factory=list)
 
     def adds_up(self) -> bool:
         """Whether every request sent is in exactly one column."""
-        parts = self.in_aim + self.served + self.late + self.refused + self.failed + self.unanswered
+        parts = (
+            self.within_objective
+            + self.served
+            + self.late
+            + self.rejected
+            + self.failed
+            + self.unanswered
+        )
         return parts == self.sent
 
 
-# Columns of a Tally that are numbers; the lists of durations are joined.
+# Columns of `OutcomeCounts` that are numbers; the lists of durations are joined.
 SUMMED_COLUMNS = (
     "sent",
-    "in_aim",
+    "within_objective",
     "served",
     "late",
-    "refused",
+    "rejected",
     "failed",
     "unanswered",
-    "worth",
+    "value",
 )
 
 
-def tally(records: Iterable[Record], works: Sequence[Work]) -> dict[str, Tally]:
+def count_outcomes(
+    records: Iterable[Record], request_classes: Sequence[RequestClass]
+) -> dict[str, OutcomeCounts]:
     """Count what became of the requests: one row a class, by the class's name.
 
-    A 200 counts as late when it came more than `SLACK_S` after its client's wait.
+    A 200 counts as late when it came more than `SLACK_S` after its client's time was over.
     """
-    rows = {work.name: Tally() for work in works}
+    rows = {request_class.name: OutcomeCounts() for request_class in request_classes}
     for record in records:
-        work, row = works[record.work], rows[works[record.work].name]
+        request_class = request_classes[record.class_index]
+        row = rows[request_class.name]
         row.sent += 1
         if not record.status:
             row.unanswered += 1
         elif record.status in REJECTIONS:
-            row.refused += 1
-            row.refusal_took.append(record.took)
+            row.rejected += 1
+            row.rejection_took.append(record.took)
         elif record.status != HTTPStatus.OK:
             row.failed += 1
         else:
             row.took.append(record.took)
-            if record.took > record.wait + SLACK_S:
+            if record.took > record.client_timeout + SLACK_S:
                 row.late += 1
-            elif record.took <= work.aim:
-                row.in_aim += 1
-                row.worth += work.worth
+            elif record.took <= request_class.latency_objective:
+                row.within_objective += 1
+                row.value += request_class.priority_weight
             else:
                 row.served += 1
     return rows
 
 
-def total(rows: Iterable[Tally]) -> Tally:
+def total(rows: Iterable[OutcomeCounts]) -> OutcomeCounts:
     """The sum of all rows; durations are joined."""
-    whole = Tally()
+    whole = OutcomeCounts()
     for row in rows:
         for name in SUMMED_COLUMNS:
             setattr(whole, name, getattr(whole, name) + getattr(row, name))
         whole.took += row.took
-        whole.refusal_took += row.refusal_took
+        whole.rejection_took += row.rejection_took
     return whole
 
 
@@ -146,22 +156,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A host that takes no more work, from `told` until it was told otherwise.
+    """A host that takes no more work, from `announced_at` until the list said otherwise.
 
     Times are of the monotonic clock, in seconds.
     """
 
     host: str
-    told: float
+    announced_at: float
     until: float = float("inf")
-    deaf: frozenset[int] = frozenset()  # gateways that could not hear of it
+    uninformed: frozenset[int] = frozenset()  # gateways that could not hear of it
 
     def forbids(self, receipt: Receipt) -> bool:
         """Whether the host got this request after the grace, from a gateway that knew."""
         return (
-            receipt.by not in self.deaf
+            receipt.by not in self.uninformed
             and receipt.host == self.host
-            and self.told + GRACE_S < receipt.at < self.until
+            and self.announced_at + GRACE_S < receipt.at < self.until
         )
 
 
@@ -178,7 +188,7 @@
 def broken_rules(
     records: Sequence[Record],
     receipts: Iterable[Receipt],
-    works: Sequence[Work],
+    request_classes: Sequence[RequestClass],
     most_sends: int = 4,
     drains: Sequence[Drain] = (),
 ) -> list[str]:
@@ -192,26 +202,29 @@
     ordered = sorted(receipts, key=lambda receipt: receipt.at)
     sends = Counter(receipt.id for receipt in ordered)
     return [
-        *_broken_by_receipts(ordered, works, drains),
+        *_broken_by_receipts(ordered, request_classes, drains),
         *_broken_by_request_ids(records, ordered, sends),
         *_broken_by_answers(records, sends, most_sends),
-        *_broken_by_counters(records, works),
+        *_broken_by_counters(records, request_classes),
     ]
 
 
 def _broken_by_receipts(
-    ordered: Sequence[Receipt], works: Sequence[Work], drains: Sequence[Drain]
+    ordered: Sequence[Receipt], request_classes: Sequence[RequestClass], drains: Sequence[Drain]
 ) -> Iterator[str]:
     """Violations that single receipts show, oldest receipt first."""
     first_sends: dict[str, _FirstSend] = {}
-    window_s = min((work.window for work in works if work.keyed), default=0.0)
+    window_s = min(
+        (request_class.key_window for request_class in request_classes if request_class.keyed),
+        default=0.0,
+    )
     for receipt in ordered:
         if receipt.key:
             first = first_sends.setdefault(receipt.key, _FirstSend(receipt.id, receipt.at))
             yield from _broken_by_key(receipt, first, window_s)
         for drain in drains:
             if drain.forbids(receipt):
-                late = f"{receipt.at - drain.told:.3f} s after it was told to drain"
+                late = f"{receipt.at - drain.announced_at:.3f} s after it was told to drain"
                 yield f"{receipt.id}: sent to {drain.host} {late}"
 
 
@@ -243,14 +256,16 @@
     for record in records:
         if record.status == HTTPStatus.OK and not sends[record.id]:
             yield f"{record.id}: served, received by no host"
-        if record.status == HTTPStatus.OK and record.took > record.wait + SLACK_S:
-            yield f"{record.id}: served {record.took - record.wait:.3f} s after its deadline"
+        if record.status == HTTPStatus.OK and record.took > record.client_timeout + SLACK_S:
+            yield f"{record.id}: served {record.took - record.client_timeout:.3f} s after its deadline"
         if sends[record.id] > most_sends:
             yield f"{record.id}: sent {sends[record.id]} times"
 
 
-def _broken_by_counters(records: Sequence[Record], works: Sequence[Work]) -> Iterator[str]:
+def _broken_by_counters(
+    records: Sequence[Record], request_classes: Sequence[RequestClass]
+) -> Iterator[str]:
     """Classes whose columns do not sum to the requests sent: a fault of the account itself."""
-    for name, row in tally(records, works).items():
+    for name, row in count_outcomes(records, request_classes).items():
         if not row.adds_up():
             yield f"{name}: does not add up"
--- a/testbed/clients.py
+++ b/testbed/clients.py
@@ -14,7 +14,7 @@
 from typing import cast
 
 from quillroad.overload.socket_age import Socket, data_age
-from testbed.account import Record, Work
+from testbed.account import Record, RequestClass
 
 GRACE_S = 0.5  # past the deadline, for late answers to show that they are late
 SEND_EARLY_S = 0.0005  # a request may go out this much before its time: sleeps are no finer
@@ -88,16 +88,16 @@
         self._load.answered(self, record, keep)
 
 
-def _request_bytes(request_class: Work, request_id: str, tenant: str, key: int) -> bytes:
+def _request_bytes(request_class: RequestClass, request_id: str, tenant: str, key: int) -> bytes:
     """A request as it goes on the wire; `key` is the last part of its path."""
     method, key_headers, body = b"GET", b"", b""
     if request_class.keyed:
         method = b"POST"
         key_headers = b"Idempotency-Key: k-%b\r\nContent-Length: %d\r\n" % (
             request_id.encode(),
-            request_class.body,
+            request_class.body_bytes,
         )
-        body = b"x" * request_class.body
+        body = b"x" * request_class.body_bytes
     return (
         b"%b /%b/w%d HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: %b\r\nTenant: %b\r\n"
         b"Request-Timeout-Ms: %d\r\n%b\r\n%b"
@@ -116,7 +116,8 @@
 class Load:
     """Sends requests of a mix to one gateway and keeps a record of each.
 
-    `shares` weigh the classes of `works`; `tenants` and `keys` are dealt out evenly and at random.
+    `weights` are those of `request_classes` in the mix; `tenants` and `keys` are dealt out evenly
+    and at random.
     `most` bounds the connections that an open-loop client opens; arrivals beyond it are counted in
     `unsent`. `lag` is the most that a scheduled arrival was sent late, in seconds.
     """
@@ -124,8 +125,8 @@
     def __init__(
         self,
         address: tuple[str, int],
-        works: Sequence[Work],
-        shares: Sequence[float],
+        request_classes: Sequence[RequestClass],
+        weights: Sequence[float],
         *,
         tenants: Sequence[str] = ("acme",),
         keys: int = 200,
@@ -134,11 +135,11 @@
         prefix: str = "c",
     ) -> None:
         self.address = address
-        self.works = works
+        self.request_classes = request_classes
         self.records: list[Record] = []
         self.unsent = 0
         self.lag = 0.0  # the most that a scheduled arrival was sent late, in seconds
-        self._cumulative_weights = list(itertools.accumulate(shares))
+        self._cumulative_weights = list(itertools.accumulate(weights))
         self._tenants = tenants
         self._keys = keys
         self._most = most
@@ -151,15 +152,15 @@
         self._again = False  # closed-loop: the next request follows an answer
         self._end = 0.0
 
-    def request(self, work: int | None = None) -> tuple[Record, bytes]:
-        """Make a new request, of class `work` or a random one: its record and its bytes."""
-        if work is None:
+    def request(self, class_index: int | None = None) -> tuple[Record, bytes]:
+        """Make a new request, of that class or of a random one: its record and its bytes."""
+        if class_index is None:
             drawn = self._random.random() * self._cumulative_weights[-1]
-            work = next(i for i, bound in enumerate(self._cumulative_weights) if drawn <= bound)
-        request_class = self.works[work]
+            class_index = next(i for i, w in enumerate(self._cumulative_weights) if drawn <= w)
+        request_class = self.request_classes[class_index]
         request_id = f"{self._prefix}{len(self.records):x}"
         tenant = self._tenants[int(self._random.random() * len(self._tenants))]
-        record = Record(request_id, work, 0.0, request_class.deadline, tenant)
+        record = Record(request_id, class_index, 0.0, request_class.deadline, tenant)
         self.records.append(record)
         key = int(self._random.random() * self._keys)
         return record, _request_bytes(request_class, request_id, tenant, key)
@@ -185,10 +186,10 @@
         connection.record = None
         if record is None:
             return
-        if not record.first_on_connection and not record.again:
+        if not record.first_on_connection and not record.resent:
             # A gateway may close a connection between two requests. A request that was already on
             # its way then is sent once more on a new connection; otherwise it would count as lost.
-            record.again = True
+            record.resent = True
             self._open(True, (record, connection.sent))
         elif self._again and time.monotonic() < self._end:
             self._open(True)
@@ -261,7 +262,7 @@
 
     async def settle(self) -> None:
         """Wait until every request has its answer or its client has given up; then close all."""
-        longest = max(work.deadline for work in self.works) + GRACE_S
+        longest = max(request_class.deadline for request_class in self.request_classes) + GRACE_S
         end = time.monotonic() + longest
         while time.monotonic() < end:
             if not self._opening and not any(c.record is not None for c in self._connections):
--- a/testbed/core.py
+++ b/testbed/core.py
@@ -208,7 +208,7 @@
         """Sum of a column (`SENT`, `IN_TIME`, `LATE`, `REJECTED`) over all classes."""
         return sum(count[column] for count in self.counts.values())
 
-    def worth(self, column: int = IN_TIME) -> float:
+    def value(self, column: int = IN_TIME) -> float:
         """Sum of a column over all classes, weighted by their priority."""
         return sum(
             self.lanes[route].priority_weight * count[column]
@@ -216,6 +216,6 @@
         )
 
 
-def mix(rate: float, shares: Iterable[float] = (0.56, 0.44)) -> dict[tuple[int, int], float]:
-    """Demand of one tenant, of `rate` requests a second: one class for each of `shares`."""
-    return {(route, 0): share * rate for route, share in enumerate(shares)}
+def mix(rate: float, weights: Iterable[float] = (0.56, 0.44)) -> dict[tuple[int, int], float]:
+    """Demand of one tenant, of `rate` requests a second: one class for each of `weights`."""
+    return {(route, 0): share * rate for route, share in enumerate(weights)}
--- a/testbed/gateway.py
+++ b/testbed/gateway.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any, Self
 
-from testbed.account import Work
+from testbed.account import RequestClass
 from testbed.ports import ReservedPort
 
 ROOT = Path(__file__).parent.parent
@@ -23,7 +23,7 @@
 
 
 def settings(
-    works: Sequence[Work], tenants: dict[str, float] | None = None, **limits: Any
+    request_classes: Sequence[RequestClass], tenants: dict[str, float] | None = None, **limits: Any
 ) -> dict[str, Any]:
     """The settings of a gateway for these classes; `limits` replace those of the document.
 
@@ -31,15 +31,15 @@
     """
     lanes = [
         {
-            "name": work.name,
-            "semantics": "keyed" if work.keyed else "safe",
+            "name": request_class.name,
+            "semantics": "keyed" if request_class.keyed else "safe",
             "group": "all",
             "memory_span": 6_000_000,
-            "goal_time": round(work.aim * 1e6),
-            "deadline": round(work.deadline * 1e6),
-            "importance": work.worth,
+            "goal_time": round(request_class.latency_objective * 1e6),
+            "deadline": round(request_class.deadline * 1e6),
+            "importance": request_class.priority_weight,
         }
-        for work in works
+        for request_class in request_classes
     ]
     quotas = tenants or {"acme": 1e6}
     return {
@@ -117,7 +117,7 @@
         """Where commands of its operators go, with upgrades on."""
         return self._folder / "control"
 
-    async def say(self, command: str) -> list[str]:
+    async def send_command(self, command: str) -> list[str]:
         """Send an operator's command to the control socket; the lines of its answer."""
         reader, writer = await asyncio.open_unix_connection(str(self.control))
         writer.write(f"{command}\n".encode())
@@ -157,7 +157,7 @@
         assert self.process is not None
         return self.process.pid
 
-    def talks(
+    def join_membership(
         self,
         fleet: str,
         listen: tuple[str, int],
@@ -186,7 +186,7 @@
         """Where changes of that view are written, one JSON object a line."""
         return self._folder / "changes.jsonl"
 
-    def told(self, name: str) -> Any:
+    def setting(self, name: str) -> Any:
         """A field of its configuration file; raises KeyError."""
         return self._data[name]
 
@@ -294,7 +294,7 @@
         """Stop it (SIGSTOP)."""
         os.kill(self.pid, signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Let it run again (SIGCONT)."""
         os.kill(self.pid, signal.SIGCONT)
 
@@ -302,7 +302,7 @@
         """Ask it to end without loss (SIGTERM)."""
         os.kill(self.pid, signal.SIGTERM)
 
-    def hang_up(self) -> None:
+    def reload(self) -> None:
         """Let it read its files again (SIGHUP)."""
         os.kill(self.pid, signal.SIGHUP)
 
--- a/testbed/hosts.py
+++ b/testbed/hosts.py
@@ -241,13 +241,13 @@
 class CrowdedDiscovery(Discovery):
     """A discovery that serves all its callers one by one.
 
-    A call takes `work_s` seconds; who has waited for `patience_s` is turned away with 503.
+    A call takes `work_s` seconds; who has waited for `wait_timeout_s` is turned away with 503.
     """
 
-    def __init__(self, hosts: list[Host], work_s: float, patience_s: float) -> None:
+    def __init__(self, hosts: list[Host], work_s: float, wait_timeout_s: float) -> None:
         super().__init__(hosts)
         self._work_s = work_s
-        self._wait_timeout_s = patience_s
+        self._wait_timeout_s = wait_timeout_s
         self._busy = asyncio.Lock()  # serves its waiters in the order in which they came
         self.turned_away = 0
 
--- a/testbed/processes.py
+++ b/testbed/processes.py
@@ -10,7 +10,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from testbed.account import Tally, Work
+from testbed.account import OutcomeCounts, RequestClass
 from testbed.gateway import ROOT
 
 # Period of a ration: the kernel counts a running process's time every few milliseconds only, so
@@ -88,7 +88,7 @@
     seconds that the first answer of each connection took.
     """
 
-    rows: dict[str, Tally] = field(default_factory=dict)
+    rows: dict[str, OutcomeCounts] = field(default_factory=dict)
     unsent: int = 0
     lag: float = 0.0
     slots: dict[int, tuple[int, float]] = field(default_factory=dict)
@@ -103,15 +103,15 @@
             before = self.slots.get(slot, (0, 0.0))
             self.slots[slot] = (before[0] + sent, before[1] + value)
         for name, row in report["rows"].items():
-            whole = self.rows.setdefault(name, Tally())
+            whole = self.rows.setdefault(name, OutcomeCounts())
             for column, value in row.items():
                 setattr(whole, column, getattr(whole, column) + value)
 
 
 async def run_load(
     address: tuple[str, int],
-    works: Sequence[Work],
-    shares: Sequence[float],
+    request_classes: Sequence[RequestClass],
+    weights: Sequence[float],
     cores: Sequence[int | None],
     kind: str,
     seconds: float,
@@ -127,8 +127,8 @@
         options: dict[str, Any] = {
             "host": address[0],
             "port": address[1],
-            "works": [asdict(work) for work in works],
-            "shares": list(shares),
+            "request_classes": [asdict(request_class) for request_class in request_classes],
+            "weights": list(weights),
             "kind": kind,
             "seconds": seconds,
             "seed": number + 1,
--- a/testbed/relay.py
+++ b/testbed/relay.py
@@ -243,7 +243,7 @@
         self.peers, self.everyone = [list(part) for part in zip(*reached, strict=True)]
         return self
 
-    async def say(self, **command: Any) -> dict[str, Any]:
+    async def send_command(self, **command: Any) -> dict[str, Any]:
         """Send a command, or an empty one; returns the relay's counts right after it."""
         assert self._process.stdin is not None and self._process.stdout is not None
         self._process.stdin.write(json.dumps(command).encode() + b"\n")
@@ -252,11 +252,11 @@
 
     async def rule(self, *rules: dict[str, Any]) -> None:
         """Let these rules hold from now on and no others; without any, all passes."""
-        await self.say(rules=rules)
+        await self.send_command(rules=rules)
 
     async def lines(self, *rules: dict[str, Any]) -> None:
         """The same for connections to hosts and discovery."""
-        await self.say(lines=rules)
+        await self.send_command(lines=rules)
 
     async def apart(self, *groups: list[int]) -> None:
         """Cut every group of gateways off from every other."""
--- a/testbed/beside.py
+++ b/testbed/sibling.py
@@ -17,7 +17,7 @@
 END_S = 4.0  # from SIGTERM to SIGKILL: more than the longest deadline of a request
 
 
-class BesideGateway(GatewayProcess):
+class SiblingGateway(GatewayProcess):
     """A gateway that is upgraded by starting a sibling process for the same address.
 
     `process` is the one that serves; `admin` is the port of its operators' address.
@@ -45,12 +45,12 @@
             "TMPDIR": str(self.folder),
         }
 
-    async def newcomer(self) -> tuple[asyncio.subprocess.Process, int]:
+    async def start_sibling(self) -> tuple[asyncio.subprocess.Process, int]:
         """Start a sibling process; returns it and the port of its operators' address."""
         admin = self.reserve_port()
         return await self._spawn(("-m", "quillroad"), self._environment(admin), False), admin
 
-    async def yes(self, process: asyncio.subprocess.Process, admin: int) -> bool:
+    async def wait_until_ready(self, process: asyncio.subprocess.Process, admin: int) -> bool:
         """Wait until a process says that it is ready, for as long as operators do.
 
         Returns False where it ends first, or is not ready within `READY_TIMEOUT_S`.
@@ -68,8 +68,8 @@
 
         Returns False, with the sibling killed, where that was not ready in time.
         """
-        process, admin = await self.newcomer()
-        if not await self.yes(process, admin):
+        process, admin = await self.start_sibling()
+        if not await self.wait_until_ready(process, admin):
             await self._end(process, signal.SIGKILL)
             return False
         before = self.process
--- a/tests/discovery/test_poll_schedule.py
+++ b/tests/discovery/test_poll_schedule.py
@@ -124,13 +124,13 @@
 
 
 def turned_away(
-    calls: list[tuple[float, int]], work_s: float, patience_s: float
+    calls: list[tuple[float, int]], work_s: float, wait_timeout_s: float
 ) -> dict[int, float]:
     """How long each call (when, by whom) waits for its answer at a service that takes them in turn; those
     that wait longer than its patience are not in it."""
     free, waited = 0.0, {}
     for at, number in sorted(calls):
-        if max(free, at) - at <= patience_s:
+        if max(free, at) - at <= wait_timeout_s:
             free = max(free, at) + work_s
             waited[number] = free - at
     return waited
--- a/tests/membership/test_lines.py
+++ b/tests/membership/test_lines.py
@@ -8,12 +8,12 @@
 import msgspec
 import pytest
 
-from testbed.account import tally, total
+from testbed.account import count_outcomes, total
+from testbed.environment import Environment
 from testbed.hosts import Host
 from testbed.lines import LineRule, Lines, address_of, gateway_at
 from testbed.schedule import steady
-from testbed.stage import Stage
-from tests.membership.test_processes import SIZE, USED, WORKS, agreed, ended, marks
+from tests.membership.test_processes import REQUEST_CLASSES, SIZE, USED, agreed, ended, marks
 from tests.net import on_loop, on_loop_within, until
 
 ASK = b"GET / HTTP/1.1\r\nRequest-Id: %b\r\n\r\n"
@@ -70,8 +70,15 @@
     tmp_path: Path,
 ) -> None:
     """Its datagrams, its line to discovery and those to two hosts are cut at once."""
-    async with Stage(
-        tmp_path, WORKS, 6, delay=0.01, gateways=SIZE, fleet=USED, aloud=True, lines=True
+    async with Environment(
+        tmp_path,
+        REQUEST_CLASSES,
+        6,
+        delay=0.01,
+        gateways=SIZE,
+        fleet=USED,
+        broadcast=True,
+        lines=True,
     ) as on:
         await until(agreed(on, range(SIZE)))
         one, other = list(range(5)), list(range(5, SIZE))
@@ -82,12 +89,12 @@
             {"gateways": one, "targets": ["discovery", "s-0", "s-1"], "cut": ["there", "back"]}
         )
         await on.relay.apart(one, other)
-        on.deaf = frozenset(one)
+        on.uninformed = frozenset(one)
         on.tell(on.hosts[3], lifecycle="draining")
         await until(lambda: agreed(on, one)() and agreed(on, other)())
         for part in (one, other):
             assert {pair for pair in ended(on, part, before) if pair[1] in part} == set()
-        on.deaf = frozenset()
+        on.uninformed = frozenset()
         await on.relay.lines()
         await on.relay.rule()
         await until(agreed(on, range(SIZE)))
@@ -99,9 +106,13 @@
         await asyncio.gather(*(load.open_loop(steady(20.0, 2.0)) for load in late))
         for load in (*loads, *late):
             await load.settle()
-        whole = total(tally([r for load in (*loads, *late) for r in load.records], WORKS).values())
-        assert whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed
-        assert whole.in_aim > 0.9 * whole.sent
+        whole = total(
+            count_outcomes(
+                [r for load in (*loads, *late) for r in load.records], REQUEST_CLASSES
+            ).values()
+        )
+        assert whole.sent == whole.within_objective + whole.served + whole.rejected + whole.failed
+        assert whole.within_objective > 0.9 * whole.sent
         assert on.broken(*loads, *late) == []
 
 
@@ -111,7 +122,9 @@
 
     Its own requests suffer, each with one answer; nobody holds it faulty, nor does it hold others.
     """
-    async with Stage(tmp_path, WORKS, 6, delay=0.01, gateways=4, fleet=USED, lines=True) as on:
+    async with Environment(
+        tmp_path, REQUEST_CLASSES, 6, delay=0.01, gateways=4, fleet=USED, lines=True
+    ) as on:
         await until(agreed(on, range(4)))
         before = marks(on, range(4))
         loads = [on.load(number) for number in (0, 1)]
@@ -120,12 +133,12 @@
         )
         await asyncio.gather(*(load.open_loop(steady(20.0, 4.0)) for load in loads))
         await loads[1].settle()
-        hurt = total(tally(loads[1].records, WORKS).values())
-        assert hurt.sent == hurt.refused + hurt.failed and hurt.unanswered == 0
+        hurt = total(count_outcomes(loads[1].records, REQUEST_CLASSES).values())
+        assert hurt.sent == hurt.rejected + hurt.failed and hurt.unanswered == 0
         await on.relay.lines()
         await until(agreed(on, range(4)))
         assert ended(on, range(4), before) == set()
         await loads[0].settle()
-        sound = total(tally(loads[0].records, WORKS).values())
-        assert sound.in_aim > 0.9 * sound.sent and sound.failed == 0
+        sound = total(count_outcomes(loads[0].records, REQUEST_CLASSES).values())
+        assert sound.within_objective > 0.9 * sound.sent and sound.failed == 0
         assert on.broken(*loads) == []
--- a/tests/membership/test_many_faults.py
+++ b/tests/membership/test_many_faults.py
@@ -12,12 +12,12 @@
 
 import pytest
 
+from testbed.environment import Environment
 from testbed.schedule import steady
-from testbed.stage import Stage
 from tests.membership.test_processes import (
+    REQUEST_CLASSES,
     SIZE,
     USED,
-    WORKS,
     accounted,
     agreed,
     ended,
@@ -30,8 +30,10 @@
 PARTS = [list(range(4)), list(range(4, 8)), list(range(8, 12))]
 
 
-def stage(folder: Path, broadcast: bool) -> Stage:
-    return Stage(folder, WORKS, 6, delay=0.01, gateways=SIZE, fleet=USED, aloud=broadcast)
+def environment(folder: Path, broadcast: bool) -> Environment:
+    return Environment(
+        folder, REQUEST_CLASSES, 6, delay=0.01, gateways=SIZE, fleet=USED, broadcast=broadcast
+    )
 
 
 @pytest.mark.parametrize("broadcast", [False, True], ids=["one by one", "broadcast"])
@@ -41,7 +43,7 @@
 ) -> None:
     """The middle part is heard by one of the others, then by the other, then by none, and again."""
     left, middle, right = PARTS
-    async with stage(tmp_path, broadcast) as on:
+    async with environment(tmp_path, broadcast) as on:
         await until(agreed(on, range(SIZE)))
         before = marks(on, range(SIZE))
         loads = [on.load(part[0]) for part in PARTS]
@@ -68,14 +70,14 @@
 @on_loop
 async def test_a_gateway_with_a_fifth_of_a_core_declares_nobody_faulty(tmp_path: Path) -> None:
     """One of twelve gateways gets a fifth of a core for eight seconds under load."""
-    async with stage(tmp_path, broadcast=False) as on:
+    async with environment(tmp_path, broadcast=False) as on:
         await until(agreed(on, range(SIZE)))
         before = marks(on, range(SIZE))
         await on.ration(0.2, 4)
         load = on.load(0)  # the others', for the slow one cannot keep aims
         await load.open_loop(steady(20.0, 8.0))
         assert {pair for pair in ended(on, range(SIZE), before) if pair[1] != 4} == set()
-        await on.no_ration()
+        await on.end_rations()
         await until(agreed(on, range(SIZE)))
         await accounted(on, load)
 
@@ -85,7 +87,7 @@
     tmp_path: Path,
 ) -> None:
     """Eight of twelve are killed under load where one datagram reaches all, and start again."""
-    async with stage(tmp_path, broadcast=True) as on:
+    async with environment(tmp_path, broadcast=True) as on:
         await until(agreed(on, range(SIZE)))
         left = range(8, SIZE)
         loads = [on.load(number) for number in left]
@@ -94,7 +96,7 @@
             on.gateways[number].kill()
         await until(agreed(on, left))
         await until(lambda: {view(on, n).part for n in left} == {(i, 4) for i in range(4)})  # type: ignore[union-attr]
-        counts = (await on.relay.say(rules=[]))["counts"]
+        counts = (await on.relay.send_command(rules=[]))["counts"]
         assert counts["to all"] > 0
         await asyncio.gather(*running)
         # All at once again, from nothing, while the others serve.
@@ -114,7 +116,7 @@
     tmp_path: Path,
 ) -> None:
     """Where one datagram reaches all: what they hold of it changes, and of nobody else."""
-    async with stage(tmp_path, broadcast=True) as on:
+    async with environment(tmp_path, broadcast=True) as on:
         await until(agreed(on, range(SIZE)))
         before = marks(on, range(SIZE))
         on.gateways[5].kill()
@@ -133,19 +135,19 @@
 @on_loop_within(60.0)
 async def test_a_roster_that_grows_by_reload_one_gateway_after_the_other(tmp_path: Path) -> None:
     """Four know of four, and a fifth starts while only some have read the longer roster."""
-    async with Stage(
-        tmp_path, WORKS, 6, delay=0.01, gateways=5, fleet=USED, aloud=True, later=1
+    async with Environment(
+        tmp_path, REQUEST_CLASSES, 6, delay=0.01, gateways=5, fleet=USED, broadcast=True, later=1
     ) as on:
         longer = {n: on.relay.peers[n] for n in range(5)}
         for n in range(4):
             on.gateways[n].reconfigure(peers=longer[n][:4])
-            on.gateways[n].hang_up()
+            on.gateways[n].reload()
         await until(agreed(on, range(4)))
         loads = [on.load(n) for n in range(4)]
         running = [asyncio.ensure_future(load.open_loop(steady(20.0, 8.0))) for load in loads]
         for n in (0, 1):
             on.gateways[n].reconfigure(peers=longer[n])
-            on.gateways[n].hang_up()
+            on.gateways[n].reload()
         await until(lambda: all(4 in standing(view(on, n)).get("unknown", set()) for n in (0, 1)))  # type: ignore[arg-type]
         await on.start_later()
         # To the others it is a stranger, and what they are told of it is of an unknown member.
@@ -154,7 +156,7 @@
         before = marks(on, range(5))
         for n in (2, 3):
             on.gateways[n].reconfigure(peers=longer[n])
-            on.gateways[n].hang_up()
+            on.gateways[n].reload()
         await until(agreed(on, range(5)))
         assert ended(on, range(5), before) == set()
         await asyncio.gather(*running)
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -16,26 +16,26 @@
 import pytest
 
 from quillroad.membership.report import Report, read_report
-from testbed.account import Work, tally, total
+from testbed.account import RequestClass, count_outcomes, total
+from testbed.environment import Environment
 from testbed.gateway import GatewayProcess, settings
 from testbed.schedule import steady
-from testbed.stage import Stage
 from tests.net import on_loop, until
 from tests.upgrade.quick import FILE
 
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 USED = '[use]\nwindows = true\nhold = "1 s"'
 SIZE = 12
 
 
-def stage(folder: Path, size: int = SIZE, fleet: str = USED) -> Stage:
-    return Stage(folder, WORKS, 6, delay=0.01, gateways=size, fleet=fleet)
+def environment(folder: Path, size: int = SIZE, fleet: str = USED) -> Environment:
+    return Environment(folder, REQUEST_CLASSES, 6, delay=0.01, gateways=size, fleet=fleet)
 
 
-def view(on: Stage, number: int) -> Report | None:
+def view(on: Environment, number: int) -> Report | None:
     try:
         return read_report(on.gateways[number].view_file.read_bytes())
     except (OSError, msgspec.MsgspecError):
@@ -50,7 +50,7 @@
 
 
 def agreed(
-    on: Stage, there: Iterable[int], among: Iterable[int] | None = None
+    on: Environment, there: Iterable[int], among: Iterable[int] | None = None
 ) -> Callable[[], bool]:
     """Whether each of `among` holds just `there` for alive, and nobody for suspect."""
     expected = set(there)
@@ -69,7 +69,7 @@
     return holds
 
 
-def changes(on: Stage, number: int) -> list[dict[str, Any]]:
+def changes(on: Environment, number: int) -> list[dict[str, Any]]:
     """The view's history as the gateway wrote it."""
     try:
         lines = on.gateways[number].changes_file.read_text().splitlines()
@@ -78,7 +78,7 @@
     return [json.loads(line) for line in lines]
 
 
-def ended(on: Stage, numbers: Iterable[int], since: dict[int, int]) -> set[tuple[int, int]]:
+def ended(on: Environment, numbers: Iterable[int], since: dict[int, int]) -> set[tuple[int, int]]:
     """Who of these held whom for gone, after so many lines of its history."""
     return {
         (n, line["member"])
@@ -88,17 +88,17 @@
     }
 
 
-def marks(on: Stage, numbers: Iterable[int]) -> dict[int, int]:
+def marks(on: Environment, numbers: Iterable[int]) -> dict[int, int]:
     return {n: len(changes(on, n)) for n in numbers}
 
 
-async def accounted(on: Stage, *loads: Any) -> None:
+async def accounted(on: Environment, *loads: Any) -> None:
     """Served + refused + failed = sent, by rule, and what hosts received is what was sent."""
     for load in loads:
         await load.settle()
-        whole = total(tally(load.records, WORKS).values())
-        assert whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed
-        assert whole.failed == 0 and whole.in_aim > 0.9 * whole.sent
+        whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
+        assert whole.sent == whole.within_objective + whole.served + whole.rejected + whole.failed
+        assert whole.failed == 0 and whole.within_objective > 0.9 * whole.sent
     assert on.broken(*loads) == []
 
 
@@ -108,7 +108,7 @@
 
     The others divide by four, and by twelve once the rest is back; no request is lost.
     """
-    async with stage(tmp_path) as on:
+    async with environment(tmp_path) as on:
         await until(agreed(on, range(SIZE)))
         left = range(8, SIZE)
         loads = [on.load(number) for number in left]
@@ -133,7 +133,7 @@
 
     Nobody counts as faulty after that, and no request is lost.
     """
-    async with stage(tmp_path) as on:
+    async with environment(tmp_path) as on:
         await until(agreed(on, range(SIZE)))
         one, other = list(range(5)), list(range(5, SIZE))
         load = on.load(0)
@@ -153,7 +153,7 @@
     tmp_path: Path,
 ) -> None:
     """A gateway gets SIGSTOP until all others hold it faulty, then SIGCONT."""
-    async with stage(tmp_path) as on:
+    async with environment(tmp_path) as on:
         await until(agreed(on, range(SIZE)))
         others = set(range(SIZE)) - {4}
         load = on.load(0)
@@ -161,7 +161,7 @@
         on.gateways[4].pause()
         await until(agreed(on, others))
         before = marks(on, range(SIZE))
-        on.gateways[4].go_on()
+        on.gateways[4].resume()
         await until(agreed(on, range(SIZE)))
         await running
         await accounted(on, load)
@@ -178,7 +178,7 @@
 
     It says that it is isolated, declares nobody faulty, and divides by the configured count.
     """
-    async with stage(tmp_path) as on:
+    async with environment(tmp_path) as on:
         await until(agreed(on, range(SIZE)))
         others = set(range(SIZE)) - {3}
         loads = [on.load(number) for number in (0, 3)]  # the one in doubt goes on serving
@@ -198,7 +198,7 @@
 @on_loop
 async def test_lost_doubled_and_late_datagrams_make_nobody_faulty(tmp_path: Path) -> None:
     """30% of datagrams get lost, 30% are doubled and all are up to 50 ms late for six seconds."""
-    async with stage(tmp_path) as on:
+    async with environment(tmp_path) as on:
         await until(agreed(on, range(SIZE)))
         before = marks(on, range(SIZE))
         await on.relay.rule({"loss": 0.3, "doubled": 0.3, "delay_s": 0.002, "jitter_s": 0.05})
@@ -213,12 +213,12 @@
 @on_loop
 async def test_garbage_and_a_flood_cost_their_own_sender_only(tmp_path: Path) -> None:
     """Datagrams of no sense and 200 in one moment come under one member's address."""
-    async with stage(tmp_path, size=4) as on:
+    async with environment(tmp_path, size=4) as on:
         await until(agreed(on, range(4)))
         for data in (b"\x00", b"\xff" * 256, b"\x9f" * 256, b"x" * 300, bytes(256)):
-            await on.relay.say(inject=[1, 0, data.hex()])
+            await on.relay.send_command(inject=[1, 0, data.hex()])
         # In one moment: a flood is more than may come in a second, whatever the machine's pace.
-        await on.relay.say(inject=[1, 0, "00"], times=200)
+        await on.relay.send_command(inject=[1, 0, "00"], times=200)
         await until(lambda: {"malformed", "flood", "too long"} <= view(on, 0).dropped.keys())  # type: ignore[union-attr]
         told = view(on, 0)
         assert told is not None and told.dropped["malformed"] >= 4 and told.dropped["too long"] == 1
@@ -231,7 +231,7 @@
 @on_loop
 async def test_a_gateway_that_ends_by_sigterm_leaves_and_comes_back(tmp_path: Path) -> None:
     """It ends by SIGTERM, so that nobody has to miss it, and comes back as if it had never been."""
-    async with stage(tmp_path, size=4) as on:
+    async with environment(tmp_path, size=4) as on:
         await until(agreed(on, range(4)))
         load = on.load(0)
         running = asyncio.ensure_future(load.open_loop(steady(20.0, 4.0)))
@@ -248,20 +248,20 @@
 
 @on_loop
 async def test_where_talk_is_forbidden_nothing_is_sent(tmp_path: Path) -> None:
-    on = Stage(tmp_path, WORKS, 2, gateways=2, fleet=USED, peers=False)
+    on = Environment(tmp_path, REQUEST_CLASSES, 2, gateways=2, fleet=USED, peers=False)
     async with on:
         load = on.load(0)
         await load.open_loop(steady(20.0, 1.0))
         await accounted(on, load)
-        assert (await on.relay.say(rules=[]))["counts"] == {}
+        assert (await on.relay.send_command(rules=[]))["counts"] == {}
         assert view(on, 0) is None
 
 
 @on_loop
 async def test_an_upgrade_is_one_member_all_along(tmp_path: Path) -> None:
-    async with Stage(
+    async with Environment(
         tmp_path,
-        WORKS,
+        REQUEST_CLASSES,
         6,
         delay=0.01,
         gateways=3,
@@ -271,7 +271,7 @@
         await until(agreed(on, range(3)))
         load = on.load(0)
         running = asyncio.ensure_future(load.open_loop(steady(40.0, 6.0)))
-        assert (await on.gateways[0].say("upgrade"))[-1] == "done"
+        assert (await on.gateways[0].send_command("upgrade"))[-1] == "done"
         await running
         await accounted(on, load)
         await until(agreed(on, range(3)))
@@ -286,10 +286,12 @@
 @on_loop
 async def test_a_second_process_under_one_number_takes_no_part(tmp_path: Path) -> None:
     """By mistake, on one machine: it serves, logs that, and the others' view stays the same."""
-    async with stage(tmp_path, size=3) as on:
+    async with environment(tmp_path, size=3) as on:
         await until(agreed(on, range(3)))
-        twin = GatewayProcess(tmp_path, on.discovery.port, settings(WORKS, peers=True))
-        twin.reconfigure(**{name: on.gateways[1].told(name) for name in ("peer_listen", "peers")})
+        twin = GatewayProcess(tmp_path, on.discovery.port, settings(REQUEST_CLASSES, peers=True))
+        twin.reconfigure(
+            **{name: on.gateways[1].setting(name) for name in ("peer_listen", "peers")}
+        )
         twin.fleet = "[use]\nwindows = true"
         await twin.start()
         load = on.load(0)
--- a/tests/overload/test_event_loop_lag.py
+++ b/tests/overload/test_event_loop_lag.py
@@ -10,15 +10,15 @@
 from hypothesis import strategies as st
 
 from quillroad.overload.event_loop_lag import LATE_S, STALL_S, TICK_S, EventLoopLag
-from testbed.account import Work, tally, total
+from testbed.account import RequestClass, count_outcomes, total
+from testbed.environment import Environment
 from testbed.schedule import steady
-from testbed.stage import Stage
 from tests.net import Message, answer, on_loop, until, world
 from tests.overload.support import stand_still
 
-WORKS = [
-    Work("status-check", 0.58, 0.9, 2.0),
-    Work("seat-checkout", 0.75, 0.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 0.9, 2.0),
+    RequestClass("seat-checkout", 0.75, 0.9, 8.0, keyed=True, body_bytes=200),
 ]
 
 
@@ -129,23 +129,23 @@
 
     What lay in the kernel is judged by its true age, healthy hosts stay in rotation, and service is
     back at once."""
-    async with Stage(tmp_path, WORKS, hosts=6, delay=0.02) as stage:
-        load = stage.load()
+    async with Environment(tmp_path, REQUEST_CLASSES, hosts=6, delay=0.02) as environment:
+        load = environment.load()
         loop = asyncio.get_running_loop()
         stopped: list[float] = []
 
         def pause() -> None:
-            stage.gateway.pause()
+            environment.gateway.pause()
             stopped.append(time.monotonic())
 
         loop.call_later(0.7, pause)
-        loop.call_later(2.7, stage.gateway.go_on)
+        loop.call_later(2.7, environment.gateway.resume)
         await load.open_loop(steady(150, 4.2))
-        whole = total(tally(load.records, WORKS).values())
+        whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
         assert (whole.late, load.unsent) == (0, 0)
-        assert stage.broken(load) == []
+        assert environment.broken(load) == []
         after = [r for r in load.records if r.sent > stopped[0] + 3.0]
         assert len(after) > 30
         assert {r.status for r in after} == {200}
-    assert "eject server" not in stage.log
-    assert "the loop stood still" in stage.log
+    assert "eject server" not in environment.log
+    assert "the loop stood still" in environment.log
--- a/tests/overload/test_overload.py
+++ b/tests/overload/test_overload.py
@@ -10,36 +10,38 @@
 
 import pytest
 
-from testbed.account import Tally, Work, tally, total
+from testbed.account import OutcomeCounts, RequestClass, count_outcomes, total
 from testbed.clients import Load
+from testbed.environment import Environment
 from testbed.ration import ration, used_s
 from testbed.schedule import steady, steps
-from testbed.stage import Stage
 from tests.net import Client, Message, on_loop, serve_ok, told_settings, until, world
 
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 MIX = (0.56, 0.44)
 QUOTAS = [{"name": "greedy", "quota_per_s": 1.0}, {"name": "modest", "quota_per_s": 600.0}]
 SHARE = 0.15  # of a core, so that the clients here can send several times what it serves
 
 
-async def capacity(stage: Stage) -> tuple[float, Load]:
+async def capacity(environment: Environment) -> tuple[float, Load]:
     """Requests a second answered within their objective, and the load that measured it."""
-    load = stage.load(shares=MIX, prefix="w")
+    load = environment.load(weights=MIX, prefix="w")
     await load.closed_loop(64, 1.0)
-    return total(tally(load.records, WORKS).values()).in_aim / 1.0, load
+    return total(
+        count_outcomes(load.records, REQUEST_CLASSES).values()
+    ).within_objective / 1.0, load
 
 
-def account(stage: Stage, load: Load, *others: Load) -> dict[str, Tally]:
+def account(environment: Environment, load: Load, *others: Load) -> dict[str, OutcomeCounts]:
     """What became of all of `load`, with what must hold whatever the load."""
-    rows = tally(load.records, WORKS)
+    rows = count_outcomes(load.records, REQUEST_CLASSES)
     whole = total(rows.values())
     assert (whole.late, whole.unanswered) == (0, 0)
-    assert whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed
-    assert stage.broken(load, *others) == []
+    assert whole.sent == whole.within_objective + whole.served + whole.rejected + whole.failed
+    assert environment.broken(load, *others) == []
     return rows
 
 
@@ -60,14 +62,16 @@
     It used to read everything late and serve a twentieth of it; connections ended with no answer.
     How much is answered within its objective depends on the machine, and `bench.overload` measures
     it: here it must not come to nothing."""
-    async with Stage(tmp_path, WORKS, hosts=9, delay=0.005, sockets=1024) as stage:
-        await stage.ration(SHARE)
-        served, first = await capacity(stage)
-        load = stage.load(shares=MIX, most=900)
+    async with Environment(
+        tmp_path, REQUEST_CLASSES, hosts=9, delay=0.005, sockets=1024
+    ) as environment:
+        await environment.ration(SHARE)
+        served, first = await capacity(environment)
+        load = environment.load(weights=MIX, most=900)
         await load.open_loop(steady(load_of * served, 2.5))
-        rows = account(stage, load, first)
+        rows = account(environment, load, first)
         whole = total(rows.values())
-        assert whole.in_aim + whole.served > 0.1 * 2.5 * served
+        assert whole.within_objective + whole.served > 0.1 * 2.5 * served
 
 
 @pytest.mark.parametrize(
@@ -126,15 +130,17 @@
     """A gateway with 0.15 of a core gets twice what it serves, then as much, then a whole core.
 
     Every request has one answer in time meanwhile, and in the end all are served."""
-    async with Stage(tmp_path, WORKS, hosts=9, delay=0.005, sockets=1024) as stage:
-        await stage.ration(SHARE)
-        served, first = await capacity(stage)
-        load = stage.load(shares=MIX, most=900)
+    async with Environment(
+        tmp_path, REQUEST_CLASSES, hosts=9, delay=0.005, sockets=1024
+    ) as environment:
+        await environment.ration(SHARE)
+        served, first = await capacity(environment)
+        load = environment.load(weights=MIX, most=900)
         sending = asyncio.ensure_future(load.open_loop(steps((2.0 * served, 2.0), (served, 2.0))))
         await until(lambda: len(load.records) > 3.5 * served)
-        await stage.no_ration()
+        await environment.end_rations()
         await sending
-        account(stage, load, first)
+        account(environment, load, first)
         last = [record for record in load.records if record.sent > load.records[-1].sent - 0.5]
         assert {record.status for record in last} == {200}
 
@@ -145,19 +151,21 @@
 
     What hosts can do is still done: two controllers that fought would each reject for the other's
     sake."""
-    async with Stage(tmp_path, WORKS, hosts=9, delay=0.03, sockets=1024) as stage:
-        served, first = await capacity(stage)
-        for host in stage.hosts[:3]:
+    async with Environment(
+        tmp_path, REQUEST_CLASSES, hosts=9, delay=0.03, sockets=1024
+    ) as environment:
+        served, first = await capacity(environment)
+        for host in environment.hosts[:3]:
             host.hangs = True
-        hosts_alone = stage.load(shares=MIX, most=900, prefix="h")
+        hosts_alone = environment.load(weights=MIX, most=900, prefix="h")
         await hosts_alone.open_loop(steady(0.3 * served, 2.0))
-        account(stage, hosts_alone, first)
-        await stage.ration(2 * SHARE)
-        both = stage.load(shares=MIX, most=900, prefix="b")
+        account(environment, hosts_alone, first)
+        await environment.ration(2 * SHARE)
+        both = environment.load(weights=MIX, most=900, prefix="b")
         await both.open_loop(steady(0.5 * served, 2.0))
-        rows = account(stage, both, first, hosts_alone)
-        alone = total(tally(hosts_alone.records, WORKS).values())
-        assert total(rows.values()).in_aim > 0.5 * alone.in_aim
+        rows = account(environment, both, first, hosts_alone)
+        alone = total(count_outcomes(hosts_alone.records, REQUEST_CLASSES).values())
+        assert total(rows.values()).within_objective > 0.5 * alone.within_objective
 
 
 @on_loop
@@ -167,18 +175,27 @@
     The quotas are one request a second, and 600 that the other stays within.
 
     The second one has the larger part of its requests answered within their objective."""
-    async with Stage(
-        tmp_path, WORKS, hosts=9, delay=0.005, sockets=1024, orgs=QUOTAS, over_share_worth=0.05
-    ) as stage:
-        await stage.ration(SHARE)
-        served, first = await capacity(stage)
-        greedy = stage.load(shares=MIX, most=400, tenants=("greedy",), prefix="g")
-        modest = stage.load(shares=MIX, most=400, tenants=("modest",), prefix="m")
+    async with Environment(
+        tmp_path,
+        REQUEST_CLASSES,
+        hosts=9,
+        delay=0.005,
+        sockets=1024,
+        orgs=QUOTAS,
+        over_share_worth=0.05,
+    ) as environment:
+        await environment.ration(SHARE)
+        served, first = await capacity(environment)
+        greedy = environment.load(weights=MIX, most=400, tenants=("greedy",), prefix="g")
+        modest = environment.load(weights=MIX, most=400, tenants=("modest",), prefix="m")
         await asyncio.gather(
             greedy.open_loop(steady(1.5 * served, 2.5)), modest.open_loop(steady(0.2 * served, 2.5))
         )
-        rows = [total(tally(load.records, WORKS).values()) for load in (greedy, modest)]
+        rows = [
+            total(count_outcomes(load.records, REQUEST_CLASSES).values())
+            for load in (greedy, modest)
+        ]
         assert all((row.late, row.unanswered) == (0, 0) for row in rows)
-        greedy_part, modest_part = (row.in_aim / row.sent for row in rows)
+        greedy_part, modest_part = (row.within_objective / row.sent for row in rows)
         assert modest_part > 1.5 * greedy_part
-        assert stage.broken(greedy, modest, first) == []
+        assert environment.broken(greedy, modest, first) == []
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from testbed.account import Work, tally, total
+from testbed.account import RequestClass, count_outcomes, total
+from testbed.environment import Environment
 from testbed.gateway import ROOT
 from testbed.schedule import steady
-from testbed.stage import Stage
 from tests.net import on_loop, until
 
 COMPILED = ROOT / "build" / "compiled"
@@ -48,31 +48,31 @@
 @pytest.mark.skipif(not COMPILED.exists(), reason="scripts/build was not run")
 @on_loop
 async def test_workers_of_an_upgrade_are_compiled_like_their_keeper(tmp_path: Path) -> None:
-    works = [
-        Work("status-check", 0.58, 1.4),
-        Work("seat-checkout", 0.75, 1.9, keyed=True, body=200),
+    request_classes = [
+        RequestClass("status-check", 0.58, 1.4),
+        RequestClass("seat-checkout", 0.75, 1.9, keyed=True, body_bytes=200),
     ]
     upgrades = '[canary]\ntime = "300 ms"\n[times]\nstart = "5 s"'
     (library,) = COMPILED.glob("*__mypyc*.so")
-    async with Stage(
-        tmp_path, works, hosts=4, delay=0.01, upgrades=upgrades, tree=COMPILED
-    ) as stage:
-        load = stage.load(shares=(3, 1), most=200)
+    async with Environment(
+        tmp_path, request_classes, hosts=4, delay=0.01, upgrades=upgrades, tree=COMPILED
+    ) as environment:
+        load = environment.load(weights=(3, 1), most=200)
         sending = asyncio.ensure_future(load.open_loop(steady(150.0, 60.0)))
         await until(lambda: len(load.records) > 30)
-        assert (await stage.gateway.say("upgrade"))[-1] == "done"
+        assert (await environment.gateway.send_command("upgrade"))[-1] == "done"
         count = len(load.records)
         await until(lambda: len(load.records) > count + 60)
-        for pid in stage.gateway.processes():
-            if pid != stage.gateway.pid:
+        for pid in environment.gateway.processes():
+            if pid != environment.gateway.pid:
                 # One library holds the code of all compiled modules; each module's own file only
                 # leads to it, and is loaded only where plain Python imports that module first.
                 assert str(library) in Path(f"/proc/{pid}/maps").read_text()
         sending.cancel()
         await load.settle()
-        whole = total(tally(load.records, works).values())
-        assert whole.sent == whole.in_aim + whole.served + whole.refused
-        assert stage.broken(load) == [] and load.refused_connects == 0
+        whole = total(count_outcomes(load.records, request_classes).values())
+        assert whole.sent == whole.within_objective + whole.served + whole.rejected
+        assert environment.broken(load) == [] and load.refused_connects == 0
 
 
 def test_streams_differ_by_their_seed() -> None:
--- a/tests/testbed/test_account.py
+++ b/tests/testbed/test_account.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-from testbed.account import Drain, Receipt, Record, Work, broken_rules, tally
+from testbed.account import Drain, Receipt, Record, RequestClass, broken_rules, count_outcomes
 
-WORK = Work("status-check", 0.5, 1.0, 2.0)
+REQUEST_CLASS = RequestClass("status-check", 0.5, 1.0, 2.0)
 
 
 def record(name: str, status: int, took: float = 0.1) -> Record:
-    return Record(name, 0, 5.0, WORK.deadline, done=5.0 + took if status else 0.0, status=status)
+    return Record(
+        name, 0, 5.0, REQUEST_CLASS.deadline, done=5.0 + took if status else 0.0, status=status
+    )
 
 
 def test_every_request_is_in_one_column() -> None:
@@ -20,25 +22,33 @@
         record("e", 504),
         record("f", 0),
     ]
-    row = tally(records, [WORK])["status-check"]
-    assert (row.in_aim, row.served, row.late, row.refused, row.failed, row.unanswered) == (1,) * 6
+    row = count_outcomes(records, [REQUEST_CLASS])["status-check"]
+    assert (
+        row.within_objective,
+        row.served,
+        row.late,
+        row.rejected,
+        row.failed,
+        row.unanswered,
+    ) == (1,) * 6
     assert row.adds_up()
-    assert row.worth == 2.0
+    assert row.value == 2.0
 
 
 def test_what_no_gateway_may_do_is_found() -> None:
     good = [record("a", 200), record("b", 503)]
-    assert broken_rules(good, [Receipt("a", "s-1", 5.0)], [WORK]) == []
-    assert "received by no host" in broken_rules(good, [], [WORK])[0]
+    assert broken_rules(good, [Receipt("a", "s-1", 5.0)], [REQUEST_CLASS]) == []
+    assert "received by no host" in broken_rules(good, [], [REQUEST_CLASS])[0]
     assert (
-        "asked for by nobody" in broken_rules(good, [Receipt(n, "s", 5.0) for n in "ax"], [WORK])[0]
+        "asked for by nobody"
+        in broken_rules(good, [Receipt(n, "s", 5.0) for n in "ax"], [REQUEST_CLASS])[0]
     )
-    assert "sent 5 times" in broken_rules(good, [Receipt("a", "s", 5.0)] * 5, [WORK])[0]
+    assert "sent 5 times" in broken_rules(good, [Receipt("a", "s", 5.0)] * 5, [REQUEST_CLASS])[0]
     assert (
         "after its deadline"
-        in broken_rules([record("a", 200, 1.2)], [Receipt("a", "s", 5.0)], [WORK])[0]
+        in broken_rules([record("a", 200, 1.2)], [Receipt("a", "s", 5.0)], [REQUEST_CLASS])[0]
     )
-    seats = [Work("seat-checkout", 0.5, 1.0, keyed=True)]
+    seats = [RequestClass("seat-checkout", 0.5, 1.0, keyed=True)]
     copies = [Receipt("a", "s", 5.0, "k"), Receipt("a", "t", 11.1, "k")]
     assert "6.1 s after" in broken_rules(good, copies, seats)[0]
     assert broken_rules(good, copies[:1], seats) == []
@@ -47,5 +57,8 @@
     )
     drains = [Drain("s", 4.0, 5.2), Drain("s", 6.0)]
     for at, wrong in ((4.4, False), (4.6, True), (5.3, False), (6.4, False), (6.6, True)):
-        assert bool(broken_rules(good, [Receipt("a", "s", at)], [WORK], drains=drains)) is wrong
-    assert "an id twice" in broken_rules([record("a", 503)] * 2, [], [WORK])[0]
+        assert (
+            bool(broken_rules(good, [Receipt("a", "s", at)], [REQUEST_CLASS], drains=drains))
+            is wrong
+        )
+    assert "an id twice" in broken_rules([record("a", 503)] * 2, [], [REQUEST_CLASS])[0]
--- a/tests/upgrade/test_sibling_handover.py
+++ b/tests/upgrade/test_sibling_handover.py
@@ -36,13 +36,13 @@
     WorkerState,
 )
 from quillroad.upgrade.worker_state import Step as WorkerStep
-from testbed.account import Record, Work, broken_rules, tally, total
-from testbed.beside import BesideGateway
+from testbed.account import Record, RequestClass, broken_rules, count_outcomes, total
 from testbed.builds import Builds
 from testbed.clients import Load
 from testbed.gateway import settings
 from testbed.hosts import Discovery, Host
 from testbed.schedule import steady
+from testbed.sibling import SiblingGateway
 from tests.net import on_loop, until
 
 
@@ -219,26 +219,26 @@
 
 
 RATE = 150.0  # requests a second
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 
 
 @dataclass
 class Scene:
-    gateway: BesideGateway
+    gateway: SiblingGateway
     hosts: list[Host]
     builds: Builds
 
     def load(self) -> Load:
-        return Load(self.gateway.address, WORKS, (3, 1), prefix="g-", most=200)
+        return Load(self.gateway.address, REQUEST_CLASSES, (3, 1), prefix="g-", most=200)
 
     def lost_with(self, load: Load, ends: list[float], gap: float = 0.0) -> list[Record]:
         """The requests without an answer that processes took along which ended then: what each had open, and
         that is no more than came in the longest time that any answer took (a busy machine has more open), and
         what came in the `gap` in seconds after it in which nobody served."""
-        patience = max(work.deadline for work in WORKS)
+        patience = max(request_class.deadline for request_class in REQUEST_CLASSES)
         took = max((record.took for record in load.records if record.done), default=0.0)
         lost = [
             r
@@ -249,16 +249,20 @@
         return lost
 
     def accounted(self, load: Load, ends: list[float] | None = None, lost: int = 0) -> None:
-        whole = total(tally(load.records, WORKS).values())
+        whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
         assert (
             whole.sent
-            == whole.in_aim + whole.served + whole.refused + whole.failed + whole.unanswered
+            == whole.within_objective
+            + whole.served
+            + whole.rejected
+            + whole.failed
+            + whole.unanswered
         )
         assert (whole.late, whole.failed) == (0, 0)
-        assert whole.refused <= 0.05 * whole.sent
+        assert whole.rejected <= 0.05 * whole.sent
         assert whole.unanswered <= (lost if ends is None else len(self.lost_with(load, ends)))
         receipts = [receipt for host in self.hosts for receipt in host.receipts]
-        assert broken_rules(load.records, receipts, WORKS, drains=[]) == []
+        assert broken_rules(load.records, receipts, REQUEST_CLASSES, drains=[]) == []
         assert load.refused_connects == 0
 
 
@@ -267,7 +271,7 @@
     hosts = [await Host(f"s-{i}", 0.03, "room").start() for i in range(4)]
     discovery = await Discovery(hosts).start()
     builds = Builds(folder / "build")
-    gateway = BesideGateway(folder, discovery.port, settings(WORKS), 512)
+    gateway = SiblingGateway(folder, discovery.port, settings(REQUEST_CLASSES), 512)
     gateway.path = builds.folder
     await gateway.start()
     try:
@@ -301,7 +305,7 @@
         here.accounted(load)
         assert here.gateway.ended == [0, 0, 0, 0]
         # Clients kept their connections: none had to connect anew.
-        assert not any(record.again for record in load.records)
+        assert not any(record.resent for record in load.records)
         assert here.gateway.process is not None
         modes = [
             path.stat().st_mode & 0o777
@@ -336,7 +340,7 @@
                 for kind in kinds:
                     here.builds.mark_new()
                     here.builds.fault("new", kind)
-                    process, admin = await here.gateway.newcomer()
+                    process, admin = await here.gateway.start_sibling()
                     await process.wait()
                     ends.append(time.monotonic())
                     here.builds.no_fault()
@@ -361,12 +365,12 @@
                 assert old is not None
                 here.builds.fault(old.pid, kind)
                 ended = asyncio.ensure_future(end_of(old))
-                process, admin = await here.gateway.newcomer()
-                assert await here.gateway.yes(process, admin)
+                process, admin = await here.gateway.start_sibling()
+                assert await here.gateway.wait_until_ready(process, admin)
                 serves = time.monotonic()
                 here.gateway.process, here.gateway.admin = process, admin
                 end = await ended
-            whole = total(tally(load.records, WORKS).values())
+            whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
             assert (whole.late, whole.failed) == (0, 0)
             assert whole.unanswered <= len(here.lost_with(load, [end], max(0.0, serves - end)))
 
@@ -379,8 +383,8 @@
         old = here.gateway.process
         assert old is not None
         os.kill(old.pid, signal.SIGSTOP)
-        process, admin = await here.gateway.newcomer()
-        assert await here.gateway.yes(process, admin)
+        process, admin = await here.gateway.start_sibling()
+        assert await here.gateway.wait_until_ready(process, admin)
         old.kill()
         await old.wait()
         here.gateway.process, here.gateway.admin = process, admin
@@ -399,8 +403,8 @@
         assert sum(len(host.receipts) for host in here.hosts) > sum(counts)
         old, before = gateway.process, gateway.admin
         assert old is not None
-        process, admin = await gateway.newcomer()
-        assert await gateway.yes(process, admin)
+        process, admin = await gateway.start_sibling()
+        assert await gateway.wait_until_ready(process, admin)
         assert (
             await gateway.call("POST", "/hosts/s-1/maint", before) == 200
         )  # at the one that stands by
@@ -429,8 +433,8 @@
     async def play() -> None:
         async with scene(tmp_path) as here:
             here.builds.put(broken)
-            process, admin = await here.gateway.newcomer()
-            assert not await here.gateway.yes(process, admin)
+            process, admin = await here.gateway.start_sibling()
+            assert not await here.gateway.wait_until_ready(process, admin)
             assert await process.wait() != 0
             load = here.load()
             await load.open_loop(steady(100.0, 0.3))
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -14,17 +14,17 @@
 
 from quillroad.cli.main import main
 from quillroad.zones.report import Report, read_report
-from testbed.account import Tally, Work, tally, total
+from testbed.account import OutcomeCounts, RequestClass, count_outcomes, total
 from testbed.clients import Load
+from testbed.environment import Environment
 from testbed.gateway import ROOT
 from testbed.hosts import Host
 from testbed.schedule import steady
-from testbed.stage import Stage
 from tests.net import on_loop, until
 
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 FILE = """
 [budget]
@@ -49,9 +49,9 @@
         self.file = folder / "report.json"
         self.budget = folder / "0" / "zones.toml"
         self.text = text.format(report=self.file)
-        self.stage = Stage(
+        self.environment = Environment(
             folder,
-            WORKS,
+            REQUEST_CLASSES,
             hosts=8,
             delay=0.02,
             zones=("east", "west"),
@@ -60,7 +60,7 @@
         )
 
     def hosts(self, zone: str) -> list[Host]:
-        return [host for host in self.stage.hosts if host.zone == zone]
+        return [host for host in self.environment.hosts if host.zone == zone]
 
     def received(self, zone: str) -> int:
         return sum(len(host.receipts) for host in self.hosts(zone))
@@ -71,10 +71,12 @@
         await until(lambda: self.file.exists() and read_report(self.file.read_bytes()).at > now)
         return read_report(self.file.read_bytes())
 
-    async def send(self, load: Load, seconds: float, rate: float = 150.0) -> dict[str, Tally]:
+    async def send(
+        self, load: Load, seconds: float, rate: float = 150.0
+    ) -> dict[str, OutcomeCounts]:
         before = len(load.records)
         await load.open_loop(steady(rate, seconds))
-        return tally(load.records[before:], WORKS)
+        return count_outcomes(load.records[before:], REQUEST_CLASSES)
 
 
 def check_totals(zones: TwoZones, told: Report) -> None:
@@ -95,9 +97,9 @@
 
 
 def check_accounted(zones: TwoZones, load: Load) -> None:
-    whole = total(tally(load.records, WORKS).values())
-    assert whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed
-    assert (whole.late, whole.unanswered) == (0, 0) and zones.stage.broken(load) == []
+    whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
+    assert whole.sent == whole.within_objective + whole.served + whole.rejected + whole.failed
+    assert (whole.late, whole.unanswered) == (0, 0) and zones.environment.broken(load) == []
 
 
 @pytest.mark.parametrize("how", ["hangs", "refuses connects", "drains"])
@@ -112,8 +114,8 @@
     the hosts.
     """
     zones = TwoZones(tmp_path)
-    async with zones.stage as stage:
-        load = stage.load(shares=(3, 1))
+    async with zones.environment as environment:
+        load = environment.load(weights=(3, 1))
         west = -1
         while zones.received("west") != west:  # a well zone with room is not left
             west = zones.received("west")
@@ -123,7 +125,7 @@
             if how == "hangs":
                 host.hangs = True
             elif how == "drains":
-                cut = stage.tell(host, lifecycle="draining")
+                cut = environment.tell(host, lifecycle="draining")
             else:
                 host.stop()
         rows = await zones.send(load, 3.0)
@@ -131,15 +133,18 @@
         status, checkout = told.classes
         assert told.local_zone_lost and told.local_zone == "east"
         # Most of the checkouts went past the budget; the others were held to it and refused.
-        assert rows["seat-checkout"].in_aim > 0.8 * rows["seat-checkout"].sent and checkout.past > 0
-        assert status.past == 0 and 0 < status.refused <= rows["status-check"].refused
-        assert rows["status-check"].refused > 0.5 * rows["status-check"].sent
+        assert (
+            rows["seat-checkout"].within_objective > 0.8 * rows["seat-checkout"].sent
+            and checkout.past > 0
+        )
+        assert status.past == 0 and 0 < status.refused <= rows["status-check"].rejected
+        assert rows["status-check"].rejected > 0.5 * rows["status-check"].sent
         if how == "drains":
             assert not [
                 r for host in zones.hosts("east") for r in host.receipts if r.at > cut + 0.5
             ]
             for host in zones.hosts("east"):
-                stage.tell(host, lifecycle="up")
+                environment.tell(host, lifecycle="up")
         for host in zones.hosts("east"):
             host.hangs = False
             if how == "refuses connects":
@@ -148,12 +153,12 @@
             await zones.send(load, 0.3)
         west = zones.received("west")
         rows = await zones.send(load, 1.0)
-        assert rows["status-check"].in_aim > 0.9 * rows["status-check"].sent
+        assert rows["status-check"].within_objective > 0.9 * rows["status-check"].sent
         assert zones.received("west") - west <= 0.2 * total(rows.values()).sent
         check_accounted(zones, load)
         check_totals(zones, await zones.report())
     for line in ("zone lost", "zone budget passed", "zone regained"):
-        assert line in stage.log
+        assert line in environment.log
 
 
 @on_loop
@@ -165,24 +170,24 @@
     The bad file changes nothing and is said in the log. After the good one no request is rejected.
     """
     zones = TwoZones(tmp_path)
-    async with zones.stage as stage:
+    async with zones.environment as environment:
         for host in zones.hosts("east"):
-            stage.tell(host, lifecycle="draining")
-        load = stage.load(shares=(1, 0))
+            environment.tell(host, lifecycle="draining")
+        load = environment.load(weights=(1, 0))
         rows = await zones.send(load, 0.5)
-        assert rows["status-check"].refused > 0
+        assert rows["status-check"].rejected > 0
         zones.budget.write_text("[budget]\nshare = 2.0")
-        os.kill(stage.gateway.pid, signal.SIGHUP)
+        os.kill(environment.gateway.pid, signal.SIGHUP)
         for _ in range(2):
             assert (await zones.report()).share == 0.05
         zones.budget.write_text(zones.text.replace("0.05", "1.0").replace("keep = 0.5", ""))
-        os.kill(stage.gateway.pid, signal.SIGHUP)
+        os.kill(environment.gateway.pid, signal.SIGHUP)
         while (await zones.report()).classes[0].reserve:
             await asyncio.sleep(0)
         rows = await zones.send(load, 0.5)
-        assert rows["status-check"].in_aim == rows["status-check"].sent
+        assert rows["status-check"].within_objective == rows["status-check"].sent
         check_accounted(zones, load)
-    assert "the old configuration stands: zones.toml: budget.share" in stage.log
+    assert "the old configuration stands: zones.toml: budget.share" in environment.log
 
 
 @on_loop
@@ -191,15 +196,17 @@
     zones = TwoZones(tmp_path, text=FILE.replace("{report}", "{report}.d/r"))
     folder = Path(f"{zones.file}.d")
     folder.mkdir()
-    async with zones.stage as stage:
-        load = stage.load(shares=(1, 0))
+    async with zones.environment as environment:
+        load = environment.load(weights=(1, 0))
         await zones.send(load, 0.3)
         folder.rename(tmp_path / "away")
         rows = await zones.send(load, 0.6)
-        assert rows["status-check"].in_aim == rows["status-check"].sent
+        assert rows["status-check"].within_objective == rows["status-check"].sent
         folder.mkdir()
         await until((folder / "r").exists)
-    assert stage.log.count("cannot be written") == stage.log.count("is written again") == 1
+    assert (
+        environment.log.count("cannot be written") == environment.log.count("is written again") == 1
+    )
 
 
 @on_loop
@@ -210,13 +217,13 @@
     """
     upgrades = '[canary]\ntime = "300 ms"\n[times]\nstart = "5 s"'
     zones = TwoZones(tmp_path, upgrades, FILE.replace("2 s", "600 s", 1))
-    async with zones.stage as stage:
+    async with zones.environment as environment:
         for host in zones.hosts("east"):
-            stage.tell(host, lifecycle="draining")
-        load = stage.load(shares=(0, 1))
+            environment.tell(host, lifecycle="draining")
+        load = environment.load(weights=(0, 1))
         await zones.send(load, 0.5)
         before = await zones.report()
-        assert (await stage.gateway.say("upgrade"))[-1] == "done"
+        assert (await environment.gateway.send_command("upgrade"))[-1] == "done"
         after = await zones.report()
         assert after.since > before.since and after.budget_used == pytest.approx(
             before.budget_used, rel=0.1
