--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,133 +1,201 @@
-"""What a gateway on one core makes of more work than it has time for: `python -m bench.overload`.
+"""How a gateway on one core behaves under more load than it can serve: `python -m bench.overload`.
+
+First finds the core's capacity with closed-loop clients. Then offers parts and multiples of it
+open-loop, a step from 0.2 to 3 times, and a square wave of 3 and 0.3 times a second long each.
+Prints a row a load: answers within their latency objective weighted by priority, late answers, how
+fast rejections are, and the part of the CPU time that did not go into answers.
 
-Finds the core's capacity with closed-loop clients, then offers parts and multiples of it open-loop, a step
-from 0.2 to 3 times, and a square wave of 3 and 0.3 times a second long each: worth answered within the aim,
-how fast refusals are, what was late, and the part of the CPU time that did not go into what was served.
 `--ration` holds the gateway to a part of its core. Needs four cores; about a minute and a half.
 """
 
 from __future__ import annotations
 
 import argparse
-import os
 import sys
-import tempfile
+from collections.abc import Sequence
+from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 import uvloop
 
+from bench.local_gateway import STATUS_CHECK, Cores, gateway_with_hosts, seat_checkout
 from bench.picture import lines
-from testbed.account import Work, percentile, total
-from testbed.gateway import GatewayProcess, settings
-from testbed.processes import HostsProcess, hold, run_load
-
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
-]
-SHARES = [0.56, 0.44]
-LOADS = (0.9, 1.0, 1.1, 1.5, 2.0, 3.0, 5.0)
+from bench.tables import p50_and_p99_ms, print_header, print_row
+from testbed.account import Tally, total
+from testbed.gateway import GatewayProcess
+from testbed.processes import Result, run_load
+
+CLASSES = [STATUS_CHECK, seat_checkout()]
+CLASS_SHARES = [0.56, 0.44]  # of the requests
+MULTIPLES = (0.9, 1.0, 1.1, 1.5, 2.0, 3.0, 5.0)  # of the capacity
+# Loads that change: parts of (multiple of the capacity, seconds).
 SHAPES = {"step": ((0.2, 1.0), (3.0, 3.0)), "square": ((3.0, 1.0), (0.3, 1.0)) * 3}
+CLOSED_LOOP_CONNECTIONS = 64  # of all clients together, while the capacity is measured
+WARM_UP_S = 2.0
+MAX_CONNECTIONS = 1500  # that each process of clients opens
+REPORTED_LAG_S = 0.05  # clients that sent later than this did not offer the load of their row
+COLUMNS = (
+    "load",
+    "sent/s",
+    "worth/s",
+    "of offered",
+    "in aim",
+    "after it",
+    "late",
+    "refused",
+    "failed",
+    "none",
+    "p50 / p99 ms",
+    "refused p50 / p99 ms",
+    "CPU, part not for served",
+)
+
+
+@dataclass(frozen=True, slots=True)
+class Capacity:
+    """What the gateway's core can do under closed-loop clients."""
+
+    rate: float  # requests a second answered within their latency objective
+    cpu_s: float  # CPU time of one of them
+
+
+@dataclass(frozen=True, slots=True)
+class Measurement:
+    """One load on the gateway: what became of its requests in `seconds`."""
+
+    result: Result
+    seconds: float
+    gateway_cpu_s: float
+
+    @property
+    def counts(self) -> Tally:
+        """Requests of all classes by what became of them."""
+        return total(self.result.rows.values())
 
+    @property
+    def weight_per_s(self) -> float:
+        """Answers within their objective a second, each counted with its class's priority weight."""
+        return self.counts.worth / self.seconds
 
-async def measure(
-    seconds: float, cores: list[int], delay: float, loads: list[float], share: float, sockets: int
-) -> list[float]:
-    """The worth a second at each of `loads`."""
-    gateway_core, host_core, *client_cores = cores
-    hosts = await HostsProcess(12, delay, core=host_core).start()
-    with tempfile.TemporaryDirectory() as folder:
-        gateway = GatewayProcess(
-            Path(folder), hosts.discovery_port, settings(WORKS), sockets, gateway_core, share
+    @property
+    def weight_offered(self) -> float:
+        """Requests sent, each counted with its class's priority weight."""
+        return sum(self.result.rows[work.name].sent * work.worth for work in CLASSES)
+
+    def cpu_not_served(self, capacity: Capacity) -> float:
+        """Part (0 to 1) of the CPU time that did not go into answers before the deadline."""
+        served = self.counts.in_aim + self.counts.served
+        return max(0.0, 1.0 - served * capacity.cpu_s / self.gateway_cpu_s)
+
+
+@dataclass(frozen=True, slots=True)
+class Clients:
+    """Processes of clients that put one load after another on a gateway."""
+
+    gateway: GatewayProcess
+    cores: Sequence[int]
+
+    async def run(self, kind: str, seconds: float, **options: Any) -> Measurement:
+        """Run a load of this kind for so long; `options` are those of `run_load`."""
+        before_s = self.gateway.cpu_s()
+        result = await run_load(
+            self.gateway.address, CLASSES, CLASS_SHARES, self.cores, kind, seconds, **options
         )
-        await gateway.start()
-        rationing = await hold(gateway.pid, share, host_core) if share < 1.0 else None
-        try:
-            await run_load(
-                gateway.address, WORKS, SHARES, client_cores, "closed", 2.0, connections=64
-            )
-            before = gateway.cpu_s()
-            closed = await run_load(
-                gateway.address, WORKS, SHARES, client_cores, "closed", seconds, connections=64
-            )
-            whole = total(closed.rows.values())
-            capacity = whole.in_aim / seconds
-            cpu_s = (gateway.cpu_s() - before) / max(1, whole.in_aim)
-            print(f"capacity {capacity:.0f} requests/s, {cpu_s * 1e6:.0f} us of CPU a request\n")
-            print(
-                "| load | sent/s | worth/s | of offered | in aim | after it | late | refused | failed "
-                "| none | p50 / p99 ms | refused p50 / p99 ms | CPU, part not for served |"
-            )
-            print("| --- " * 13 + "|")
-            worths = []
-            cases: list[float | str] = [*loads, *SHAPES]
-            for load in cases:
-                before = gateway.cpu_s()
-                if isinstance(load, str):
-                    parts = [(rate * capacity, length) for rate, length in SHAPES[load]]
-                    length = sum(part[1] for part in parts)
-                    result = await run_load(
-                        gateway.address,
-                        WORKS,
-                        SHARES,
-                        client_cores,
-                        "steps",
-                        0.0,
-                        parts=parts,
-                        most=1500,
-                    )
-                else:
-                    length = seconds
-                    result = await run_load(
-                        gateway.address,
-                        WORKS,
-                        SHARES,
-                        client_cores,
-                        "open",
-                        seconds,
-                        rate=load * capacity,
-                        most=1500,
-                    )
-                whole = total(result.rows.values())
-                offered = sum(result.rows[work.name].sent * work.worth for work in WORKS)
-                used = gateway.cpu_s() - before
-                idle = 1.0 - (whole.in_aim + whole.served) * cpu_s / used
-                if not isinstance(load, str):
-                    worths.append(whole.worth / seconds)
-                took, waits = whole.took, whole.refusal_took
-                print(
-                    f"| {load} | {whole.sent / length:.0f} | {whole.worth / length:.0f} "
-                    f"| {whole.worth / max(1.0, offered):.2f} | {whole.in_aim} | {whole.served} "
-                    f"| {whole.late} | {whole.refused} | {whole.failed} | {whole.unanswered} "
-                    f"| {percentile(took, 0.5) * 1e3:.0f} / {percentile(took, 0.99) * 1e3:.0f} "
-                    f"| {percentile(waits, 0.5) * 1e3:.1f} / {percentile(waits, 0.99) * 1e3:.1f} "
-                    f"| {used / length:.2f}, {max(0.0, idle):.2f} |"
-                    + (f" and {result.unsent} not sent" if result.unsent else "")
-                    + (f" (clients {result.lag * 1e3:.0f} ms late)" if result.lag > 0.05 else ""),
-                    flush=True,
-                )
-            return worths
-        finally:
-            await gateway.stop()
-            if rationing is not None:
-                await rationing.wait()
-            await hosts.stop()
+        return Measurement(result, seconds, self.gateway.cpu_s() - before_s)
 
+    async def find_capacity(self, seconds: float) -> Capacity:
+        """Measure the capacity for so long, after a warm-up."""
+        await self.run("closed", WARM_UP_S, connections=CLOSED_LOOP_CONNECTIONS)
+        closed = await self.run("closed", seconds, connections=CLOSED_LOOP_CONNECTIONS)
+        in_time = closed.counts.in_aim
+        return Capacity(in_time / seconds, closed.gateway_cpu_s / max(1, in_time))
 
-def main() -> int:
+    async def offer_steady(self, rate: float, seconds: float) -> Measurement:
+        """Offer so many requests a second, at random times."""
+        return await self.run("open", seconds, rate=rate, most=MAX_CONNECTIONS)
+
+    async def offer_shape(
+        self, parts: Sequence[tuple[float, float]], capacity: Capacity
+    ) -> Measurement:
+        """Offer one steady rate after another: parts of (multiple of the capacity, seconds)."""
+        rates = [(multiple * capacity.rate, length_s) for multiple, length_s in parts]
+        seconds = sum(length_s for _, length_s in parts)
+        return await self.run("steps", seconds, parts=rates, most=MAX_CONNECTIONS)
+
+
+def print_measurement(load: str, measured: Measurement, capacity: Capacity) -> None:
+    """Print the row of one load, with a remark where the clients did not offer all of it."""
+    counts, seconds = measured.counts, measured.seconds
+    cpu_cores = measured.gateway_cpu_s / seconds
+    cells = (
+        load,
+        f"{counts.sent / seconds:.0f}",
+        f"{measured.weight_per_s:.0f}",
+        f"{counts.worth / max(1.0, measured.weight_offered):.2f}",
+        str(counts.in_aim),
+        str(counts.served),
+        str(counts.late),
+        str(counts.refused),
+        str(counts.failed),
+        str(counts.unanswered),
+        p50_and_p99_ms(counts.took),
+        p50_and_p99_ms(counts.refusal_took, digits=1),
+        f"{cpu_cores:.2f}, {measured.cpu_not_served(capacity):.2f}",
+    )
+    print_row(*cells, remark=_remark(measured.result))
+
+
+def _remark(result: Result) -> str:
+    """What the clients could not send, or sent late; empty where there is nothing to say."""
+    unsent = f" and {result.unsent} not sent" if result.unsent else ""
+    late = f" (clients {result.lag * 1e3:.0f} ms late)" if result.lag > REPORTED_LAG_S else ""
+    return unsent + late
+
+
+async def measure(clients: Clients, seconds: float, multiples: Sequence[float]) -> list[float]:
+    """Put each multiple of the capacity on the gateway for `seconds`, then each shape.
+
+    Prints a row each; returns the weight a second of each multiple.
+    """
+    capacity = await clients.find_capacity(seconds)
+    print(
+        f"capacity {capacity.rate:.0f} requests/s, {capacity.cpu_s * 1e6:.0f} us of CPU a request\n"
+    )
+    print_header(*COLUMNS)
+    weights_per_s = []
+    for multiple in multiples:
+        measured = await clients.offer_steady(multiple * capacity.rate, seconds)
+        print_measurement(str(multiple), measured, capacity)
+        weights_per_s.append(measured.weight_per_s)
+    for name, parts in SHAPES.items():
+        print_measurement(name, await clients.offer_shape(parts, capacity), capacity)
+    return weights_per_s
+
+
+async def run(options: argparse.Namespace, cores: Cores, multiples: Sequence[float]) -> list[float]:
+    """Start hosts and gateway as the command line says, and measure."""
+    async with gateway_with_hosts(
+        CLASSES,
+        cores,
+        host_delay_s=options.delay,
+        descriptors=options.sockets,
+        cpu_fraction=options.ration,
+    ) as gateway:
+        return await measure(Clients(gateway, cores.clients), options.seconds, multiples)
+
+
+def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "--seconds", type=float, default=6.0, help="length of each load (default 6)"
     )
-    have = sorted(os.sched_getaffinity(0))
-    parser.add_argument(
-        "--cores", default=",".join(map(str, have[-4:])), help="gateway, hosts, clients ..."
-    )
+    Cores.add_option(parser, 4, "gateway, hosts, clients ...")
     parser.add_argument(
         "--delay", type=float, default=0.0, help="of the hosts' answers, seconds (default 0)"
     )
     parser.add_argument(
-        "--loads", default=",".join(map(str, LOADS)), help="multiples of the capacity"
+        "--loads", default=",".join(map(str, MULTIPLES)), help="multiples of the capacity"
     )
     parser.add_argument("--ration", type=float, default=1.0, help="part of the core (default 1)")
     parser.add_argument(
@@ -135,21 +203,27 @@
     )
     parser.add_argument("--svg", help="file to draw the worth into")
     parser.add_argument("--name", default="now", help="of this run in the picture")
-    told = parser.parse_args()
-    cores = [int(core) for core in told.cores.split(",")]
-    if len(cores) < 3:
+    return parser
+
+
+def main() -> int:
+    """Run by the command line; returns the exit status, 2 for wrong options."""
+    options = _parser().parse_args()
+    try:
+        cores = Cores.parse(options.cores)
+    except ValueError:
         print("bench.overload: --cores: needs at least three")
         return 2
-    loads = [float(load) for load in told.loads.split(",")]
-    worths = uvloop.run(measure(told.seconds, cores, told.delay, loads, told.ration, told.sockets))
-    if told.svg:
+    multiples = [float(multiple) for multiple in options.loads.split(",")]
+    weights_per_s = uvloop.run(run(options, cores, multiples))
+    if options.svg:
         lines(
-            Path(told.svg),
+            Path(options.svg),
             "Worth answered within the aim",
             "offered load, multiples of the capacity",
             "worth a second",
-            loads,
-            {told.name: worths},
+            multiples,
+            {options.name: weights_per_s},
         )
     return 0
 
--- a/bench/picture.py
+++ b/bench/picture.py
@@ -1,4 +1,4 @@
-"""Pictures for the docs."""
+"""Pictures for the documentation, as SVG or PNG by the suffix of their file."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 from matplotlib import pyplot
 from matplotlib.figure import Figure
 
-matplotlib.use("Agg")
+matplotlib.use("Agg")  # draws without a display
 matplotlib.rcParams["svg.hashsalt"] = "quillroad"  # the same figures give the same file
 
+WIDTH_IN, HEIGHT_IN = 7, 4  # inches, of a picture of lines
+PANEL_WIDTH_IN, PANEL_HEIGHT_IN = 8, 3  # inches, of each panel over time
+LEGEND_COLUMNS = 3  # of a panel
 
-def _save(figure: Figure, path: Path) -> None:
-    figure.tight_layout()
-    figure.savefig(path, metadata={"Date": None} if path.suffix == ".svg" else None)
-    pyplot.close(figure)
+Series = Mapping[str, Sequence[float]]  # values by the name of their line
+# A panel over time: name of its axis, lines, height of a dotted line, and what that stands for.
+Panel = tuple[str, Series, float, str]
 
 
 def lines(
@@ -25,10 +27,10 @@
     x_name: str,
     y_name: str,
     xs: Sequence[float],
-    series: Mapping[str, Sequence[float]],
+    series: Series,
 ) -> None:
-    """A line for each of `series`, all over the same `xs`, into a file (svg, png)."""
-    figure, axes = pyplot.subplots(figsize=(7, 4))
+    """Draw a line for each of `series`, all over the same `xs`."""
+    figure, axes = pyplot.subplots(figsize=(WIDTH_IN, HEIGHT_IN))
     for name, values in series.items():
         axes.plot(xs, values, marker="o", label=name)
     axes.set_title(title)
@@ -39,21 +41,27 @@
     _save(figure, path)
 
 
-def over_time(
-    path: Path,
-    times: Sequence[float],
-    panels: Sequence[tuple[str, Mapping[str, Sequence[float]], float, str]],
-) -> None:
-    """One panel under another over the same seconds. Each is (name of its axis, its lines, the height of a
-    dotted line, what that stands for)."""
+def over_time(path: Path, times_s: Sequence[float], panels: Sequence[Panel]) -> None:
+    """Draw panels one under another, all over the same times in seconds."""
     figure, rows = pyplot.subplots(
-        len(panels), 1, sharex=True, figsize=(8, 3 * len(panels)), squeeze=False
+        len(panels),
+        1,
+        sharex=True,
+        figsize=(PANEL_WIDTH_IN, PANEL_HEIGHT_IN * len(panels)),
+        squeeze=False,
     )
     for axes, (y_name, series, mark, mark_name) in zip(rows[:, 0], panels, strict=True):
         for name, values in series.items():
-            axes.plot(times, values, label=name)
+            axes.plot(times_s, values, label=name)
         axes.axhline(mark, color="grey", linestyle=":", label=mark_name)
         axes.set_ylabel(y_name)
-        axes.legend(fontsize="small", ncols=3)
+        axes.legend(fontsize="small", ncols=LEGEND_COLUMNS)
     rows[-1, 0].set_xlabel("seconds")
     _save(figure, path)
+
+
+def _save(figure: Figure, path: Path) -> None:
+    figure.tight_layout()
+    # A date would make each file differ.
+    figure.savefig(path, metadata={"Date": None} if path.suffix == ".svg" else None)
+    pyplot.close(figure)
--- a/bench/storm.py
+++ b/bench/storm.py
@@ -1,77 +1,80 @@
 """Clients that connect and send in one instant: `python -m bench.storm`.
 
-For each size the gateway and a bare relay take the same storm, each on one core, with twelve hosts that
-answer at once: the slowest first answer, and what was served after its deadline of 900 ms. The clients go on
-asking for two seconds. Needs three cores; about half a minute.
+For each size the gateway and a bare relay take the same storm, each on one core, with twelve hosts
+that answer at once: the slowest first answer, and what was served after its deadline of 900 ms. The
+clients go on asking for two seconds. Needs three cores; about half a minute.
 """
 
 from __future__ import annotations
 
 import argparse
-import os
 import sys
-import tempfile
-from pathlib import Path
+from collections.abc import Sequence
+from dataclasses import replace
 
 import uvloop
 
-from testbed.account import Work, percentile, total
-from testbed.gateway import GatewayProcess, settings
-from testbed.processes import HostsProcess, run_load
+from bench.local_gateway import STATUS_CHECK, Cores, Program, gateway_with_hosts, seat_checkout
+from bench.tables import milliseconds
+from testbed.account import total
+from testbed.processes import Result, run_load
 
-WORKS = [
-    Work("status-check", 0.58, 0.9, 2.0),
-    Work("seat-checkout", 0.75, 0.9, 8.0, keyed=True, body=200),
-]
-SIZES = (150, 300, 1000, 4000)
+DEADLINE_S = 0.9
+CLASSES = [replace(work, deadline=DEADLINE_S) for work in (STATUS_CHECK, seat_checkout())]
+CLASS_SHARES = [3, 1]  # of the requests
+SIZES = (150, 300, 1000, 4000)  # numbers of clients
+SECONDS = 2.0  # for which they ask
+DESCRIPTORS = 10_000  # of the gateway: enough for the largest storm and its hosts
+HEADER = "clients  program  first answers  p50 ms  max ms  late 200s  in aim  refused  failed  none"
 
 
-async def measure(sizes: list[int], cores: list[int]) -> None:
-    gateway_core, host_core, client_core = cores
+async def run_storm(size: int, program: Program, cores: Cores) -> Result:
+    """Let so many clients connect to a new gateway or relay at once."""
+    async with gateway_with_hosts(CLASSES, cores, program, descriptors=DESCRIPTORS) as gateway:
+        return await run_load(
+            gateway.address,
+            CLASSES,
+            CLASS_SHARES,
+            cores.clients,
+            "closed",
+            SECONDS,
+            connections=size,
+        )
+
+
+def print_row(size: int, program: Program, result: Result) -> None:
+    """Print one storm under the columns of `HEADER`."""
+    whole = total(result.rows.values())
+    slowest_first_ms = max(result.firsts, default=0) * 1e3
     print(
-        "clients  program  first answers  p50 ms  max ms  late 200s  in aim  refused  failed  none"
+        f"{size:7d}  {program:>7}  {len(result.firsts):13d}  "
+        f"{milliseconds(result.firsts, 0.5):>6}  {slowest_first_ms:6.0f}  "
+        f"{whole.late:9d}  {whole.in_aim:6d}  "
+        f"{whole.refused:7d}  {whole.failed:6d}  {whole.unanswered:4d}",
+        flush=True,
     )
+
+
+async def measure(sizes: Sequence[int], cores: Cores) -> None:
+    """Put a storm of each size on the relay and on the gateway, and print a row each."""
+    print(HEADER)
     for size in sizes:
-        for name in ("relay", "gateway"):
-            hosts = await HostsProcess(12, core=host_core).start()
-            with tempfile.TemporaryDirectory() as folder:
-                gateway = GatewayProcess(
-                    Path(folder),
-                    hosts.discovery_port,
-                    settings(WORKS),
-                    sockets=10_000,
-                    core=gateway_core,
-                )
-                relay = ["-m", "bench.relay", *map(str, hosts.ports)]
-                await gateway.start(command=relay if name == "relay" else ("-m", "quillroad"))
-                result = await run_load(
-                    gateway.address, WORKS, [3, 1], [client_core], "closed", 2.0, connections=size
-                )
-                await gateway.stop()
-                await hosts.stop()
-            whole = total(result.rows.values())
-            print(
-                f"{size:7d}  {name:>7}  {len(result.firsts):13d}  "
-                f"{percentile(result.firsts, 0.5) * 1e3:6.0f}  "
-                f"{max(result.firsts, default=0) * 1e3:6.0f}  {whole.late:9d}  {whole.in_aim:6d}  "
-                f"{whole.refused:7d}  {whole.failed:6d}  {whole.unanswered:4d}",
-                flush=True,
-            )
+        for program in (Program.RELAY, Program.GATEWAY):
+            print_row(size, program, await run_storm(size, program, cores))
 
 
 def main() -> int:
+    """Run by the command line; returns the exit status, 2 for wrong options."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sizes", default=",".join(map(str, SIZES)), help="numbers of clients")
-    have = sorted(os.sched_getaffinity(0))
-    parser.add_argument(
-        "--cores", default=",".join(map(str, have[-3:])), help="gateway, hosts, clients"
-    )
-    told = parser.parse_args()
-    cores = [int(core) for core in told.cores.split(",")]
-    if len(cores) != 3:
+    Cores.add_option(parser, 3, "gateway, hosts, clients")
+    options = parser.parse_args()
+    try:
+        cores = Cores.parse(options.cores, max_clients=1)
+    except ValueError:
         print("bench.storm: --cores: needs three")
         return 2
-    uvloop.run(measure([int(size) for size in told.sizes.split(",")], cores))
+    uvloop.run(measure([int(size) for size in options.sizes.split(",")], cores))
     return 0
 
 
