--- a/bench/counts.py
+++ b/bench/counts.py
@@ -1,11 +1,12 @@
-"""What one request costs in counts that do not depend on the machine: `python -m bench.counts`.
-
-One client asks one request after another through a gateway of plain Python with four hosts. Per request and
-class: calls of the gateway's Python functions, calls of built-in functions from them, instructions of the
-interpreter in them, reads and writes (proc_pid_io(5)). Each figure is the difference of two runs of
-different length, so that starts cost nothing. `--check` compares with bench/counts.json and ends with 1 where
-one grew by more than 1.5%; `--record` writes that file and prints what has changed, for the commit. Ten
-seconds.
+"""What a request costs in counts that do not depend on the machine: `python -m bench.counts`.
+
+One client asks one request after another through a gateway of plain Python with four hosts. Per
+request and class: calls of the gateway's Python functions, calls of built-in functions from them,
+instructions of the interpreter in them, reads and writes (proc_pid_io(5)). Each figure is the
+difference of two runs of different length, so that starting costs nothing.
+
+`--check` compares with bench/counts.json and ends with 1 where a figure grew by more than 1.5%;
+`--record` writes that file and prints what has changed, for the commit. Ten seconds.
 """
 
 from __future__ import annotations
@@ -16,105 +17,145 @@
 import signal
 import sys
 import tempfile
+from collections.abc import AsyncIterator, Mapping
+from contextlib import asynccontextmanager
 from pathlib import Path
 
 import uvloop
 
+from bench.tables import print_header, print_row
 from testbed.account import Work
 from testbed.clients import Load
 from testbed.gateway import GatewayProcess, settings
 from testbed.hosts import Discovery, Host
 
 RECORDED = Path(__file__).with_name("counts.json")
-MOST_GROWTH = 0.015  # runs of the same code lay within 0.7% of one another
+MAX_GROWTH = 0.015  # runs of the same code lay within 0.7% of one another
+# Objectives and deadlines (seconds) that tracing, which makes the gateway slow, does not reach.
 CLASSES = {
     "status-check": Work("status-check", 5.0, 10.0),
     "seat-checkout, 0.2 KiB": Work("seat-checkout", 5.0, 10.0, keyed=True, body=200),
     "seat-checkout, 4 KiB": Work("seat-checkout", 5.0, 10.0, keyed=True, body=4096),
     "seat-checkout, 60 KiB": Work("seat-checkout", 5.0, 10.0, keyed=True, body=61_440),
 }
-SHORT, LONG = 50, 250  # requests of the two runs
+HOST_COUNT = 4
+DESCRIPTORS = 256  # that the gateway may have open
+SHORT_RUN, LONG_RUN = 50, 250  # requests
+HEAD_END = b"\r\n\r\n"
 
-Counts = dict[str, float]
+Counts = dict[str, float]  # by the names that `testbed.counted` writes, "reads" and "writes"
 
 
-async def run(work: Work, requests: int, tree: Path | None = None) -> Counts:
-    hosts = [await Host(f"s-{i}").start() for i in range(4)]
+@asynccontextmanager
+async def running_hosts() -> AsyncIterator[Discovery]:
+    """Run hosts that answer at once, and the discovery that lists them."""
+    hosts = [await Host(f"s-{number}").start() for number in range(HOST_COUNT)]
     discovery = await Discovery(hosts).start()
-    with tempfile.TemporaryDirectory() as name:
-        file = Path(name) / "counts.json"
-        # No second copies: whether one is sent depends on times.
-        gateway = GatewayProcess(
-            Path(name), discovery.port, settings([work], parallel_tries=False), sockets=256
-        )
-        gateway.tree = tree
-        await gateway.start(command=("-m", "testbed.counted", str(file)))
-        load = Load(gateway.address, [work], (1,))
-        reader, writer = await asyncio.open_connection(*gateway.address)
-        for _ in range(requests):
-            writer.write(load.request()[1])
-            head = (await reader.readuntil(b"\r\n\r\n")).lower()
-            assert head.startswith(b"http/1.1 200"), head
-            await reader.readexactly(
-                int(head.partition(b"content-length:")[2].split(b"\r\n", 1)[0])
-            )
-        reads, writes = gateway.io()
-        assert gateway.process is not None
-        gateway.process.send_signal(signal.SIGTERM)
-        writer.close()
-        await gateway.process.wait()
-        counts: Counts = json.loads(file.read_text())
-    discovery.stop()
-    for host in hosts:
-        host.stop()
+    try:
+        yield discovery
+    finally:
+        discovery.stop()
+        for host in hosts:
+            host.stop()
+
+
+async def send_requests(address: tuple[str, int], work: Work, count: int) -> asyncio.StreamWriter:
+    """Ask so many requests one after another on one connection, which stays open.
+
+    Raises AssertionError for an answer that is not 200.
+    """
+    load = Load(address, [work], (1,))
+    reader, writer = await asyncio.open_connection(*address)
+    for _ in range(count):
+        _, request = load.request()
+        writer.write(request)
+        head = (await reader.readuntil(HEAD_END)).lower()
+        assert head.startswith(b"http/1.1 200"), head
+        length = head.partition(b"content-length:")[2].split(b"\r\n", 1)[0]
+        await reader.readexactly(int(length))
+    return writer
+
+
+async def count_run(work: Work, requests: int, tree: Path | None = None) -> Counts:
+    """Counts of a whole run of a gateway, from its start to its end, with so many requests."""
+    async with running_hosts() as discovery:
+        with tempfile.TemporaryDirectory() as folder:
+            counts_file = Path(folder) / "counts.json"
+            # No hedged requests: whether one is sent depends on times.
+            balancing = settings([work], parallel_tries=False)
+            gateway = GatewayProcess(Path(folder), discovery.port, balancing, DESCRIPTORS)
+            gateway.tree = tree
+            await gateway.start(command=("-m", "testbed.counted", str(counts_file)))
+            writer = await send_requests(gateway.address, work, requests)
+            reads, writes = gateway.io()
+            assert gateway.process is not None
+            gateway.process.send_signal(signal.SIGTERM)
+            writer.close()
+            await gateway.process.wait()
+            counts: Counts = json.loads(counts_file.read_text())
     return counts | {"reads": reads, "writes": writes}
 
 
 async def per_request(work: Work, tree: Path | None = None) -> Counts:
-    """Counts of one request of this class, at the packages of this tree or of the source tree."""
-    short, long = [await run(work, requests, tree) for requests in (SHORT, LONG)]
-    return {name: round((long[name] - short[name]) / (LONG - SHORT), 2) for name in long}
+    """Counts of one request of this class.
+
+    They are of the packages in the folder `tree`, or of the source tree.
+    """
+    short = await count_run(work, SHORT_RUN, tree)
+    long = await count_run(work, LONG_RUN, tree)
+    more_requests = LONG_RUN - SHORT_RUN
+    return {name: round((long[name] - short[name]) / more_requests, 2) for name in long}
 
 
-def grown(now: Counts, recorded: Counts) -> list[str]:
-    """The figures that grew by more than they may."""
+def grown(now: Mapping[str, float], recorded: Mapping[str, float]) -> list[str]:
+    """The figures that grew by more than `MAX_GROWTH`, a text each that begins with its name."""
     return [
         f"{name}: {now[name]:.2f}, {recorded[name]:.2f} recorded"
         for name in recorded
-        if now[name] > recorded[name] * (1.0 + MOST_GROWTH)
+        if now[name] > recorded[name] * (1.0 + MAX_GROWTH)
+    ]
+
+
+def print_counts(name: str, counts: Counts, compared: Counts) -> None:
+    """Print the row of a class, with the differences to the figures in `compared`."""
+    cells = [
+        f"{value:.2f} ({value - compared[key]:+.2f})" if key in compared else f"{value:.2f}"
+        for key, value in counts.items()
     ]
+    print_row(name, *cells)
 
 
 async def measure(record: bool, check: bool) -> int:
-    known: dict[str, Counts] = json.loads(RECORDED.read_text()) if RECORDED.exists() else {}
-    found, broken = {}, []
-    print("| class | python calls | built-in calls | instructions | reads | writes |")
-    print("| --- " * 6 + "|")
+    """Print the counts of all classes, and record them or compare them with those on record.
+
+    Returns the exit status: 1 where `check` found that a figure has grown.
+    """
+    recorded: dict[str, Counts] = json.loads(RECORDED.read_text()) if RECORDED.exists() else {}
+    measured: dict[str, Counts] = {}
+    growth: list[str] = []
+    print_header("class", "python calls", "built-in calls", "instructions", "reads", "writes")
     for name, work in CLASSES.items():
-        counts = found[name] = await per_request(work)
-        before = known.get(name, {})
-        cells = [
-            f"{value:.2f}" + (f" ({value - before[key]:+.2f})" if record and key in before else "")
-            for key, value in counts.items()
-        ]
-        print(f"| {name} | {' | '.join(cells)} |", flush=True)
-        broken += [f"{name}: {line}" for line in grown(counts, before)]
+        counts = measured[name] = await per_request(work)
+        before = recorded.get(name, {})
+        print_counts(name, counts, compared=before if record else {})
+        growth += [f"{name}: {figure}" for figure in grown(counts, before)]
     if record:
-        RECORDED.write_text(json.dumps(found, indent=2) + "\n")
+        RECORDED.write_text(json.dumps(measured, indent=2) + "\n")
         return 0
-    for line in broken:
+    for line in growth:
         print(line)
-    return 1 if check and broken else 0
+    return 1 if check and growth else 0
 
 
 def main() -> int:
+    """Run by the command line; returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true", help="end with 1 where a figure has grown")
     parser.add_argument(
         "--record", action="store_true", help="write the figures as those to compare with"
     )
-    told = parser.parse_args()
-    return uvloop.run(measure(told.record, told.check))
+    options = parser.parse_args()
+    return uvloop.run(measure(options.record, options.check))
 
 
 if __name__ == "__main__":
