--- a/scripts/compile.py
+++ b/scripts/compile.py
@@ -1,9 +1,10 @@
 """Makes build/compiled: the packages as they are, with the modules on the request's path compiled.
 
-The pure form stays the reference: what is compiled is the same files, by mypyc, and where that can't be done
-(no C compiler, no headers, a compiled module that doesn't pass its check) the copy is left as plain Python,
-which serves the same at a third to a half. A path file makes the copy come first in .venv; `python -P`
-keeps the source tree out. Nothing is compiled inside that, where a stale module would hide an edit.
+The source tree stays the reference: what is compiled is the same files, by mypyc. Where that can't
+be done (no C compiler, no headers, a compiled module that doesn't pass its check) the copy is left
+as plain Python, which behaves the same and serves a third to a half as many requests. A path file
+makes the copy come first in .venv; `python -P` keeps the source tree out. Nothing is compiled
+inside the source tree, where a stale module would hide an edit.
 """
 
 from __future__ import annotations
@@ -16,9 +17,14 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-BUILD, DONE = ROOT / "build" / "compiled.new", ROOT / "build" / "compiled"
+COMPILED = ROOT / "build" / "compiled"
+STAGING = ROOT / "build" / "compiled.new"  # becomes COMPILED once it is complete
+STAMP = "stamp.txt"  # file in COMPILED that holds the digest of what it was made from
+REQUIREMENTS = ROOT / "requirements-build.txt"
+PATH_FILE = "quillroad.pth"
+STEP_TIMEOUT_S = 600
 PACKAGES = ("quillroad",)
-HOT = (
+COMPILED_MODULES = (
     "quillroad/balancing/actions.py",
     "quillroad/balancing/admission.py",
     "quillroad/balancing/attempts.py",
@@ -86,10 +92,11 @@
     "quillroad/upstream/connection_state.py",
     "quillroad/upstream/connection.py",
     "quillroad/upstream/pool.py",
-    "quillroad/upgrade/migration.py",  # these two extend compiled classes, which only compiled ones can
+    # These two extend compiled classes, which only compiled ones can.
+    "quillroad/upgrade/migration.py",
     "quillroad/upgrade/sibling_engine.py",
 )
-# That a compiled module loads, decides and keeps its types: it runs before anything is served by it.
+# Shows that compiled modules load, decide and keep their types, before anything is served by them.
 CHECK = """
 import quillroad.downstream.server, quillroad.engine.engine, quillroad.upstream.pool
 from quillroad.balancing.balancer import Balancer
@@ -103,66 +110,97 @@
 """
 
 
-def stamp() -> str:
-    """What the copy follows from."""
+class CompilationError(Exception):
+    """A step of the compilation failed; the message names the step and says why."""
+
+
+def source_files() -> list[Path]:
+    """The files that the copy consists of."""
+    files = [path for package in PACKAGES for path in (ROOT / package).rglob("*")]
+    return [path for path in files if path.suffix in (".py", ".typed")]
+
+
+def source_digest() -> str:
+    """A digest of all that the copy follows from: sources, compiler, interpreter, this program."""
     digest = hashlib.sha256(sys.version.encode())
-    for path in sorted([*sources(), ROOT / "requirements-build.txt", Path(__file__)]):
+    for path in sorted([*source_files(), REQUIREMENTS, Path(__file__)]):
         digest.update(path.relative_to(ROOT).as_posix().encode() + b"\0" + path.read_bytes())
     return digest.hexdigest()
 
 
-def sources() -> list[Path]:
-    found = [path for package in PACKAGES for path in (ROOT / package).rglob("*")]
-    return [path for path in found if path.suffix in (".py", ".typed")]
-
-
-def copy() -> None:
-    shutil.rmtree(BUILD, ignore_errors=True)
-    for path in sources():
-        target = BUILD / path.relative_to(ROOT)
+def copy_sources() -> None:
+    """Copy the sources into an empty staging folder."""
+    shutil.rmtree(STAGING, ignore_errors=True)
+    for path in source_files():
+        target = STAGING / path.relative_to(ROOT)
         target.parent.mkdir(parents=True, exist_ok=True)
         shutil.copyfile(path, target)
 
 
-def compile_hot() -> str:
-    """Compile in the copy; returns why not, or nothing."""
-    steps = (
-        [sys.executable, "-m", "pip", "-q", "install", "-r", str(ROOT / "requirements-build.txt")],
-        [sys.executable, "-m", "mypyc", *HOT],
-        [sys.executable, "-c", CHECK],
-    )
-    for step in steps:
-        try:
-            done = subprocess.run(
-                step, cwd=BUILD, capture_output=True, text=True, timeout=600, check=False
-            )
-        except (OSError, subprocess.TimeoutExpired) as error:
-            return str(error)
-        if done.returncode:
-            said = done.stderr.strip() or done.stdout.strip() or f"it ended with {done.returncode}"
-            return f"{step[2]}: {said.splitlines()[-1]}"
-    return ""
+def compile_modules() -> None:
+    """Install the compiler, compile in the staging folder, and check what came of it.
+
+    Raises CompilationError.
+    """
+    run_step("-m", "pip", "-q", "install", "-r", str(REQUIREMENTS))
+    run_step("-m", "mypyc", *COMPILED_MODULES)
+    run_step("-c", CHECK)
+
+
+def run_step(*arguments: str) -> None:
+    """Run the interpreter with these arguments in the staging folder; raises CompilationError."""
+    try:
+        done = subprocess.run(
+            [sys.executable, *arguments],
+            cwd=STAGING,
+            capture_output=True,
+            text=True,
+            timeout=STEP_TIMEOUT_S,
+            check=False,
+        )
+    except (OSError, subprocess.TimeoutExpired) as error:
+        raise CompilationError(str(error)) from error
+    if done.returncode:
+        output = done.stderr.strip() or done.stdout.strip() or f"it ended with {done.returncode}"
+        raise CompilationError(f"{arguments[1]}: {output.splitlines()[-1]}")
+
+
+def remove_compiled_modules() -> None:
+    """Leave the staging folder as plain Python."""
+    for path in STAGING.rglob("*.so"):
+        path.unlink()
+
+
+def install(digest: str) -> None:
+    """Put the staging folder in the place of the copy before, and on the path of .venv."""
+    for leftover in ("build", ".mypy_cache"):
+        shutil.rmtree(STAGING / leftover, ignore_errors=True)
+    (STAGING / STAMP).write_text(digest)
+    shutil.rmtree(COMPILED, ignore_errors=True)
+    STAGING.rename(COMPILED)
+    site = Path(sysconfig.get_path("purelib"))
+    up_to_root = "../" * len(site.relative_to(ROOT).parts)
+    (site / PATH_FILE).write_text(f"{up_to_root}{COMPILED.relative_to(ROOT)}\n")
+
+
+def is_current(digest: str) -> bool:
+    """Whether the copy was made from sources of this digest."""
+    stamp = COMPILED / STAMP
+    return stamp.exists() and stamp.read_text() == digest
 
 
 def main() -> int:
-    wanted, file = stamp(), DONE / "stamp.txt"
-    if file.exists() and file.read_text() == wanted:
+    """Make the copy, unless it is there already; returns the exit status, always 0."""
+    digest = source_digest()
+    if is_current(digest):
         return 0
-    copy()
-    why = compile_hot()
-    if why:
-        print(f"not compiled, plain Python is run: {why}", file=sys.stderr)
-        for path in BUILD.rglob("*.so"):
-            path.unlink()
-    for folder in ("build", ".mypy_cache"):
-        shutil.rmtree(BUILD / folder, ignore_errors=True)
-    (BUILD / "stamp.txt").write_text(wanted)
-    shutil.rmtree(DONE, ignore_errors=True)
-    BUILD.rename(DONE)
-    site = Path(sysconfig.get_path("purelib"))
-    (site / "quillroad.pth").write_text(
-        f"{'../' * len(site.relative_to(ROOT).parts)}build/compiled\n"
-    )
+    copy_sources()
+    try:
+        compile_modules()
+    except CompilationError as error:
+        print(f"not compiled, plain Python is run: {error}", file=sys.stderr)
+        remove_compiled_modules()
+    install(digest)
     return 0
 
 
