--- a/bench/admission.py
+++ b/bench/admission.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from bench.disciplines import ALTERNATIVES
-from bench.picture import over_time
+from bench.picture import Panel, over_time
 from bench.tables import milliseconds, print_header, print_row
 from quillroad.overload.admission_queue import AdmissionQueue, RoutePriority
 from testbed.core import IN_TIME, LONGEST_WAIT, REJECTED, SENT, SLOT_S, Core, Discipline, mix
@@ -82,7 +82,7 @@
 
 
 def uneven_objectives(name: str) -> str:
-    """Parts (0 to 1) of two routes in time: a fifth of the capacity with 50 ms, twice it with 5 s."""
+    """Parts (0 to 1) in time: a fifth of the capacity with 50 ms, and twice it with 5 s."""
     core = make_core(name, UNEVEN_ROUTES)
     core.hosts = 0.005
     core.run(4.0, {(0, 0): 2.0 * CAPACITY, (1, 0): 0.2 * CAPACITY})
@@ -132,8 +132,8 @@
         path,
         [number * SLOT_S for number in sorted(core.slots)],
         [
-            ("requests a second", rates, CAPACITY, "capacity"),
-            ("ms", waits_ms, shortest_objective_ms, "the shorter aim"),
+            Panel("requests a second", rates, CAPACITY, "capacity"),
+            Panel("ms", waits_ms, shortest_objective_ms, "the shorter aim"),
         ],
     )
 
--- a/bench/disciplines.py
+++ b/bench/disciplines.py
@@ -311,8 +311,8 @@
         if excess < 0:
             self._credits += max(1.0, self.INCREASE * self._credits)
             return
-        kept = max(1.0 - self.DECREASE * excess, 1.0 - self.MAX_DECREASE)
-        self._credits = max(self.LEAST_CREDITS, self._credits * kept)
+        factor = max(1.0 - self.DECREASE * excess, 1.0 - self.MAX_DECREASE)
+        self._credits = max(self.LEAST_CREDITS, self._credits * factor)
 
 
 ALTERNATIVES: tuple[type[Fifo], ...] = (Fifo, Codel, LifoCodel, Edf, Dagor, Breakwater)
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -109,7 +109,7 @@
     instance: Registered
 
     def last_receipt_s(self, since: float) -> float:
-        """Seconds from this moment (monotonic clock) to the last request received after it, or 0."""
+        """Seconds from `since` (monotonic clock) to the last request received after it, or 0."""
         late = [receipt.at - since for receipt in self.host.receipts if receipt.at > since]
         return max(late, default=0.0)
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -75,12 +75,12 @@
 
     @property
     def weight_per_s(self) -> float:
-        """Answers within their objective a second, each counted with its class's priority weight."""
+        """Answers within their objective a second, each counted with its priority weight."""
         return self.counts.worth / self.seconds
 
     @property
     def weight_offered(self) -> float:
-        """Requests sent, each counted with its class's priority weight."""
+        """Requests sent, each counted with its priority weight."""
         return sum(self.result.rows[work.name].sent * work.worth for work in CLASSES)
 
     def cpu_not_served(self, capacity: Capacity) -> float:
--- a/bench/picture.py
+++ b/bench/picture.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Mapping, Sequence
 from pathlib import Path
+from typing import NamedTuple
 
 import matplotlib
 from matplotlib import pyplot
@@ -17,8 +18,15 @@
 LEGEND_COLUMNS = 3  # of a panel
 
 Series = Mapping[str, Sequence[float]]  # values by the name of their line
-# A panel over time: name of its axis, lines, height of a dotted line, and what that stands for.
-Panel = tuple[str, Series, float, str]
+
+
+class Panel(NamedTuple):
+    """One panel over time, with a dotted line at the height `mark`."""
+
+    y_name: str
+    series: Series
+    mark: float
+    mark_name: str
 
 
 def lines(
@@ -41,8 +49,15 @@
     _save(figure, path)
 
 
-def over_time(path: Path, times_s: Sequence[float], panels: Sequence[Panel]) -> None:
-    """Draw panels one under another, all over the same times in seconds."""
+def over_time(
+    path: Path,
+    times_s: Sequence[float],
+    panels: Sequence[tuple[str, Series, float, str]],
+) -> None:
+    """Draw panels one under another, all over the same times in seconds.
+
+    Each is a `Panel`, or a tuple of its fields.
+    """
     figure, rows = pyplot.subplots(
         len(panels),
         1,
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,8 +1,8 @@
-"""A bare relay to compare the gateway with: same loop, same parser, pooled connections, no decisions.
+"""A bare relay to compare the gateway with: same loop and parser, pooled connections, no decisions.
 
-`python -m bench.relay PORT ...` listens where the JSON file at GW_CONFIG says and passes requests on
-to the hosts at these ports of 127.0.0.1 in turn. It keeps no deadline, retries nothing, and checks
-nothing that its peers send.
+`python -m bench.relay PORT ...` listens where the JSON file at GW_CONFIG says and passes requests
+on to the hosts at these ports of 127.0.0.1 in turn. It keeps no deadline, retries nothing, and
+checks nothing that its peers send.
 """
 
 from __future__ import annotations
