--- a/bench/admission.py
+++ b/bench/admission.py
@@ -59,7 +59,7 @@
 
 def weight_in_time(core: Core) -> str:
     """Part (0 to 1) of the last run's priority weight that was answered within the objective."""
-    return f"{core.worth(IN_TIME) / core.worth(SENT):.2f}"
+    return f"{core.value(IN_TIME) / core.value(SENT):.2f}"
 
 
 def after_step(name: str) -> str:
@@ -76,8 +76,8 @@
     sent = in_time = 0.0
     for multiple in (3.0, 0.3) * 3:
         offer(core, multiple, seconds=0.7)
-        sent += core.worth(SENT)
-        in_time += core.worth(IN_TIME)
+        sent += core.value(SENT)
+        in_time += core.value(IN_TIME)
     return f"{in_time / sent:.2f}"
 
 
--- a/bench/counts.py
+++ b/bench/counts.py
@@ -24,7 +24,7 @@
 import uvloop
 
 from bench.tables import print_header, print_row
-from testbed.account import Work
+from testbed.account import RequestClass
 from testbed.clients import Load
 from testbed.gateway import GatewayProcess, settings
 from testbed.hosts import Discovery, Host
@@ -33,10 +33,12 @@
 MAX_GROWTH = 0.015  # runs of the same code lay within 0.7% of one another
 # Objectives and deadlines (seconds) that tracing, which makes the gateway slow, does not reach.
 CLASSES = {
-    "status-check": Work("status-check", 5.0, 10.0),
-    "seat-checkout, 0.2 KiB": Work("seat-checkout", 5.0, 10.0, keyed=True, body=200),
-    "seat-checkout, 4 KiB": Work("seat-checkout", 5.0, 10.0, keyed=True, body=4096),
-    "seat-checkout, 60 KiB": Work("seat-checkout", 5.0, 10.0, keyed=True, body=61_440),
+    "status-check": RequestClass("status-check", 5.0, 10.0),
+    "seat-checkout, 0.2 KiB": RequestClass("seat-checkout", 5.0, 10.0, keyed=True, body_bytes=200),
+    "seat-checkout, 4 KiB": RequestClass("seat-checkout", 5.0, 10.0, keyed=True, body_bytes=4096),
+    "seat-checkout, 60 KiB": RequestClass(
+        "seat-checkout", 5.0, 10.0, keyed=True, body_bytes=61_440
+    ),
 }
 HOST_COUNT = 4
 DESCRIPTORS = 256  # that the gateway may have open
@@ -59,12 +61,14 @@
             host.stop()
 
 
-async def send_requests(address: tuple[str, int], work: Work, count: int) -> asyncio.StreamWriter:
+async def send_requests(
+    address: tuple[str, int], request_class: RequestClass, count: int
+) -> asyncio.StreamWriter:
     """Ask so many requests one after another on one connection, which stays open.
 
     Raises AssertionError for an answer that is not 200.
     """
-    load = Load(address, [work], (1,))
+    load = Load(address, [request_class], (1,))
     reader, writer = await asyncio.open_connection(*address)
     for _ in range(count):
         _, request = load.request()
@@ -76,17 +80,17 @@
     return writer
 
 
-async def count_run(work: Work, requests: int, tree: Path | None = None) -> Counts:
+async def count_run(request_class: RequestClass, requests: int, tree: Path | None = None) -> Counts:
     """Counts of a whole run of a gateway, from its start to its end, with so many requests."""
     async with running_hosts() as discovery:
         with tempfile.TemporaryDirectory() as folder:
             counts_file = Path(folder) / "counts.json"
             # No hedged requests: whether one is sent depends on times.
-            balancing = settings([work], parallel_tries=False)
+            balancing = settings([request_class], parallel_tries=False)
             gateway = GatewayProcess(Path(folder), discovery.port, balancing, DESCRIPTORS)
             gateway.tree = tree
             await gateway.start(command=("-m", "testbed.counted", str(counts_file)))
-            writer = await send_requests(gateway.address, work, requests)
+            writer = await send_requests(gateway.address, request_class, requests)
             reads, writes = gateway.io()
             assert gateway.process is not None
             gateway.process.send_signal(signal.SIGTERM)
@@ -96,13 +100,13 @@
     return counts | {"reads": reads, "writes": writes}
 
 
-async def per_request(work: Work, tree: Path | None = None) -> Counts:
+async def per_request(request_class: RequestClass, tree: Path | None = None) -> Counts:
     """Counts of one request of this class.
 
     They are of the packages in the folder `tree`, or of the source tree.
     """
-    short = await count_run(work, SHORT_RUN, tree)
-    long = await count_run(work, LONG_RUN, tree)
+    short = await count_run(request_class, SHORT_RUN, tree)
+    long = await count_run(request_class, LONG_RUN, tree)
     more_requests = LONG_RUN - SHORT_RUN
     return {name: round((long[name] - short[name]) / more_requests, 2) for name in long}
 
@@ -134,8 +138,8 @@
     measured: dict[str, Counts] = {}
     growth: list[str] = []
     print_header("class", "python calls", "built-in calls", "instructions", "reads", "writes")
-    for name, work in CLASSES.items():
-        counts = measured[name] = await per_request(work)
+    for name, request_class in CLASSES.items():
+        counts = measured[name] = await per_request(request_class)
         before = recorded.get(name, {})
         print_counts(name, counts, compared=before if record else {})
         growth += [f"{name}: {figure}" for figure in grown(counts, before)]
--- a/bench/local_gateway.py
+++ b/bench/local_gateway.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 from pathlib import Path
 
-from testbed.account import Work
+from testbed.account import RequestClass
 from testbed.gateway import ROOT, GatewayProcess, settings
 from testbed.processes import HostsProcess, hold
 
@@ -20,12 +20,12 @@
 DESCRIPTORS = 8192  # that the gateway may have open
 
 # Seconds of latency objective and deadline, then the priority weight.
-STATUS_CHECK = Work("status-check", 0.58, 1.4, 2.0)
+STATUS_CHECK = RequestClass("status-check", 0.58, 1.4, 2.0)
 
 
-def seat_checkout(body_bytes: int = 200) -> Work:
+def seat_checkout(body_bytes: int = 200) -> RequestClass:
     """The class of requests with an idempotency key and a body of so many bytes."""
-    return Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=body_bytes)
+    return RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=body_bytes)
 
 
 class Program(StrEnum):
@@ -68,7 +68,7 @@
 
 @asynccontextmanager
 async def gateway_with_hosts(
-    classes: Sequence[Work],
+    classes: Sequence[RequestClass],
     cores: Cores,
     program: Program = Program.GATEWAY,
     *,
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -27,7 +27,7 @@
 
 from bench.local_gateway import STATUS_CHECK, seat_checkout
 from bench.tables import milliseconds, print_header, print_row
-from testbed.account import Tally, tally, total
+from testbed.account import OutcomeCounts, count_outcomes, total
 from testbed.clients import Load
 from testbed.consul import SERVICE, Agent, Catalogue, Fault, Registered
 from testbed.gateway import FileGateway, free_port
@@ -212,11 +212,13 @@
     return delays
 
 
-def print_account(whole: Tally, instances: int, cpu_ms_per_s: float, memory_mb: float) -> None:
+def print_account(
+    whole: OutcomeCounts, instances: int, cpu_ms_per_s: float, memory_mb: float
+) -> None:
     """Print what became of the requests, and what the gateway used."""
     print(
-        f"\n{whole.sent} requests: {whole.in_aim} in aim, {whole.served} after it, "
-        f"{whole.late} late, {whole.refused} refused, {whole.failed} failed, "
+        f"\n{whole.sent} requests: {whole.within_objective} in aim, {whole.served} after it, "
+        f"{whole.late} late, {whole.rejected} refused, {whole.failed} failed, "
         f"{whole.unanswered} unanswered. "
         f"{instances} instances: {cpu_ms_per_s:.1f} ms of CPU a second, {memory_mb:.1f} MB."
     )
@@ -241,7 +243,7 @@
     for agent in cluster.agents:
         agent.stop()
     delays.print()
-    whole = total(tally(load.records, CLASSES).values())
+    whole = total(count_outcomes(load.records, CLASSES).values())
     print_account(whole, len(cluster.nodes) + idle_instances, cpu_ms_per_s, memory_mb)
     return 0
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -22,7 +22,7 @@
 from bench.local_gateway import STATUS_CHECK, Cores, gateway_with_hosts, seat_checkout
 from bench.picture import lines
 from bench.tables import p50_and_p99_ms, print_header, print_row
-from testbed.account import Tally, total
+from testbed.account import OutcomeCounts, total
 from testbed.gateway import GatewayProcess
 from testbed.processes import Result, run_load
 
@@ -69,23 +69,26 @@
     gateway_cpu_s: float
 
     @property
-    def counts(self) -> Tally:
+    def counts(self) -> OutcomeCounts:
         """Requests of all classes by what became of them."""
         return total(self.result.rows.values())
 
     @property
     def weight_per_s(self) -> float:
         """Answers within their objective a second, each counted with its priority weight."""
-        return self.counts.worth / self.seconds
+        return self.counts.value / self.seconds
 
     @property
     def weight_offered(self) -> float:
         """Requests sent, each counted with its priority weight."""
-        return sum(self.result.rows[work.name].sent * work.worth for work in CLASSES)
+        return sum(
+            self.result.rows[request_class.name].sent * request_class.priority_weight
+            for request_class in CLASSES
+        )
 
     def cpu_not_served(self, capacity: Capacity) -> float:
         """Part (0 to 1) of the CPU time that did not go into answers before the deadline."""
-        served = self.counts.in_aim + self.counts.served
+        served = self.counts.within_objective + self.counts.served
         return max(0.0, 1.0 - served * capacity.cpu_s / self.gateway_cpu_s)
 
 
@@ -108,7 +111,7 @@
         """Measure the capacity for so long, after a warm-up."""
         await self.run("closed", WARM_UP_S, connections=CLOSED_LOOP_CONNECTIONS)
         closed = await self.run("closed", seconds, connections=CLOSED_LOOP_CONNECTIONS)
-        in_time = closed.counts.in_aim
+        in_time = closed.counts.within_objective
         return Capacity(in_time / seconds, closed.gateway_cpu_s / max(1, in_time))
 
     async def offer_steady(self, rate: float, seconds: float) -> Measurement:
@@ -132,15 +135,15 @@
         load,
         f"{counts.sent / seconds:.0f}",
         f"{measured.weight_per_s:.0f}",
-        f"{counts.worth / max(1.0, measured.weight_offered):.2f}",
-        str(counts.in_aim),
+        f"{counts.value / max(1.0, measured.weight_offered):.2f}",
+        str(counts.within_objective),
         str(counts.served),
         str(counts.late),
-        str(counts.refused),
+        str(counts.rejected),
         str(counts.failed),
         str(counts.unanswered),
         p50_and_p99_ms(counts.took),
-        p50_and_p99_ms(counts.refusal_took, digits=1),
+        p50_and_p99_ms(counts.rejection_took, digits=1),
         f"{cpu_cores:.2f}, {measured.cpu_not_served(capacity):.2f}",
     )
     print_row(*cells, remark=_remark(measured.result))
--- a/bench/path.py
+++ b/bench/path.py
@@ -30,7 +30,7 @@
 )
 from bench.picture import lines
 from bench.tables import print_header, print_row
-from testbed.account import Work, percentile, total
+from testbed.account import RequestClass, percentile, total
 from testbed.processes import run_load
 
 PROGRAMS = (Program.RELAY, Program.PLAIN, Program.COMPILED)
@@ -45,8 +45,8 @@
 class RequestMix(NamedTuple):
     """Classes of requests, and in what proportion they are sent."""
 
-    classes: list[Work]
-    shares: list[float]
+    classes: list[RequestClass]
+    weights: list[float]
 
 
 MIX = RequestMix([STATUS_CHECK, seat_checkout()], [3, 1])
@@ -104,7 +104,7 @@
             writes=(io[1] - io_before[1]) / count,
             p50_ms=percentile(whole.took, 0.5) * 1e3,
             p99_ms=percentile(whole.took, 0.99) * 1e3,
-            rejected=whole.refused,
+            rejected=whole.rejected,
         )
 
     async def least_costs(self, mix: RequestMix, repeats: int) -> dict[Program, Cost]:
--- a/bench/storm.py
+++ b/bench/storm.py
@@ -20,7 +20,9 @@
 from testbed.processes import Result, run_load
 
 DEADLINE_S = 0.9
-CLASSES = [replace(work, deadline=DEADLINE_S) for work in (STATUS_CHECK, seat_checkout())]
+CLASSES = [
+    replace(request_class, deadline=DEADLINE_S) for request_class in (STATUS_CHECK, seat_checkout())
+]
 CLASS_SHARES = [3, 1]  # of the requests
 SIZES = (150, 300, 1000, 4000)  # numbers of clients
 SECONDS = 2.0  # for which they ask
@@ -49,8 +51,8 @@
     print(
         f"{size:7d}  {program:>7}  {len(result.firsts):13d}  "
         f"{milliseconds(result.firsts, 0.5):>6}  {slowest_first_ms:6.0f}  "
-        f"{whole.late:9d}  {whole.in_aim:6d}  "
-        f"{whole.refused:7d}  {whole.failed:6d}  {whole.unanswered:4d}",
+        f"{whole.late:9d}  {whole.within_objective:6d}  "
+        f"{whole.rejected:7d}  {whole.failed:6d}  {whole.unanswered:4d}",
         flush=True,
     )
 
