--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -20,10 +20,10 @@
 
 from bench.request_classes import MIX, REQUEST_CLASSES
 from bench.tables import header, row
-from testbed.account import Tally, total
+from testbed.account import OutcomeCounts, total
 from testbed.gateway import GatewayProcess
 from testbed.processes import run_load
-from testbed.stage import Stage
+from testbed.environment import Environment
 
 HOSTS = 6
 CONNECTIONS = 24  # of the closed-loop load
@@ -46,23 +46,23 @@
 async def play(has_membership: bool, gateways: int, seconds: float) -> Cost:
     """Measure gateways for `seconds` at rest, and the first for `seconds` under load."""
     with tempfile.TemporaryDirectory() as folder:
-        async with Stage(
+        async with Environment(
             Path(folder),
             REQUEST_CLASSES,
             HOSTS,
             gateways=gateways,
             fleet=MEMBERSHIP_FILE if has_membership else "",
             every=REPORT_INTERVAL,
-        ) as stage:
+        ) as environment:
             await asyncio.sleep(SETTLE_S)
-            rest_ms_per_s = await _rest_ms_per_s(stage.gateways, seconds)
-            gateway = stage.gateway
+            rest_ms_per_s = await _rest_ms_per_s(environment.gateways, seconds)
+            gateway = environment.gateway
             await _load(gateway, WARM_UP_S, prefix="w")
             before_s = gateway.cpu_s()
             counts = await _load(gateway, seconds, prefix="c")
             used_s = gateway.cpu_s() - before_s
             request_us = 1e6 * used_s / max(1, counts.sent)
-            return Cost(rest_ms_per_s, request_us, counts.in_aim + counts.served)
+            return Cost(rest_ms_per_s, request_us, counts.within_objective + counts.served)
 
 
 async def _rest_ms_per_s(gateways: Sequence[GatewayProcess], seconds: float) -> float:
@@ -73,7 +73,7 @@
     return 1e3 * used_s / len(gateways) / seconds
 
 
-async def _load(gateway: GatewayProcess, seconds: float, prefix: str) -> Tally:
+async def _load(gateway: GatewayProcess, seconds: float, prefix: str) -> OutcomeCounts:
     """Closed-loop load on one gateway; ids of requests begin with `prefix`."""
     result = await run_load(
         gateway.address,
--- a/bench/fleet_processes.py
+++ b/bench/fleet_processes.py
@@ -31,7 +31,7 @@
 from testbed.clients import Load
 from testbed.gateway import GatewayProcess
 from testbed.schedule import steady
-from testbed.stage import Stage
+from testbed.environment import Environment
 
 HOSTS = 6
 HOST_DELAY_S = 0.01
@@ -45,8 +45,8 @@
 class FaultRun:
     """The faults on one stage of `count` gateways; each prints its row once the views agree."""
 
-    def __init__(self, stage: Stage, count: int) -> None:
-        self._stage = stage
+    def __init__(self, environment: Environment, count: int) -> None:
+        self._stage = environment
         self._all = set(range(count))
         self._killed, self._left = killed_and_left(count)
         self._sides = partition_sides(count)
@@ -102,14 +102,16 @@
         To hold one of the own group for gone counts as wrong from `wrong_from` on, by default from
         `began`. Both are times of the monotonic clock.
         """
-        stage = self._stage
-        before = await _sent_bytes(stage)
-        agreed = await _wait_until(lambda: all(_views_agree(stage, group) for group in groups))
-        after = await _sent_bytes(stage)
+        environment = self._stage
+        before = await _sent_bytes(environment)
+        agreed = await _wait_until(
+            lambda: all(_views_agree(environment, group) for group in groups)
+        )
+        after = await _sent_bytes(environment)
         elapsed_s = max(POLL_S, time.monotonic() - began)
         rates = [(size - before.get(number, 0)) / elapsed_s for number, size in after.items()]
         since = began if wrong_from is None else wrong_from
-        wrong = sum(_false_failures(stage, group, since) for group in groups)
+        wrong = sum(_false_failures(environment, group, since) for group in groups)
         agreed_after = f"{time.monotonic() - began:.1f}" if agreed else "never"
         print(row(event, agreed_after, wrong, f"{_mean(rates):.0f}"), flush=True)
 
@@ -119,9 +121,9 @@
     return sum(values) / max(1, len(values))
 
 
-async def _sent_bytes(stage: Stage) -> dict[str, int]:
+async def _sent_bytes(environment: Environment) -> dict[str, int]:
     """Bytes of datagrams that each gateway has sent so far, by its number as JSON has it."""
-    report = await stage.relay.say()
+    report = await environment.relay.send_command()
     sent: dict[str, int] = report["bytes"]
     return sent
 
@@ -144,9 +146,9 @@
         return None
 
 
-def _views_agree(stage: Stage, group: set[int]) -> bool:
+def _views_agree(environment: Environment, group: set[int]) -> bool:
     """Whether each of the group holds all others of it for alive, and nobody else."""
-    return all(_view_is(_read_view(stage.gateways[n]), group - {n}) for n in group)
+    return all(_view_is(_read_view(environment.gateways[n]), group - {n}) for n in group)
 
 
 def _view_is(view: Report | None, expected: set[int]) -> bool:
@@ -158,7 +160,7 @@
     return alive == expected and MemberState.SUSPECT.reported_name not in states.values()
 
 
-def _false_failures(stage: Stage, group: set[int], since: float) -> int:
+def _false_failures(environment: Environment, group: set[int], since: float) -> int:
     """How often one of the group came to hold another of it for gone, from `since` on.
 
     All processes of a machine share the monotonic clock, so that the times of their changes compare
@@ -169,7 +171,7 @@
         and change["member"] in group
         and change["clock"] >= since
         for number in group
-        for change in _read_changes(stage.gateways[number])
+        for change in _read_changes(environment.gateways[number])
     )
 
 
@@ -178,32 +180,32 @@
     return [json.loads(line) for line in gateway.changes_file.read_text().splitlines()]
 
 
-def _account(stage: Stage, loads: Sequence[Load]) -> str:
+def _account(environment: Environment, loads: Sequence[Load]) -> str:
     """What became of all requests, in one line."""
     whole = summarize(record for load in loads for record in load.records)
-    served = whole.in_aim + whole.served
-    unanswered = whole.sent - served - whole.refused - whole.failed
+    served = whole.within_objective + whole.served
+    unanswered = whole.sent - served - whole.rejected - whole.failed
     return (
-        f"sent {whole.sent}, served {served}, refused {whole.refused}, failed {whole.failed}, "
-        f"unanswered {unanswered}, rules broken {len(stage.broken(*loads))}"
+        f"sent {whole.sent}, served {served}, refused {whole.rejected}, failed {whole.failed}, "
+        f"unanswered {unanswered}, rules broken {len(environment.broken(*loads))}"
     )
 
 
 async def play(gateways: int, seconds: float, broadcast: bool) -> None:
     """Take a fleet through all faults, under `seconds` of load from the start of all on."""
     with tempfile.TemporaryDirectory() as folder:
-        stage = Stage(
+        environment = Environment(
             Path(folder),
             REQUEST_CLASSES,
             HOSTS,
             delay=HOST_DELAY_S,
             gateways=gateways,
             fleet=MEMBERSHIP_FILE,
-            aloud=broadcast,
+            broadcast=broadcast,
         )
         began = time.monotonic()
-        async with stage:
-            run = FaultRun(stage, gateways)
+        async with environment:
+            run = FaultRun(environment, gateways)
             await run.started(began)
             loads = run.loads()
             sending = [
@@ -216,7 +218,7 @@
             await asyncio.gather(*sending)
             for load in loads:
                 await load.settle()
-            print(_account(stage, loads))
+            print(_account(environment, loads))
 
 
 def main() -> int:
--- a/bench/fleet_worth.py
+++ b/bench/fleet_worth.py
@@ -23,7 +23,7 @@
 from bench.tables import header, row
 from testbed.clients import Load
 from testbed.schedule import poisson
-from testbed.stage import Stage
+from testbed.environment import Environment
 
 HOSTS = 6
 CALM_S = 5.0  # of load before the kill
@@ -63,24 +63,24 @@
     killed, left = killed_and_left(gateways)
     rate_each = rate / len(left)
     with tempfile.TemporaryDirectory() as folder:
-        async with Stage(
+        async with Environment(
             Path(folder),
             REQUEST_CLASSES,
             HOSTS,
             delay=host_delay_s,
             gateways=gateways,
             fleet=MEMBERSHIP_FILE.format(windows=windows),
-        ) as stage:
-            calm = {n: stage.load(n, seed=seed, prefix=f"a{n}-") for n in left}
+        ) as environment:
+            calm = {n: environment.load(n, seed=seed, prefix=f"a{n}-") for n in left}
             await send(calm, rate_each, CALM_S, seed * CALM_SEED_FACTOR)
             for number in killed:
-                stage.gateways[number].kill()
-            measured = {n: stage.load(n, seed=seed, prefix=f"b{n}-") for n in left}
+                environment.gateways[number].kill()
+            measured = {n: environment.load(n, seed=seed, prefix=f"b{n}-") for n in left}
             rate_after = gateways / len(left) * rate_each
             await send(measured, rate_after, MEASURED_S, seed * MEASURED_SEED_FACTOR)
             for load in [*calm.values(), *measured.values()]:
                 await load.settle()
-            broken_rules = stage.broken(*calm.values(), *measured.values())
+            broken_rules = environment.broken(*calm.values(), *measured.values())
             return summarize_loads(measured, broken_rules)
 
 
@@ -94,8 +94,8 @@
 def summarize_loads(loads: Mapping[int, Load], broken_rules: list[str]) -> Result:
     """The result of these loads; AssertionError where a request was late or has no answer."""
     whole = summarize(record for load in loads.values() for record in load.records)
-    assert whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed
-    return Result(whole.worth, whole.refused, whole.sent, broken_rules)
+    assert whole.sent == whole.within_objective + whole.served + whole.rejected + whole.failed
+    return Result(whole.value, whole.rejected, whole.sent, broken_rules)
 
 
 async def measure(seeds: int, gateways: int, rate: float, host_delay_s: float) -> None:
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -19,7 +19,21 @@
     return f"| {' | '.join(map(str, cells))} |"
 
 
-def percentiles_ms(durations_s: Sequence[float]) -> str:
-    """A cell with the median and the 99th percentile, in whole milliseconds."""
-    median_s, p99_s = (percentile(durations_s, q) for q in (0.5, 0.99))
-    return f"{median_s * MS_PER_S:.0f} / {p99_s * MS_PER_S:.0f}"
+def print_header(*columns: str) -> None:
+    """Print the two lines that begin a table with these columns."""
+    print(header(*columns))
+
+
+def print_row(*cells: object, remark: str = "") -> None:
+    """Print one line, and a remark behind it; at once, so that a long run shows how far it is."""
+    print(f"{row(*cells)}{remark}", flush=True)
+
+
+def milliseconds(durations_s: Sequence[float], quantile: float, digits: int = 0) -> str:
+    """The value at a quantile (0 to 1) of durations in seconds, as milliseconds with `digits`."""
+    return f"{percentile(durations_s, quantile) * MS_PER_S:.{digits}f}"
+
+
+def percentiles_ms(durations_s: Sequence[float], digits: int = 0) -> str:
+    """The cell `p50 / p99` of durations in seconds, as milliseconds with `digits`."""
+    return f"{milliseconds(durations_s, 0.5, digits)} / {milliseconds(durations_s, 0.99, digits)}"
--- a/bench/upgradable_gateway.py
+++ b/bench/upgradable_gateway.py
@@ -13,7 +13,7 @@
 from testbed.builds import Builds
 from testbed.clients import Load
 from testbed.schedule import steady
-from testbed.stage import Stage
+from testbed.environment import Environment
 
 HOSTS = 6
 HOST_DELAY_S = 0.02
@@ -33,7 +33,7 @@
 
 
 @contextlib.asynccontextmanager
-async def upgradable_gateway(canary: str) -> AsyncIterator[tuple[Stage, Builds]]:
+async def upgradable_gateway(canary: str) -> AsyncIterator[tuple[Environment, Builds]]:
     """A stage whose gateway can be upgraded, and the build on its disk.
 
     `canary` is how long the process before stands by, as the upgrades file has it ("500 ms").
@@ -41,7 +41,7 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         builds = Builds(folder / "build")
-        async with Stage(
+        async with Environment(
             folder,
             REQUEST_CLASSES,
             hosts=HOSTS,
@@ -49,14 +49,14 @@
             sockets=DESCRIPTORS,
             upgrades=UPGRADES_FILE.format(canary=canary),
             path=builds.folder,
-        ) as stage:
-            yield stage, builds
+        ) as environment:
+            yield environment, builds
 
 
 @contextlib.asynccontextmanager
-async def steady_load(stage: Stage, rate: float) -> AsyncIterator[Load]:
+async def steady_load(environment: Environment, rate: float) -> AsyncIterator[Load]:
     """A load of `rate` requests a second, until the end of the block; then it is settled."""
-    load = stage.load(shares=MIX, most=MAX_CONNECTIONS)
+    load = environment.load(weights=MIX, most=MAX_CONNECTIONS)
     sending = asyncio.ensure_future(load.open_loop(steady(rate, LOAD_S)))
     try:
         yield load
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -91,7 +91,7 @@
         descriptors = gateway.processes()
         observation.most_descriptors = max(observation.most_descriptors, sum(descriptors.values()))
         observation.most_mib = max(observation.most_mib, memory_mib(descriptors))
-        now_serving = _serving_process(await gateway.say("status"))
+        now_serving = _serving_process(await gateway.send_command("status"))
         if now_serving and serving not in ("", now_serving):
             observation.switches.append(time.monotonic())
         serving = now_serving or serving
@@ -105,8 +105,8 @@
 
 async def upgrade_once(gateway: GatewayProcess) -> str:
     """Upgrade to the build on the disk; returns the last line of the answer once all is over."""
-    answer = await gateway.say("upgrade")
-    while len(await gateway.say("status")) > STATUS_LINES_AT_REST:
+    answer = await gateway.send_command("upgrade")
+    while len(await gateway.send_command("status")) > STATUS_LINES_AT_REST:
         await asyncio.sleep(POLL_S)
     return answer[-1]
 
@@ -216,13 +216,13 @@
 def request_row(name: str, records: Iterable[Record]) -> str:
     """One row: what became of these requests, both classes together."""
     whole = summarize(records)
-    counts = (whole.sent, whole.in_aim, whole.refused, whole.failed, whole.unanswered)
+    counts = (whole.sent, whole.within_objective, whole.rejected, whole.failed, whole.unanswered)
     return row(name, *counts, percentiles_ms(whole.took))
 
 
 def print_totals(load: Load, observation: Observation, new_connections: int) -> None:
     """Print what became of connections, and what all processes together needed at most."""
-    sent_again = sum(record.again for record in load.records)
+    sent_again = sum(record.resent for record in load.records)
     print(
         f"\nconnects refused {load.refused_connects}, connections opened anew {new_connections}, "
         f"requests sent again {sent_again}\n"
--- a/bench/upgrade_successors.py
+++ b/bench/upgrade_successors.py
@@ -61,7 +61,7 @@
             module.write_text(module.read_text() + NO_STATE_BUILD)
         async with asyncio.TaskGroup() as tasks:
             if successor is not Successor.NO_UPGRADE:
-                tasks.create_task(stage.gateway.say("upgrade"))
+                tasks.create_task(stage.gateway.send_command("upgrade"))
                 await _wait_for_switch(stage.gateway)
             began = time.monotonic()
             await asyncio.sleep(seconds)
@@ -74,5 +74,5 @@
 
 async def _wait_for_switch(gateway: GatewayProcess) -> None:
     """Return as soon as the new process serves and the old one stands by."""
-    while not any("stands by" in line for line in await gateway.say("status")):
+    while not any("stands by" in line for line in await gateway.send_command("status")):
         await asyncio.sleep(SWITCH_POLL_S)
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -39,10 +39,10 @@
 from quillroad.balancing.settings import Idempotency, Route, Settings
 from quillroad.balancing.zone_routing import CrossZoneBudget, CrossZoneLimits, RouteAllowance
 from quillroad.zones.report import Report, read_report
-from testbed.account import Record, tally, total
+from testbed.account import Record, count_outcomes, total
 from testbed.clients import Load
 from testbed.schedule import steady
-from testbed.stage import Stage
+from testbed.environment import Environment
 
 LOCAL_ZONE, REMOTE_ZONE = "east", "west"
 HOSTS = 8  # in the two zones in turn
@@ -131,23 +131,25 @@
     """Take a gateway through all phases, `phase_s` seconds each, at `rate` requests a second."""
     with tempfile.TemporaryDirectory() as name:
         report = Path(name) / "report.json"
-        async with Stage(
+        async with Environment(
             Path(name),
             REQUEST_CLASSES,
             hosts=HOSTS,
             delay=HOST_DELAY_S,
             zones=(LOCAL_ZONE, REMOTE_ZONE),
             budget=budget.file(report) if budget else "",
-        ) as stage:
-            load = stage.load(shares=MIX, most=MAX_CONNECTIONS)
+        ) as environment:
+            load = environment.load(weights=MIX, most=MAX_CONNECTIONS)
             records = {
-                phase: await _play_phase(stage, load, phase, rate, phase_s) for phase in Phase
+                phase: await _play_phase(environment, load, phase, rate, phase_s) for phase in Phase
             }
             receipts = {
-                zone: [r.at for host in stage.hosts if host.zone == zone for r in host.receipts]
+                zone: [
+                    r.at for host in environment.hosts if host.zone == zone for r in host.receipts
+                ]
                 for zone in (LOCAL_ZONE, REMOTE_ZONE)
             }
-            broken_rules = stage.broken(load)
+            broken_rules = environment.broken(load)
             if budget:
                 await asyncio.sleep(REPORT_WAIT_S)
             return Run(
@@ -160,10 +162,10 @@
 
 
 async def _play_phase(
-    stage: Stage, load: Load, phase: Phase, rate: float, seconds: float
+    environment: Environment, load: Load, phase: Phase, rate: float, seconds: float
 ) -> list[Record]:
     """Play one phase; returns its requests."""
-    local_hosts = [host for host in stage.hosts if host.zone == LOCAL_ZONE]
+    local_hosts = [host for host in environment.hosts if host.zone == LOCAL_ZONE]
     for index, host in enumerate(local_hosts):
         host.hangs = phase.hangs(index)
     before = len(load.records)
@@ -180,9 +182,9 @@
 
 def phase_row(name: str, phase: Phase, records: list[Record], crossings: list[float]) -> str:
     """One row: parts (0 to 1) of requests by class, crossings a request, latency in ms."""
-    by_class = tally(records, REQUEST_CLASSES).values()
+    by_class = count_outcomes(records, REQUEST_CLASSES).values()
     parts = [
-        f"{counts.in_aim / counts.sent:.3f} / {counts.refused / counts.sent:.3f}"
+        f"{counts.within_objective / counts.sent:.3f} / {counts.rejected / counts.sent:.3f}"
         for counts in by_class
     ]
     began, ended = records[0].sent, records[-1].sent
@@ -200,7 +202,7 @@
         return []
     classes = run.report.classes
     lines = [
-        row(name, line.name, line.crossed, *line.reasons.values(), line.past, line.refused)
+        row(name, line.name, line.crossed, *line.reasons.values(), line.past, line.rejected)
         for line in classes
     ]
     for zone, received in run.received.items():
@@ -239,7 +241,7 @@
         record
         for records in run.records.values()
         for record in records
-        if REQUEST_CLASSES[record.work].keyed
+        if REQUEST_CLASSES[record.class_index].keyed
     ]
     good = [record for record in checkouts if _is_in_objective(record)]
     sent_counts = _count_by_slot((record.sent for record in checkouts), run.began, slots)
@@ -252,7 +254,10 @@
 
 def _is_in_objective(record: Record) -> bool:
     """Whether a request was served within its latency objective."""
-    return record.status == HTTPStatus.OK and record.took <= REQUEST_CLASSES[record.work].aim
+    return (
+        record.status == HTTPStatus.OK
+        and record.took <= REQUEST_CLASSES[record.class_index].latency_objective
+    )
 
 
 def _count_by_slot(times: Iterable[float], began: float, slots: int) -> list[int]:
