--- a/bench/local_gateway.py
+++ b/bench/local_gateway.py
@@ -19,14 +19,6 @@
 HOST_COUNT = 12
 DESCRIPTORS = 8192  # that the gateway may have open
 
-# Seconds of latency objective and deadline, then the priority weight.
-STATUS_CHECK = RequestClass("status-check", 0.58, 1.4, 2.0)
-
-
-def seat_checkout(body_bytes: int = 200) -> RequestClass:
-    """The class of requests with an idempotency key and a body of so many bytes."""
-    return RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=body_bytes)
-
 
 class Program(StrEnum):
     """What runs between the clients and the hosts."""
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -25,7 +25,7 @@
 
 import uvloop
 
-from bench.local_gateway import STATUS_CHECK, seat_checkout
+from bench.request_classes import REQUEST_CLASSES
 from bench.tables import milliseconds, print_header, print_row
 from testbed.account import OutcomeCounts, count_outcomes, total
 from testbed.clients import Load
@@ -35,7 +35,6 @@
 from testbed.ports import free_port
 from testbed.schedule import steady
 
-CLASSES = [STATUS_CHECK, seat_checkout()]
 CLASS_SHARES = (3, 1)  # of the requests
 HOST_COUNT = 8
 HOST_DELAY_S = 0.005  # of the hosts' answers
@@ -233,7 +232,7 @@
     cluster = await start_cluster(idle_instances)
     seconds = changes * 2 * SETTLE_S + LOAD_BEYOND_CHANGES_S
     async with gateway_of(cluster.agents, core) as gateway:
-        load = Load(gateway.address, CLASSES, CLASS_SHARES)
+        load = Load(gateway.address, REQUEST_CLASSES, CLASS_SHARES)
         cpu_before_s = gateway.cpu_s()
         sending = asyncio.ensure_future(load.open_loop(steady(rate, seconds)))
         await asyncio.sleep(WARM_UP_S)
@@ -244,7 +243,7 @@
     for agent in cluster.agents:
         agent.stop()
     delays.print()
-    whole = total(count_outcomes(load.records, CLASSES).values())
+    whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
     print_account(whole, len(cluster.nodes) + idle_instances, cpu_ms_per_s, memory_mb)
     return 0
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -19,14 +19,14 @@
 
 import uvloop
 
-from bench.local_gateway import STATUS_CHECK, Cores, gateway_with_hosts, seat_checkout
+from bench.local_gateway import Cores, gateway_with_hosts
 from bench.picture import lines
-from bench.tables import p50_and_p99_ms, print_header, print_row
+from bench.request_classes import REQUEST_CLASSES
+from bench.tables import percentiles_ms, print_header, print_row
 from testbed.account import OutcomeCounts, total
 from testbed.gateway import GatewayProcess
 from testbed.processes import Result, run_load
 
-CLASSES = [STATUS_CHECK, seat_checkout()]
 CLASS_SHARES = [0.56, 0.44]  # of the requests
 MULTIPLES = (0.9, 1.0, 1.1, 1.5, 2.0, 3.0, 5.0)  # of the capacity
 # Loads that change: parts of (multiple of the capacity, seconds).
@@ -83,7 +83,7 @@
         """Requests sent, each counted with its priority weight."""
         return sum(
             self.result.rows[request_class.name].sent * request_class.priority_weight
-            for request_class in CLASSES
+            for request_class in REQUEST_CLASSES
         )
 
     def cpu_not_served(self, capacity: Capacity) -> float:
@@ -103,7 +103,13 @@
         """Run a load of this kind for so long; `options` are those of `run_load`."""
         before_s = self.gateway.cpu_s()
         result = await run_load(
-            self.gateway.address, CLASSES, CLASS_SHARES, self.cores, kind, seconds, **options
+            self.gateway.address,
+            REQUEST_CLASSES,
+            CLASS_SHARES,
+            self.cores,
+            kind,
+            seconds,
+            **options,
         )
         return Measurement(result, seconds, self.gateway.cpu_s() - before_s)
 
@@ -142,8 +148,8 @@
         str(counts.rejected),
         str(counts.failed),
         str(counts.unanswered),
-        p50_and_p99_ms(counts.took),
-        p50_and_p99_ms(counts.rejection_took, digits=1),
+        percentiles_ms(counts.took),
+        percentiles_ms(counts.rejection_took, digits=1),
         f"{cpu_cores:.2f}, {measured.cpu_not_served(capacity):.2f}",
     )
     print_row(*cells, remark=_remark(measured.result))
@@ -179,7 +185,7 @@
 async def run(options: argparse.Namespace, cores: Cores, multiples: Sequence[float]) -> list[float]:
     """Start hosts and gateway as the command line says, and measure."""
     async with gateway_with_hosts(
-        CLASSES,
+        REQUEST_CLASSES,
         cores,
         host_delay_s=options.delay,
         descriptors=options.sockets,
--- a/bench/path.py
+++ b/bench/path.py
@@ -22,13 +22,12 @@
 from bench.local_gateway import (
     COMPILED,
     HOST_COUNT,
-    STATUS_CHECK,
     Cores,
     Program,
     gateway_with_hosts,
-    seat_checkout,
 )
 from bench.picture import lines
+from bench.request_classes import STATUS_CHECK, seat_checkout
 from bench.tables import print_header, print_row
 from testbed.account import RequestClass, percentile, total
 from testbed.processes import run_load
--- a/bench/storm.py
+++ b/bench/storm.py
@@ -14,15 +14,14 @@
 
 import uvloop
 
-from bench.local_gateway import STATUS_CHECK, Cores, Program, gateway_with_hosts, seat_checkout
+from bench.local_gateway import Cores, Program, gateway_with_hosts
+from bench.request_classes import REQUEST_CLASSES
 from bench.tables import milliseconds
 from testbed.account import total
 from testbed.processes import Result, run_load
 
 DEADLINE_S = 0.9
-CLASSES = [
-    replace(request_class, deadline=DEADLINE_S) for request_class in (STATUS_CHECK, seat_checkout())
-]
+CLASSES = [replace(request_class, deadline=DEADLINE_S) for request_class in REQUEST_CLASSES]
 CLASS_SHARES = [3, 1]  # of the requests
 SIZES = (150, 300, 1000, 4000)  # numbers of clients
 SECONDS = 2.0  # for which they ask
