--- a/testbed/environment.py
+++ b/testbed/environment.py
@@ -103,12 +103,11 @@
         self._membership = _Membership(fleet, bool(fleet) and peers, broadcast, every)
         self._relays_lines = lines
         self.relay = RelayProcess([])
-        # Gateways that cannot hear what discovery tells.
-        self.uninformed: frozenset[int] = frozenset()
+        self.uninformed: frozenset[int] = frozenset()  # gateways that discovery does not reach
         self._count = gateways
         self.gateways: list[GatewayProcess] = []
         self.log = ""
-        self.drains: list[Drain] = []  # that were told
+        self.drains: list[Drain] = []  # that the endpoint list announced
         self._rations: list[asyncio.subprocess.Process] = []
 
     @property
