--- a/quillroad/downstream/connection.py
+++ b/quillroad/downstream/connection.py
@@ -9,13 +9,12 @@
 
 import asyncio
 import logging
-import os
 import socket
 from functools import partial
 from time import monotonic
 from typing import TYPE_CHECKING, cast
 
-from quillroad.downstream.connection_output import ConnectionOutput
+from quillroad.downstream.connection_migration import MigratableConnection
 from quillroad.downstream.request_parser import PendingRequest
 from quillroad.downstream.responses import CONTINUE
 from quillroad.downstream.state import (
@@ -46,7 +45,7 @@
 AGED_S = 0.05
 
 
-class ClientConnection(ConnectionOutput):
+class ClientConnection(MigratableConnection):
     """One client connection: one request at a time, those sent ahead in order."""
 
     def __init__(self, server: Server, sock: socket.socket) -> None:
@@ -317,7 +316,7 @@
         elif self.idle() and waited_s > idle_limit_s(parser.completed) and not self.unread():
             self.abort()  # with bytes unread it is a loop that runs late
 
-    # What its output half says of it.
+    # What its other halves say of it.
 
     def _written(self, keep: bool, ahead: bool) -> None:
         if not keep:
@@ -333,64 +332,14 @@
     def _mark_closing(self) -> None:
         self._server.mark_closing(self)
 
-    # Moving to another process of this gateway.
+    def _mark_busy(self) -> None:
+        self._server.mark_busy(self)
 
-    def begin_migration(self) -> int | None:
-        """Read nothing more, and give a copy of the descriptor: `brought` is what goes with it.
-
-        None where the connection is not between two requests. Bytes that come wait in the kernel
-        for whoever reads next.
-        """
-        if self._transport is None or self.output_pending or not self.idle():
-            return None
-        try:
-            copy = os.dup(self._sock.fileno())
-        except OSError:
-            return None
-        self._pause_reading(True)
-        self._answering = ANSWER_AFTER[self._answering][AnswerEvent.HOLD]
-        self._server.mark_busy(self)  # nobody ends it meanwhile
-        return copy
-
-    @property
-    def requests_served(self) -> int:
-        """How many requests it has brought."""
-        return self._parser.completed
-
-    def cancel_migration(self) -> None:
-        """It stays here after all."""
-        self._answering = ANSWER_AFTER[self._answering][AnswerEvent.RELEASE]
-        if self._transport is not None:
-            self._pause_reading(False)
-            self._server.mark_resting(self)
-
-    def complete_migration(self) -> None:
-        """It is another process's now: its client hears nothing of that."""
-        self._answering = ANSWER_AFTER[self._answering][AnswerEvent.RELEASE]
-        self._parser.end()
-        self._server.mark_closing(self)
-        if self._transport is not None:
-            self._transport.abort()
-
-    def arrives(self, brought: int) -> None:
-        """It comes from another process, between two requests, of which it has brought so many."""
-        self._parser.completed = brought
+    def _mark_resting(self) -> None:
+        self._server.mark_resting(self)
 
     # What the server and the engine ask.
 
-    def idle(self, unparsed: bool = True) -> bool:
-        """Whether it is between two requests.
-
-        `unparsed` says whether bytes that were read and not parsed count.
-        """
-        parser = self._parser
-        return (
-            self._answering is AnswerState.IDLE
-            and parser.state is ReadState.BETWEEN
-            and not parser.backlog
-            and not (unparsed and parser.unparsed)
-        )
-
     def may_end(self) -> bool:
         """Whether it is idle, with nothing known to be on its way in either direction."""
         return self.idle() and not self.output_pending and not self.unread()
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -47,6 +47,7 @@
 from quillroad.engine.endpoint_sync import apply_endpoint_update
 from quillroad.engine.open_request import OpenRequest
 from quillroad.engine.reply import FAILED, REJECTED, SERVED, TIMED_OUT, Reply
+from quillroad.engine.request_table import RequestTable
 from quillroad.engine.requester import Requester
 from quillroad.http_answer import Answer
 from quillroad.upstream.attempt import Done
@@ -58,12 +59,13 @@
 log = logging.getLogger("quillroad.engine.engine")
 
 
-class Engine:
+class Engine(RequestTable):
     """One balancer, one clock, and the open requests."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream
     ) -> None:
+        super().__init__()
         self.hosts: dict[int, Host] = {}  # by endpoint id
         # Called when no more requests wait in the balancer than there are hosts.
         self.on_capacity: Callable[[], None] | None = None
@@ -76,10 +78,6 @@
         self._loop_lag = upstream.loop_monitor.loop_lag
         self._clock = EngineClock(upstream.loop_monitor.loop_lag)
         self._numbers = itertools.count(1)
-        self._open: dict[int, OpenRequest] = {}
-        self._unanswered_ids: set[str] = (
-            set()
-        )  # ids of the requests that still wait for their answer
         self._events: deque[Event] = deque()
         self._feeding = False
 
@@ -87,20 +85,11 @@
         """Unix time in microseconds that never goes back."""
         return self._clock.now_us()
 
-    def is_open(self, request_id: str) -> bool:
-        """Whether a request of this id waits for its answer."""
-        return request_id in self._unanswered_ids
-
     @property
     def ready(self) -> bool:
         """Whether there are hosts."""
         return bool(self.hosts)
 
-    @property
-    def unanswered(self) -> int:
-        """Requests that wait for their answer."""
-        return len(self._unanswered_ids)
-
     @property
     def warm_up_us(self) -> int:
         """For so long after its start a host may be warming up, in microseconds."""
@@ -149,9 +138,6 @@
             self._arrive(opened)
         return opened
 
-    def _has_work(self) -> bool:
-        return bool(self._open)
-
     def _arrive(self, opened: OpenRequest) -> None:
         if opened.reply is None:
             return  # departed, or answered, while it was held
@@ -376,27 +362,3 @@
         elapsed_us = max(1, int((at - started) * 1e6))
         self.feed(AttemptFinished(opened.number, number, outcome, elapsed_us, opened.reply is None))
         self._forget(opened)
-
-    # The end of a request.
-
-    def _answer(self, opened: OpenRequest, reply: Reply) -> None:
-        send = opened.reply
-        self._settle(opened)
-        if send is not None:
-            send(reply)
-
-    def _settle(self, opened: OpenRequest) -> None:
-        """Its client waits no longer."""
-        opened.reply = None
-        self._unanswered_ids.discard(opened.request.id)
-        if opened.overdue_timer is not None:
-            opened.overdue_timer.cancel()
-
-    def _forget(self, opened: OpenRequest) -> None:
-        """Let go of a request that has its answer and none of whose attempts is in flight."""
-        if opened.reply is not None:
-            return
-        if opened.attempts_in_flight:
-            opened.withdraw_connecting()
-        if not opened.attempts_in_flight:
-            self._open.pop(opened.number, None)
--- a/quillroad/upgrade/sibling_process.py
+++ b/quillroad/upgrade/sibling_process.py
@@ -74,7 +74,7 @@
 
     def begin(self) -> None:
         """Look for one that serves, and then serve."""
-        self._own_task(self._look_for_sibling())
+        self._tasks.start(self._look_for_sibling())
 
     async def _look_for_sibling(self) -> None:
         until = self._started_at + BUSY_TIMEOUT_S
@@ -168,7 +168,7 @@
                 if not (isinstance(command.message, Room) and self._gateway is None):
                     self._perform_all(self._state.supervisor_said(command.message))
             case HandoverStep.PREPARE:
-                self._own_task(self._prepare())
+                self._tasks.start(self._prepare())
             case HandoverStep.OPEN:
                 if self._listener is None:
                     self._listener = open_listener(*self._config.listen, shared=True)
@@ -190,7 +190,7 @@
             print(f"quillroad: {error}", file=sys.stderr)
             self._fail(2 if isinstance(error, ConfigError) else 1)
             return
-        self._own_task(self._lend_forever())
+        self._tasks.start(self._lend_forever())
         is_linked = self._sibling is not None  # it may have gone meanwhile
         if is_linked:
             self._loop.call_at(self._started_at + HANDOVER_TIMEOUT_S, self._handover_is_late)
@@ -248,10 +248,6 @@
 
     # The end.
 
-    def _fail(self, status: int) -> None:
-        self.status = status
-        self.end.set()
-
     def drain(self) -> None:
         """Answer what is open and end; newcomers find this process no more."""
         self._handover.ending = True
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -74,7 +74,7 @@
         if isinstance(message, Welcome) and len(descriptors) == 1:
             self._listener = socket.socket(fileno=descriptors[0])
             self._listener.setblocking(False)
-            self._own_task(self._prepare(message))
+            self._tasks.start(self._prepare(message))
             return
         is_link = isinstance(message, Give | Take) and len(descriptors) == 1
         if is_link and self._gateway is not None:
@@ -102,12 +102,11 @@
             self._unfit(f"{type(error).__name__}: {error}", 1)
         else:
             self._supervisor.send(Ready(memory_mb()))
-            self._own_task(self._report_forever())
+            self._tasks.start(self._report_forever())
 
     def _unfit(self, why: str, status: int) -> None:
         self._supervisor.send(Unfit(why))
-        self.status = status
-        self.end.set()
+        self._fail(status)
 
     async def _report_forever(self) -> None:
         while True:
--- a/quillroad/upgrade/worker_process.py
+++ b/quillroad/upgrade/worker_process.py
@@ -7,12 +7,11 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import gc
 import logging
 import signal
 import socket
-from collections.abc import Callable, Coroutine, Sequence
+from collections.abc import Callable, Sequence
 from pathlib import Path
 from typing import assert_never
 
@@ -21,6 +20,7 @@
 from quillroad.upgrade.channel import Channel, close_all
 from quillroad.upgrade.messages import Connections, Message, OperatorActions, State, batch_of
 from quillroad.upgrade.migration import MigratingServer, Migrations, wait_until_empty
+from quillroad.upgrade.owned_tasks import OwnedTasks
 from quillroad.upgrade.sections import by_hand, read, write
 from quillroad.upgrade.sibling_engine import SiblingEngine
 from quillroad.upgrade.state_snapshot import halve_retry_budgets
@@ -70,7 +70,7 @@
         self._descriptors: list[int] = []  # that came with the message at hand
         self._share_timer: asyncio.TimerHandle | None = None
         self.status = 0  # to exit with
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._tasks = OwnedTasks(loop, on_fault=lambda: self._fail(1))
         self._ending = False
         self.end = asyncio.Event()
         self._reload_due = False  # a reload was asked for before there was a gateway that could
@@ -225,8 +225,7 @@
                 log.exception("could not carry out %s", command)
                 if command is Step.ACCEPT:
                     # Nobody would accept, and the supervisor would take this process for the owner.
-                    self.status = 1
-                    self.end.set()
+                    self._fail(1)
                     return
                 if self._sibling is not None:
                     self._on_link_lost("a fault of ours")
@@ -289,7 +288,7 @@
             case Step.ALONE:
                 self.engine.forget_sibling()
             case Step.FINISH:
-                self._own_task(self._finish())
+                self._tasks.start(self._finish())
             case _:
                 assert_never(step)
 
@@ -377,10 +376,10 @@
         if self._gateway is None:
             self.end.set()
         elif self._state.accepts:
-            self._own_task(self._drain())
+            self._tasks.start(self._drain())
         else:
             self._close_link()
-            self._own_task(self._finish())
+            self._tasks.start(self._finish())
 
     async def _drain(self) -> None:
         log.info("draining")
@@ -389,22 +388,11 @@
         log.info("drained")
         self.end.set()
 
-    def _own_task(self, coroutine: Coroutine[None, None, None]) -> None:
-        """Run it; a fault in it ends the process, and `close` awaits it."""
-        task = self._loop.create_task(coroutine)
-        self._tasks.add(task)
-        task.add_done_callback(self._task_done)
-
-    def _task_done(self, task: asyncio.Task[None]) -> None:
-        self._tasks.discard(task)
-        if not task.cancelled() and task.exception() is not None:
-            log.error("a task of the upgrade failed", exc_info=task.exception())
-            self.status = 1
-            self.end.set()
+    def _fail(self, status: int) -> None:
+        """End the process, with a status other than 0."""
+        self.status = status
+        self.end.set()
 
     async def close(self) -> None:
         """Cancel what still runs, and wait for it."""
-        for task in list(self._tasks):
-            task.cancel()
-            with contextlib.suppress(asyncio.CancelledError):
-                await task
+        await self._tasks.close()
--- a/tests/downstream/test_state.py
+++ b/tests/downstream/test_state.py
@@ -9,7 +9,12 @@
 
 import pytest
 
-from quillroad.downstream import connection, connection_output, request_parser
+from quillroad.downstream import (
+    connection,
+    connection_migration,
+    connection_output,
+    request_parser,
+)
 from quillroad.downstream.state import (
     ANSWER_AFTER,
     NOT_BEGUN,
@@ -228,7 +233,7 @@
     seen, refused = set[str](), list[TransitionError]()
     answers = tuple(Recorded(row, seen, refused) for row in ANSWER_AFTER)
     reads = tuple(Recorded(row, seen, refused) for row in READ_AFTER)
-    for module in (connection, connection_output):
+    for module in (connection, connection_migration, connection_output):
         monkeypatch.setattr(module, "ANSWER_AFTER", answers)
     monkeypatch.setattr(request_parser, "READ_AFTER", reads)
     return seen, refused
