--- a/quillroad/config/platform.py
+++ b/quillroad/config/platform.py
@@ -26,6 +26,7 @@
 
 PROCESSES_MB = 48  # two processes without any body: 40 MB measured, and a reserve
 DEFAULT_MEMORY_MB = 192
+DEFAULT_NAME = "gateway"
 DEFAULT_SOCKETS = 1024
 DEFAULT_CONNECT_TIMEOUT_US = 1_000_000
 DEFAULT_IDLE_US = 15_000_000
@@ -34,18 +35,18 @@
 def load(environment: Mapping[str, str]) -> Config:
     """The configuration that the environment points at. Raises `ConfigError` if it cannot work."""
     data = _read_file(environment)
-    told = _value(data, "settings", dict, "settings")
-    admin = environment.get("GW_ADMIN_ADDR") or data.get("admin_addr")
-    settings_limits = _value(told, "limits", dict, "settings.limits", {})
+    service = _value(data, "settings", dict, "settings")
+    admin = _setting(environment, "GW_ADMIN_ADDR", data, "admin_addr")
+    settings_limits = _value(service, "limits", dict, "settings.limits", {})
     try:
-        settings = read_settings(told)
+        settings = read_settings(service)
     except ValueError as error:
         raise ConfigError(f"settings.{error}") from None
-    listen = environment.get("GW_LISTEN") or data.get("listen")
-    discovery = environment.get("GW_DISCOVERY") or data.get("discovery")
+    listen = _setting(environment, "GW_LISTEN", data, "listen")
+    discovery = _setting(environment, "GW_DISCOVERY", data, "discovery")
     has_peers = settings_limits.get("peers") is True and data.get("peer_listen")
     return Config(
-        name=str(environment.get("GW_NAME") or data.get("name") or "gateway"),
+        name=str(_setting(environment, "GW_NAME", data, "name") or DEFAULT_NAME),
         listen=read_address(listen, "GW_LISTEN"),
         discovery=read_address(discovery, "GW_DISCOVERY"),
         seed=_seed(data.get("seed", 0)),
@@ -53,9 +54,9 @@
         cores=_cores(_limits(data)),
         known=_value(data, "known", dict, "known", {}),
         settings=settings,
-        tenants=_names(told, "orgs"),
-        kinds=_names(told, "models"),
-        zones=_names(told, "zones"),
+        tenants=_names(service, "orgs"),
+        kinds=_names(service, "models"),
+        zones=_names(service, "zones"),
         connect_timeout_s=_seconds(settings_limits, "connect_timeout", DEFAULT_CONNECT_TIMEOUT_US),
         admin=read_address(admin, "admin_addr") if admin else None,
         longest_body=LONG_BODY if admin else SHORT_BODY,
@@ -95,6 +96,13 @@
     return data
 
 
+def _setting(
+    environment: Mapping[str, str], variable: str, data: Mapping[str, Any], key: str
+) -> Any:
+    """A value of the environment, else of the file; an empty one counts as none."""
+    return environment.get(variable) or data.get(key)
+
+
 def _value(
     data: Mapping[str, Any], key: str, kind: type[Any], field: str, default: Any = None
 ) -> Any:
@@ -148,8 +156,8 @@
 
 
 def _peers(data: Mapping[str, Any]) -> Peers:
-    told = _value(data, "peers", list, "peers", [])
-    addresses = tuple(read_address(address, f"peers[{i}]") for i, address in enumerate(told))
+    peers = _value(data, "peers", list, "peers", [])
+    addresses = tuple(read_address(address, f"peers[{i}]") for i, address in enumerate(peers))
     everyone = read_address(data["peers_all"], "peers_all") if data.get("peers_all") else None
     return Peers(read_address(data["peer_listen"], "peer_listen"), addresses, everyone)
 
--- a/quillroad/discovery/consul/health.py
+++ b/quillroad/discovery/consul/health.py
@@ -140,14 +140,19 @@
     return check.CheckID == NODE_MAINTENANCE or check.CheckID.startswith(SERVICE_MAINTENANCE)
 
 
-def _address(node: _Node, service: _Service, tag: str) -> Address:
+def _tagged_address(node: _Node, service: _Service, tag: str) -> Address:
+    """The service's address of this tag, or the node's; what they lack is as without a tag."""
     host, port = service.Address or node.Address, service.Port
-    tagged = (service.TaggedAddresses or {}).get(tag) if tag else None
-    if tagged is not None:
-        host = tagged.address or tagged.Address or host
-        port = tagged.port or tagged.Port or port
-    elif tag and tag in (node.TaggedAddresses or {}):
-        host = (node.TaggedAddresses or {})[tag]
+    if not tag:
+        return host, port
+    tagged = (service.TaggedAddresses or {}).get(tag)
+    if tagged is None:
+        return (node.TaggedAddresses or {}).get(tag, host), port
+    return tagged.address or tagged.Address or host, tagged.port or tagged.Port or port
+
+
+def _address(node: _Node, service: _Service, tag: str) -> Address:
+    host, port = _tagged_address(node, service, tag)
     if not host or not 0 < port < 65536:
         raise ValueError(f"no address: {host!r}:{port}")
     return host, port
--- a/quillroad/discovery/fetch.py
+++ b/quillroad/discovery/fetch.py
@@ -38,18 +38,21 @@
         self._head_left = HEAD_LIMIT_BYTES
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep a header field; raises `FetchError` once the head is too long."""
         self._head_left -= len(name) + len(value)
         if self._head_left < 0:
             raise FetchError("head too long")
         self.headers[name.lower().decode("latin-1")] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
+        """Keep a part of the body; raises `FetchError` once the body is too long."""
         self._body_left -= len(body)
         if self._body_left < 0:
             raise FetchError("body too long")
         self.body.append(body)
 
     def on_message_complete(self) -> None:
+        """Note that the response is whole."""
         self.complete = True
 
 
--- a/quillroad/discovery/platform.py
+++ b/quillroad/discovery/platform.py
@@ -40,6 +40,7 @@
     """
 
     def set_exception(self, exc: BaseException) -> None:
+        """Take the loss of the connection for the end of what came."""
         self.feed_eof()
 
 
--- a/quillroad/downstream/server.py
+++ b/quillroad/downstream/server.py
@@ -97,6 +97,7 @@
 
     @answers_by.setter
     def answers_by(self, end: float) -> None:
+        """Set the monotonic time (s) by which each answer has to be out."""
         self.validator.answers_by = end
 
     @property
--- a/quillroad/upgrade/migration.py
+++ b/quillroad/upgrade/migration.py
@@ -97,6 +97,7 @@
         """
 
         def on_idle(connection: ClientConnection) -> None:
+            """Offer a connection that is between two requests now."""
             self._waiting[connection] = None
             wanted()
 
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -199,25 +199,31 @@
 
     A drain that reached only the other process must not be undone.
     """
-    told = msgspec.msgpack.decode(body, type=Hosts)
-    if gateway.feed is not None and not trial:
-        gateway.feed.restore_start_times(told.starts)
-    source, position = gateway.source.position
-    later = bool(told.source) and told.source == source and told.position > position
-    if trial or not (later or not gateway.engine.hosts):
+    document = msgspec.msgpack.decode(body, type=Hosts)
+    if trial:
         return ()
-    if told.source and told.source == source:
-        gateway.source.resume(told.position)
-    servers = tuple(
+    if gateway.feed is not None:
+        gateway.feed.restore_start_times(document.starts)
+    source, position = gateway.source.position
+    is_same_source = bool(document.source) and document.source == source
+    is_later = is_same_source and document.position > position
+    if is_later or not gateway.engine.hosts:
+        if is_same_source:
+            gateway.source.resume(document.position)
+        _replace_list(gateway, document)
+    return ()
+
+
+def _replace_list(gateway: Gateway, document: Hosts) -> None:
+    endpoints = tuple(
         Endpoint(h.id, EndpointStatus(h.state), h.zone, h.cell, h.kind, h.hint, h.started_us)
-        for h in told.lines
+        for h in document.lines
     )
     gateway.update_endpoints(
-        EndpointUpdate(UpdateKind.FULL, servers, told.position),
-        {h.id: h.name for h in told.lines},
-        {h.id: h.address for h in told.lines},
+        EndpointUpdate(UpdateKind.FULL, endpoints, document.position),
+        {h.id: h.name for h in document.lines},
+        {h.id: h.address for h in document.lines},
     )
-    return ()
 
 
 def _read_module(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
--- a/quillroad/upgrade/sibling_engine.py
+++ b/quillroad/upgrade/sibling_engine.py
@@ -51,6 +51,7 @@
 
     @epoch_us.setter
     def epoch_us(self, value: int) -> None:
+        """Go by the zero of another engine, so that ages count alike in both."""
         self._clock.epoch_us = value
 
     @property
