--- a/quillroad/config/file.py
+++ b/quillroad/config/file.py
@@ -76,10 +76,10 @@
         seed=gateway.seed,
         sockets=file.limits.sockets,
         cores=file.limits.cores,
-        known={},
+        known_hosts={},
         settings=settings,
         tenants=tuple(tenant.name for tenant in file.tenants),
-        kinds=_machine_types(file.hosts),
+        machine_types=_machine_types(file.hosts),
         zones=zones,
         connect_timeout_s=connect_s,
         idle_s=idle_s,
@@ -149,28 +149,28 @@
     return connect_s, idle_s
 
 
-def _route(told: ClassSection, field: str) -> Route:
-    deadline_us = microseconds(told.deadline, f"{field}.deadline")
-    objective_us = None if told.aim is None else microseconds(told.aim, f"{field}.aim")
+def _route(section: ClassSection, field: str) -> Route:
+    deadline_us = microseconds(section.deadline, f"{field}.deadline")
+    objective_us = None if section.aim is None else microseconds(section.aim, f"{field}.aim")
     if deadline_us <= 0:
-        raise ConfigError(f"{field}.deadline: needs a time above 0, not {told.deadline!r}")
+        raise ConfigError(f"{field}.deadline: needs a time above 0, not {section.deadline!r}")
     if objective_us is not None and not 0 < objective_us <= deadline_us:
         raise ConfigError(
-            f"{field}.aim: needs a time above 0 and within the deadline, not {told.aim!r}"
+            f"{field}.aim: needs a time above 0 and within the deadline, not {section.aim!r}"
         )
-    window_us = microseconds(told.remembers, f"{field}.remembers")
-    if told.repeat == "keyed" and not window_us:
+    window_us = microseconds(section.remembers, f"{field}.remembers")
+    if section.repeat == "keyed" and not window_us:
         raise ConfigError(
             f"{field}.remembers: needs the time for which hosts drop a repeat, not '0 s'"
         )
     return Route(
-        name=told.name,
-        idempotency=Idempotency(told.repeat),
+        name=section.name,
+        idempotency=Idempotency(section.repeat),
         latency_objective_us=objective_us,
         deadline_us=deadline_us,
-        priority_weight=told.worth,
-        late_weight=told.late_worth,
-        deduplication_scope=DeduplicationScope(told.remembered_by),
+        priority_weight=section.worth,
+        late_weight=section.late_worth,
+        deduplication_scope=DeduplicationScope(section.remembered_by),
         deduplication_window_us=window_us,
     )
 
--- a/quillroad/config/model.py
+++ b/quillroad/config/model.py
@@ -113,8 +113,8 @@
 class Config:
     """One gateway's configuration.
 
-    `tenants`, `kinds` (machine types) and `zones` are the names that the wire uses, in the order of
-    the settings.
+    `tenants`, `machine_types` and `zones` are the names that the wire uses, in the order of the
+    settings; `known_hosts` is an endpoint list in the platform's form, empty where it gave none.
     """
 
     name: str
@@ -123,10 +123,10 @@
     seed: int
     sockets: int
     cores: float  # of CPU time a second that the platform allows
-    known: Mapping[str, Any]
+    known_hosts: Mapping[str, Any]
     settings: Settings
     tenants: tuple[str, ...]
-    kinds: tuple[str, ...]
+    machine_types: tuple[str, ...]
     zones: tuple[str, ...]
     connect_timeout_s: float
     idle_s: float
@@ -134,7 +134,7 @@
     register: Register | None = None
     admin: Address | None = None  # where operators call; None: nowhere
     longest_body: int = SHORT_BODY  # of requests and answers, in bytes, from SHORT_BODY on
-    buffers: int = BUFFERS  # bytes of long bodies that are held at once
+    body_budget_bytes: int = BUFFERS  # of long bodies that are in memory at once
     peers: Peers | None = None  # None: the platform allows no talk between gateways
 
 
--- a/quillroad/config/platform.py
+++ b/quillroad/config/platform.py
@@ -30,6 +30,8 @@
 DEFAULT_SOCKETS = 1024
 DEFAULT_CONNECT_TIMEOUT_US = 1_000_000
 DEFAULT_IDLE_US = 15_000_000
+# Fields of `Config` whose name in the log is another one, which operators know.
+LOGGED_NAMES = {"machine_types": "kinds", "body_budget_bytes": "buffers"}
 
 
 def load(environment: Mapping[str, str]) -> Config:
@@ -52,15 +54,15 @@
         seed=_seed(data.get("seed", 0)),
         sockets=_above_zero(_limits(data), "sockets", "limits.sockets", DEFAULT_SOCKETS),
         cores=_cores(_limits(data)),
-        known=_value(data, "known", dict, "known", {}),
+        known_hosts=_value(data, "known", dict, "known", {}),
         settings=settings,
         tenants=_names(service, "orgs"),
-        kinds=_names(service, "models"),
+        machine_types=_names(service, "models"),
         zones=_names(service, "zones"),
         connect_timeout_s=_seconds(settings_limits, "connect_timeout", DEFAULT_CONNECT_TIMEOUT_US),
         admin=read_address(admin, "admin_addr") if admin else None,
         longest_body=LONG_BODY if admin else SHORT_BODY,
-        buffers=_buffers(_limits(data)),
+        body_budget_bytes=_body_budget_bytes(_limits(data)),
         peers=_peers(data) if has_peers else None,
         idle_s=_seconds(settings_limits, "conn_idle", DEFAULT_IDLE_US),
     )
@@ -75,10 +77,14 @@
 
 
 def changed_fields(old: Config, new: Config) -> list[str]:
-    """What differs and a reload does not take over; seed and known list are for a start alone."""
-    not_compared = {"discovery", "hosts", "known", "seed", "peers", "peers_all"}
+    """What differs and a reload does not take over, under the names of the log.
+
+    Seed and known list are for a start alone.
+    """
+    not_compared = {"discovery", "hosts", "known_hosts", "seed", "peers", "peers_all"}
     names = [field.name for field in fields(Config) if field.name not in not_compared]
-    return [name for name in names if getattr(old, name) != getattr(new, name)]
+    changed = [name for name in names if getattr(old, name) != getattr(new, name)]
+    return [LOGGED_NAMES.get(name, name) for name in changed]
 
 
 def _read_file(environment: Mapping[str, str]) -> dict[str, Any]:
@@ -145,7 +151,7 @@
     return min(1.0, _number_above_zero(limits, "cores", 1.0))  # the event loop is one thread
 
 
-def _buffers(limits: Mapping[str, Any]) -> int:
+def _body_budget_bytes(limits: Mapping[str, Any]) -> int:
     """Bytes for long bodies, of the memory that the platform allows.
 
     The process itself, idle connections and a second process during an upgrade take their part
--- a/quillroad/discovery/platform.py
+++ b/quillroad/discovery/platform.py
@@ -101,7 +101,7 @@
         assert config.discovery is not None
         self.address = config.discovery
         self._update = update
-        self._list = PlatformList(config.zones, config.kinds)
+        self._list = PlatformList(config.zones, config.machine_types)
         self._answer = _Answer()
         self._list_received = False  # by the last call
         self._partly_received = (
@@ -126,9 +126,9 @@
 
     def load_known_hosts(self, config: Config) -> None:
         """Serve by the list as this gateway last had it until discovery's first answer."""
-        if config.known:
+        if config.known_hosts:
             try:
-                self._apply(self._list.read(config.known, UpdateKind.CACHED))
+                self._apply(self._list.read(config.known_hosts, UpdateKind.CACHED))
             except MalformedListError as error:
                 raise ConfigError(f"known: {error}") from None
 
--- a/quillroad/discovery/source.py
+++ b/quillroad/discovery/source.py
@@ -45,7 +45,7 @@
 
     Each source brings its own libraries: none but the one in use is imported.
     """
-    feed = Feed(config.zones, config.kinds, update)
+    feed = Feed(config.zones, config.machine_types, update)
     if isinstance(config.hosts, StaticHosts):
         from quillroad.discovery.static import StaticSource  # noqa: PLC0415
 
--- a/quillroad/downstream/connection_limit.py
+++ b/quillroad/downstream/connection_limit.py
@@ -72,9 +72,9 @@
     def __len__(self) -> int:
         return len(self._states)
 
-    def count(self, stage: ConnectionState) -> int:
+    def count(self, state: ConnectionState) -> int:
         """How many connections are in this state."""
-        return len(self._since[stage])
+        return len(self._since[state])
 
     @property
     def busy(self) -> int:
@@ -89,21 +89,21 @@
         """The state of a connection; None once it has left."""
         return self._states.get(connection)
 
-    def set_state(self, connection: Connection, stage: ConnectionState, now: float) -> None:
+    def set_state(self, connection: Connection, state: ConnectionState, now: float) -> None:
         """It joins, or comes to another state. One that had its last answer changes no more."""
         before = self._states.get(connection)
         if before is ConnectionState.LEAVING:
             return
         if before is not None:
             del self._since[before][connection]
-        self._states[connection] = stage
-        self._since[stage][connection] = now
+        self._states[connection] = state
+        self._since[state][connection] = now
 
     def remove(self, connection: Connection) -> None:
         """It has ended, or was told to."""
-        stage = self._states.pop(connection, None)
-        if stage is not None:
-            del self._since[stage][connection]
+        state = self._states.pop(connection, None)
+        if state is not None:
+            del self._since[state][connection]
 
     def has_place(self) -> bool:
         """Whether one more fits without ending another."""
--- a/quillroad/downstream/server.py
+++ b/quillroad/downstream/server.py
@@ -66,7 +66,7 @@
         self.draining = False
         self.streams = 0
         self.on_end: Callable[[int, int], None] | None = None
-        self.buffers = BodyBudget(config.buffers)
+        self.buffers = BodyBudget(config.body_budget_bytes)
         self.validator = RequestValidator(config)
         self.retry_after_us = _retry_after_us(config)
         self.retry_after_jitter = RetryAfterJitter(config.seed % JITTER_MODULUS / JITTER_MODULUS)
--- a/quillroad/membership/report.py
+++ b/quillroad/membership/report.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 if TYPE_CHECKING:  # a program that only reads reports does not need what makes them
     from quillroad.membership.core import Core
@@ -34,7 +34,8 @@
 
     `at` is the time of day in seconds since 1970; `settled_s` for how long nothing was in doubt, -1
     while something is; `there` how many gateways are present; `part` the index and count by which
-    this gateway divides quotas, `used` whether it does; `held` counts entries of passing state.
+    this gateway divides quotas, `used` whether it does; `pending_entries` counts entries of passing
+    state.
     """
 
     gateway: str
@@ -50,7 +51,7 @@
     members: list[MemberLine]
     dropped: dict[str, int]
     unsent: int
-    held: int
+    pending_entries: int = field(name="held")
 
 
 def make_report(
@@ -72,7 +73,7 @@
         members=_member_lines(core, now),
         dropped={str(reason): count for reason, count in core.dropped.items()},
         unsent=core.unsent,
-        held=core.pending_entries,
+        pending_entries=core.pending_entries,
     )
 
 
--- a/quillroad/upgrade/messages.py
+++ b/quillroad/upgrade/messages.py
@@ -11,7 +11,7 @@
 
 Adding a message or a field needs no new version: fields that a reader does not know are left out,
 those it misses take their defaults, and a message that it does not know is `Unknown`. `VERSION`
-goes up when a head changes.
+goes up when a head changes. Tags never change, whatever the class is called.
 """
 
 from __future__ import annotations
@@ -115,7 +115,7 @@
     grant: int
 
 
-class Held(Struct, tag="held", array_like=True):
+class StateAdopted(Struct, tag="held", array_like=True):
     """Worker to supervisor: it has all that the other knew."""
 
 
@@ -157,7 +157,7 @@
     final: bool
 
 
-class Taken(Struct, tag="taken", array_like=True):
+class StateResult(Struct, tag="taken", array_like=True):
     """Worker to worker: what came of a `State`."""
 
     final: bool
@@ -174,7 +174,7 @@
     brought: list[int]
 
 
-class Kept(Struct, tag="kept", array_like=True):
+class BatchReceived(Struct, tag="kept", array_like=True):
     """Worker to worker: it holds that batch, and reads nothing from it yet."""
 
     batch: int
@@ -198,7 +198,7 @@
     ended: list[str] = []
 
 
-class Room(Struct, tag="room", array_like=True):
+class DescriptorLimit(Struct, tag="room", array_like=True):
     """Supervisor to the one that serves: so many descriptors are yours."""
 
     descriptors: int
@@ -243,18 +243,18 @@
     | Prepared
     | Yield
     | Yielded
-    | Held
+    | StateAdopted
     | Own
     | Owning
     | Retire
     | Report
     | State
-    | Taken
+    | StateResult
     | Connections
-    | Kept
+    | BatchReceived
     | Release
     | AttemptsInFlight
-    | Room
+    | DescriptorLimit
     | Lend
     | Come
     | OperatorActions
--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -37,7 +37,7 @@
     StopWorker,
     UpgradeEnded,
 )
-from quillroad.upgrade.worker import SEAT
+from quillroad.upgrade.worker import SUPERVISOR_SOCKET_VARIABLE
 
 log = logging.getLogger("quillroad.upgrade")
 
@@ -186,7 +186,7 @@
         try:
             process = await asyncio.create_subprocess_exec(
                 *self._command,
-                env=os.environ | {SEAT: str(theirs.fileno())},
+                env=os.environ | {SUPERVISOR_SOCKET_VARIABLE: str(theirs.fileno())},
                 pass_fds=[theirs.fileno()],
             )
         except OSError as error:
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -18,7 +18,7 @@
 from quillroad.gateway import Gateway
 from quillroad.upgrade.messages import OperatorActions
 from quillroad.upgrade.sibling_engine import SiblingEngine
-from quillroad.upgrade.state_snapshot import Knowledge, Names, adopt, export
+from quillroad.upgrade.state_snapshot import Names, StateSnapshot, adopt, export
 
 KNOWN = ("clock", "hosts", "module", "admission")
 OPTIONAL = ("by-hand", "zones")  # of features that may be off on either side
@@ -163,16 +163,16 @@
 
 def _listed(gateway: Gateway, number: int) -> Endpoint:
     """A host as its source tells it, under whatever operators have done."""
-    told = (
+    overridden = (
         gateway.admin.host_overrides.listed_endpoint(number) if gateway.admin is not None else None
     )
-    listed = told or _engine(gateway).balancer.endpoint(number)
+    listed = overridden or _engine(gateway).balancer.endpoint(number)
     assert listed is not None  # the caller asks for hosts of the endpoint list only
     return listed
 
 
 def _names(config: Config) -> Names:
-    return Names(config.tenants, config.kinds)
+    return Names(config.tenants, config.machine_types)
 
 
 def _line(spec: Endpoint) -> tuple[int, int, int, int, int, float, int | None]:
@@ -188,9 +188,9 @@
 
 
 def _read_clock(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
-    told = msgspec.msgpack.decode(body, type=Clock)
+    document = msgspec.msgpack.decode(body, type=Clock)
     if not trial:
-        _engine(gateway).epoch_us = told.epoch_us
+        _engine(gateway).epoch_us = document.epoch_us
     return ()
 
 
@@ -227,39 +227,41 @@
 
 
 def _read_module(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
-    told = msgspec.msgpack.decode(body, type=Knowledge)
+    document = msgspec.msgpack.decode(body, type=StateSnapshot)
     balancer = _engine(gateway).balancer
     if trial:
         balancer = Balancer(gateway.config.settings, gateway.config.seed)
-    return adopt(balancer, told, _names(gateway.config))
+    return adopt(balancer, document, _names(gateway.config))
 
 
 def _read_admission(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
-    told = msgspec.msgpack.decode(body, type=AdmissionEstimates)
+    document = msgspec.msgpack.decode(body, type=AdmissionEstimates)
     if not trial:
         routes = [route.name for route in gateway.config.settings.routes]
         gateway.server.admission.learn(
-            told.cost_s,
-            told.learned_s,
-            [told.hosts_s.get(name, 0.0) for name in routes],
-            [told.quotas.get(name) for name in gateway.config.tenants],
+            document.cost_s,
+            document.learned_s,
+            [document.hosts_s.get(name, 0.0) for name in routes],
+            [document.quotas.get(name) for name in gateway.config.tenants],
         )
     return ()
 
 
 def _read_operator_actions(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
-    told = msgspec.msgpack.decode(body, type=OperatorActions)
+    document = msgspec.msgpack.decode(body, type=OperatorActions)
     if gateway.admin is None:
         return ["by-hand: operators have no address here"]
     if not trial:
-        gateway.admin.learn(told.out, told.back, told.drained)
+        gateway.admin.learn(document.out, document.back, document.drained)
     return ()
 
 
 def _read_zones(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
-    told = msgspec.msgpack.decode(body, type=ZoneWindow)
+    document = msgspec.msgpack.decode(body, type=ZoneWindow)
     if gateway.zones is None:
         return ["zones: the budget for other zones is off here"]
     if not trial:
-        gateway.zones.cross_zone_budget.resume(told.firsts, told.crossed, told.size, told.now_us)
+        gateway.zones.cross_zone_budget.resume(
+            document.firsts, document.crossed, document.size, document.now_us
+        )
     return []
--- a/quillroad/upgrade/selftest.py
+++ b/quillroad/upgrade/selftest.py
@@ -92,7 +92,7 @@
         listen=("127.0.0.1", 0),
         admin=None,
         discovery=None,
-        known={},
+        known_hosts={},
         sockets=RESERVED + SPARE_DESCRIPTORS,
         hosts=StaticHosts((StaticHost("self-test", host),)),
     )
--- a/quillroad/upgrade/settings.py
+++ b/quillroad/upgrade/settings.py
@@ -71,19 +71,19 @@
     Raises `ConfigError`. `{name}` in `control` stands for the name, so that gateways can share a
     file.
     """
-    told = read_toml(path, _File)
-    if sockets < 2 * told.limits.first_descriptors:
+    file = read_toml(path, _File)
+    if sockets < 2 * file.limits.first_descriptors:
         raise ConfigError(
             f"limits.first_descriptors: needs half of the gateway's {sockets} at the most, not "
-            f"{told.limits.first_descriptors}"
+            f"{file.limits.first_descriptors}"
         )
-    if "{name}" in told.control and not NAME.fullmatch(name):
+    if "{name}" in file.control and not NAME.fullmatch(name):
         raise ConfigError(
             f"control: {{name}} needs a name of letters, digits, '-' and '.', not {name!r}"
         )
-    times, canary, crashes = told.times, told.canary, told.crashes
+    times, canary, crashes = file.times, file.canary, file.crashes
     return Upgrades(
-        Path(told.control.replace("{name}", name)),
+        Path(file.control.replace("{name}", name)),
         Limits(
             start_s=within(times.start, "times.start", 0.1, 600.0),
             prepare_s=within(times.prepare, "times.prepare", 0.05, 60.0),
@@ -91,9 +91,9 @@
             canary_s=within(canary.time, "canary.time", 0.0, 3600.0),
             retire_s=within(times.retire, "times.retire", 0.1, 600.0),
             silence_s=within(canary.silence, "canary.silence", 0.5, 60.0),
-            memory_mb=told.limits.memory_mb,
+            memory_mb=file.limits.memory_mb,
             descriptors=sockets,
-            base=told.limits.first_descriptors,
+            base=file.limits.first_descriptors,
             again_s=within(crashes.again, "crashes.again", 0.01, 60.0),
             again_most_s=within(crashes.again_most, "crashes.again_most", 0.01, 600.0),
             calm_s=within(crashes.calm, "crashes.calm", 0.1, 3600.0),
--- a/quillroad/upgrade/sibling_handover.py
+++ b/quillroad/upgrade/sibling_handover.py
@@ -10,7 +10,7 @@
     Ready  ->                                  tells its worker Give
     tells its worker Take          <- State(final=False) ..., as in `worker_state`
                                                Prepared: tells its worker Yield
-    Held: tells its worker Own, and is found by the next newcomer from then on
+    StateAdopted: tells its worker Own, and is found by the next newcomer from then on
 
 Whoever stops hearing the other goes on alone: the one that gave takes the listener again, which it
 never closed; the newcomer serves by the listener that it was given, or by one of its own.
@@ -24,14 +24,14 @@
 from quillroad.config import RESERVED
 from quillroad.upgrade.messages import (
     VERSION,
+    DescriptorLimit,
     Give,
-    Held,
     Hello,
     Message,
     Own,
     Prepared,
     Ready,
-    Room,
+    StateAdopted,
     Take,
     Welcome,
     Yield,
@@ -48,11 +48,11 @@
 NEWCOMER_DESCRIPTORS = 2 * RESERVED
 
 
-class HandoverStage(Enum):
+class HandoverPhase(Enum):
     """Where a process is."""
 
     LOOKS = "looks"  # for one that serves
-    ASKS = "asks"  # was heard by one, and waits for its answer
+    AWAITS_WELCOME = "awaits welcome"  # was heard by one, and waits for its answer
     PREPARES = "prepares"
     TAKES = "takes"
     SERVES = "serves"
@@ -96,7 +96,7 @@
     """
 
     descriptors: int
-    stage: HandoverStage = HandoverStage.LOOKS
+    phase: HandoverPhase = HandoverPhase.LOOKS
     build: str = ""
     ending: bool = False
     _grant: int = 0
@@ -107,50 +107,50 @@
 
     def _own(self) -> list[HandoverCommand]:
         self._grant += 1
-        self.stage = HandoverStage.SERVES
+        self.phase = HandoverPhase.SERVES
         return [TellWorker(Own(self._grant)), HandoverStep.PUBLISH]
 
     # As a newcomer.
 
     def found(self) -> list[HandoverCommand]:
         """A process that serves was reached."""
-        self.stage = HandoverStage.ASKS
+        self.phase = HandoverPhase.AWAITS_WELCOME
         return [SendToSibling(Hello(VERSION, self.build))]
 
     def nobody(self) -> list[HandoverCommand]:
         """No process that serves was reached, or it does not answer in time."""
-        self.stage = HandoverStage.PREPARES
+        self.phase = HandoverPhase.PREPARES
         return [HandoverStep.CUT, HandoverStep.PREPARE]
 
     def prepared(self, linked: bool) -> list[HandoverCommand]:
         """The configuration is read and the path works; `linked` to the one that serves."""
         if linked:
-            self.stage = HandoverStage.TAKES
+            self.phase = HandoverPhase.TAKES
             return [TellWorker(Take(SIBLING)), SendToSibling(Ready())]
         return self._serve_alone()
 
     def late(self) -> list[HandoverCommand]:
         """The sibling did not bring this process to serving in time."""
-        if self.stage is not HandoverStage.TAKES:
+        if self.phase is not HandoverPhase.TAKES:
             return []
         return [HandoverStep.CUT, *self._serve_alone()]
 
     def _serve_alone(self) -> list[HandoverCommand]:
-        return [HandoverStep.OPEN, TellWorker(Room(self.descriptors)), *self._own()]
+        return [HandoverStep.OPEN, TellWorker(DescriptorLimit(self.descriptors)), *self._own()]
 
     # As the one that serves.
 
     def may_come(self) -> bool:
         """Whether a newcomer is served now; else it asks again, or serves alone."""
-        return self.stage is HandoverStage.SERVES and not self.ending
+        return self.phase is HandoverPhase.SERVES and not self.ending
 
     def _welcome(self, hello: Hello) -> list[HandoverCommand]:
         if hello.version != VERSION:
             return [HandoverStep.CUT]
-        self.stage = HandoverStage.GIVES
+        self.phase = HandoverPhase.GIVES
         left = self.descriptors - self._for_newcomer - 2 * batch_of(self.descriptors)
         welcome = Welcome(self.descriptors // 2)
-        return [TellWorker(Room(left)), SendToSibling(welcome, listener=True)]
+        return [TellWorker(DescriptorLimit(left)), SendToSibling(welcome, listener=True)]
 
     # Either.
 
@@ -159,22 +159,22 @@
         match message:
             case Hello() if self.may_come():
                 return self._welcome(message)
-            case Ready() if self.stage is HandoverStage.GIVES:
+            case Ready() if self.phase is HandoverPhase.GIVES:
                 lent = self.descriptors // 2 - self._for_newcomer
                 return [TellWorker(Give(lent, SIBLING))]
-            case Welcome() if self.stage is HandoverStage.ASKS:
-                self.stage = HandoverStage.PREPARES
+            case Welcome() if self.phase is HandoverPhase.AWAITS_WELCOME:
+                self.phase = HandoverPhase.PREPARES
                 return [HandoverStep.PREPARE]
         return []
 
     def worker_said(self, message: Message) -> list[HandoverCommand]:
         """Take a message that the own worker state has for its supervisor."""
         match message:
-            case Prepared() if self.stage is HandoverStage.GIVES:
-                self.stage = HandoverStage.STANDS_BY
+            case Prepared() if self.phase is HandoverPhase.GIVES:
+                self.phase = HandoverPhase.STANDS_BY
                 self._grant += 1
                 return [TellWorker(Yield(self._grant))]
-            case Held() if self.stage is HandoverStage.TAKES:
+            case StateAdopted() if self.phase is HandoverPhase.TAKES:
                 return self._own()
         return []
 
@@ -182,15 +182,15 @@
         """The sibling cannot be heard any more; the own worker state knows."""
         if self.ending:
             return []  # a process that ends takes nothing over
-        match self.stage:
-            case HandoverStage.ASKS:
+        match self.phase:
+            case HandoverPhase.AWAITS_WELCOME:
                 # The sibling is busy with another newcomer, or has just ended.
-                self.stage = HandoverStage.LOOKS
-            case HandoverStage.TAKES:
+                self.phase = HandoverPhase.LOOKS
+            case HandoverPhase.TAKES:
                 return self._serve_alone()
-            case HandoverStage.STANDS_BY:
-                return [TellWorker(Room(self.descriptors)), *self._own()]
-            case HandoverStage.GIVES | HandoverStage.SERVES:
-                self.stage = HandoverStage.SERVES
-                return [TellWorker(Room(self.descriptors))]
+            case HandoverPhase.STANDS_BY:
+                return [TellWorker(DescriptorLimit(self.descriptors)), *self._own()]
+            case HandoverPhase.GIVES | HandoverPhase.SERVES:
+                self.phase = HandoverPhase.SERVES
+                return [TellWorker(DescriptorLimit(self.descriptors))]
         return []
--- a/quillroad/upgrade/sibling_process.py
+++ b/quillroad/upgrade/sibling_process.py
@@ -23,7 +23,15 @@
 from quillroad.logs import start_log
 from quillroad.overload.acceptor import open_listener
 from quillroad.upgrade.channel import close_all
-from quillroad.upgrade.messages import Ended, Hello, Message, Ready, Room, Welcome, batch_of
+from quillroad.upgrade.messages import (
+    DescriptorLimit,
+    Ended,
+    Hello,
+    Message,
+    Ready,
+    Welcome,
+    batch_of,
+)
 from quillroad.upgrade.rendezvous import Rendezvous
 from quillroad.upgrade.selftest import SelfTestError, selftest
 from quillroad.upgrade.sibling_handover import (
@@ -32,7 +40,7 @@
     HANDOVER_TIMEOUT_S,
     SIBLING,
     HandoverCommand,
-    HandoverStage,
+    HandoverPhase,
     HandoverStep,
     SendToSibling,
     SiblingHandover,
@@ -79,7 +87,7 @@
     async def _look_for_sibling(self) -> None:
         until = self._started_at + BUSY_TIMEOUT_S
         while not self._ending:
-            if self._handover.stage is HandoverStage.LOOKS:
+            if self._handover.phase is HandoverPhase.LOOKS:
                 sock = self._rendezvous.reach() if self._loop.time() < until else None
                 if sock is not None:
                     self._open_link(sock)
@@ -88,13 +96,13 @@
                     return
                 self._perform_handover(self._handover.found())
                 self._loop.call_later(ANSWER_TIMEOUT_S, self._sibling_is_silent)
-            elif self._handover.stage is not HandoverStage.ASKS:
+            elif self._handover.phase is not HandoverPhase.AWAITS_WELCOME:
                 return
             # One that is busy with another newcomer ends the link, and may have time later.
             await asyncio.sleep(LOOK_INTERVAL_S)
 
     def _sibling_is_silent(self) -> None:
-        if self._handover.stage is HandoverStage.ASKS:
+        if self._handover.phase is HandoverPhase.AWAITS_WELCOME:
             log.warning("the process that serves does not answer")
             self._perform_handover(self._handover.nobody())
 
@@ -165,7 +173,7 @@
                 descriptors = [self._listener.fileno()] if has_listener and self._listener else []
                 self._send_to_sibling(command.message, descriptors)
             case TellWorker():
-                if not (isinstance(command.message, Room) and self._gateway is None):
+                if not (isinstance(command.message, DescriptorLimit) and self._gateway is None):
                     self._perform_all(self._state.supervisor_said(command.message))
             case HandoverStep.PREPARE:
                 self._tasks.start(self._prepare())
@@ -206,10 +214,10 @@
         operators.serves = self._answers_operators
 
     def _answers_operators(self) -> bool:
-        return self._state.accepts or self._handover.stage is HandoverStage.STANDS_BY
+        return self._state.accepts or self._handover.phase is HandoverPhase.STANDS_BY
 
     def _handover_is_late(self) -> None:
-        if self._handover.stage is HandoverStage.TAKES:
+        if self._handover.phase is HandoverPhase.TAKES:
             log.warning("the other process did not hand over in time: this one serves alone")
             self._perform_handover(self._handover.late())
 
@@ -217,7 +225,7 @@
         while True:
             await asyncio.sleep(LEND_INTERVAL_S)
             if self._state.yielded:
-                self._share_attempts()
+                self._update_sibling()
 
     # Newcomers.
 
--- a/quillroad/upgrade/state_adoption.py
+++ b/quillroad/upgrade/state_adoption.py
@@ -12,10 +12,10 @@
 from quillroad.balancing.timers import Timer, TimerPurpose
 from quillroad.upgrade.state_document import (
     VERSION,
-    Knowledge,
     Names,
     RequestKnown,
     ServerKnown,
+    StateSnapshot,
     Work,
 )
 
@@ -29,7 +29,7 @@
 with the new process."""
 
 
-def adopt(balancer: Balancer, document: Knowledge, names: Names) -> list[str]:
+def adopt(balancer: Balancer, document: StateSnapshot, names: Names) -> list[str]:
     """Give what is told to a balancer that has done no work yet.
 
     Returns plain lines of what it could not use. The endpoint list that it has stands where it has
@@ -53,7 +53,7 @@
 
 
 def _adopt_hosts(
-    balancer: Balancer, document: Knowledge, left: list[str]
+    balancer: Balancer, document: StateSnapshot, left: list[str]
 ) -> list[HostState | None]:
     """The hosts here, in the document's order; None where the list held does not have one."""
     fresh = not balancer.hosts
@@ -69,7 +69,7 @@
     return hosts
 
 
-def _adopt_routes(balancer: Balancer, document: Knowledge) -> list[str]:
+def _adopt_routes(balancer: Balancer, document: StateSnapshot) -> list[str]:
     left = []
     routes = {route.settings.name: route for route in balancer.routes}
     for one in document.routes:
@@ -86,7 +86,7 @@
     return left
 
 
-def _adopt_tenants(balancer: Balancer, document: Knowledge, names: Names) -> list[str]:
+def _adopt_tenants(balancer: Balancer, document: StateSnapshot, names: Names) -> list[str]:
     left = []
     buckets = dict(zip(names.tenants, balancer.tenant_buckets, strict=False))
     for name, (tokens, filled_us) in document.quotas.items():
@@ -99,11 +99,11 @@
     return left
 
 
-def _adopt_means(balancer: Balancer, document: Knowledge) -> None:
+def _adopt_means(balancer: Balancer, document: StateSnapshot) -> None:
     balancer.recent_requests = document.recent
     balancer.recent_counted_us = document.counted_us
     balancer.admitted_ratio = min(1.0, max(0.0, document.admitted))
-    balancer.long_work_ratio = document.blocking_share
+    balancer.long_work_ratio = document.long_work_ratio
     balancer.latency_inflation = document.crowding
     balancer.failed_polls = document.failed_calls
     if document.mean_payoff is not None:
@@ -137,8 +137,8 @@
     host.newest_answered_sent_us = document.answered_us
     host.ejections = document.ejections
     host.ejected_until_us = document.ejected_until_us
-    host.slow_start_slot = document.turn
-    host.slot_work_left_us = document.turn_us
+    host.slow_start_slot = document.slow_start_slot
+    host.slot_work_left_us = document.slot_work_left_us
     host.consecutive_failures = document.failures
     if work:
         host.in_flight = document.in_flight
@@ -175,7 +175,7 @@
     for document in work.requests:
         request = _open_request(balancer, document, hosts)
         requests.append(request)
-        if document.kept:
+        if document.registered:
             balancer.requests[document.id] = request
     for route, queues, due in zip(balancer.routes, work.queues, work.due, strict=True):
         for queue, indexes in zip(route.queues, queues, strict=True):
--- a/quillroad/upgrade/state_document.py
+++ b/quillroad/upgrade/state_document.py
@@ -1,8 +1,9 @@
 """The state snapshot as a document: what one process's decisions have learned, field by field.
 
-Field names and positions are stored and handed over: they stay as older versions wrote them, and
-`state_snapshot` maps them to the fields of `BalancerState`. Times are microseconds of the
-balancer's clock.
+Names and positions of fields are stored and handed over: they stay as older versions wrote them,
+and `state_snapshot` maps them to the fields of `BalancerState`. Where a field has another name here
+than in the document, `field(name=...)` has the stored one; of `array_like` classes only positions
+are stored. Times are microseconds of the balancer's clock.
 
 Adding a field: give it a default that means "not told", and count `VERSION` up only when the
 meaning of a field that was there changes. `docs/design/upgrades.md` has the table of versions.
@@ -12,7 +13,7 @@
 
 from collections.abc import Sequence
 
-from msgspec import Struct
+from msgspec import Struct, field
 
 VERSION = 1
 """Of the meaning of the fields; a document of a later one is read as this one, and that is told."""
@@ -23,8 +24,8 @@
 
     `state` is the number of its `EndpointStatus`, `kind` its machine type, `hint` its weight,
     `missed_us` and `answered_us` when its newest overdue and newest answered attempts were sent,
-    `turn` and `turn_us` its last slow-start slot and the work left in that. Not `listed`: only an
-    open request still knows of it.
+    `slow_start_slot` and `slot_work_left_us` its last slow-start slot and the work left in that.
+    Not `listed`: only an open request still knows of it.
     """
 
     id: int
@@ -42,8 +43,8 @@
     answered_us: int = -1
     ejections: int = 0
     ejected_until_us: int = 0
-    turn: int = -1
-    turn_us: float = 0.0
+    slow_start_slot: int = -1
+    slot_work_left_us: float = 0.0
     listed: bool = True
     failures: int = 0
 
@@ -82,8 +83,8 @@
     """One open request.
 
     `cost_us` is its expected work, `useful_us` until when an answer has value, `over` that it is
-    beyond its tenant's quota, `out` its attempts in flight, `groups` its retry groups. `kept`: it
-    is among the balancer's requests, not only in its queue or behind a timer.
+    beyond its tenant's quota, `out` its attempts in flight, `groups` its retry groups. It is
+    `registered` where it is among the balancer's requests, not only in its queue or behind a timer.
     """
 
     id: int
@@ -94,7 +95,7 @@
     out: int
     groups: int
     closed: bool
-    kept: bool
+    registered: bool
     attempts: list[AttemptKnown] = []
     long: bool = False
 
@@ -116,12 +117,13 @@
     queued: int
 
 
-class Knowledge(Struct):
+class StateSnapshot(Struct):
     """All that a balancer has learned.
 
     `limit` is this gateway's part of what `balancers` gateways share. `quotas` has a tenant's
     tokens and when they were counted, `paces` the slowness of each machine type, by name. `chance`
-    is the state of Python's `random.Random`. `born_us` is when this gateway first decided, over all
+    is the state of Python's `random.Random`, `long_work_ratio` the part (0 to 1) of long requests in
+    the work. `born_us` is when this gateway first decided, over all
     its processes: slow-start slots are its own from then on.
     """
 
@@ -137,7 +139,7 @@
     counted_us: int = 0
     admitted: float = 1.0
     mean_cost_us: float | None = None
-    blocking_share: float = 0.0
+    long_work_ratio: float = field(name="blocking_share", default=0.0)
     limit: float | None = None
     crowding: float = 1.0
     failed_calls: int = 0
--- a/quillroad/upgrade/state_snapshot.py
+++ b/quillroad/upgrade/state_snapshot.py
@@ -19,11 +19,11 @@
 from quillroad.upgrade.state_document import (
     VERSION,
     AttemptKnown,
-    Knowledge,
     Names,
     RequestKnown,
     RouteKnown,
     ServerKnown,
+    StateSnapshot,
     Work,
 )
 
@@ -31,11 +31,11 @@
     "ADOPTED_TIMERS",
     "VERSION",
     "AttemptKnown",
-    "Knowledge",
     "Names",
     "RequestKnown",
     "RouteKnown",
     "ServerKnown",
+    "StateSnapshot",
     "Work",
     "adopt",
     "attempts_in_flight",
@@ -44,13 +44,13 @@
 ]
 
 
-def export(balancer: Balancer, names: Names, work: bool = False) -> Knowledge:
+def export(balancer: Balancer, names: Names, work: bool = False) -> StateSnapshot:
     """What `balancer` has learned; with `work` its open requests too. Changes nothing."""
     hosts = _HostTable(balancer)
     routes = [_route(route) for route in balancer.routes]
     opened = _work(balancer, hosts) if work else None
     chance = balancer.random.getstate()
-    return Knowledge(
+    return StateSnapshot(
         now_us=balancer.now_us,
         servers=hosts.known,
         routes=routes,
@@ -65,7 +65,7 @@
         counted_us=balancer.recent_counted_us,
         admitted=balancer.admitted_ratio,
         mean_cost_us=balancer.mean_work_us,
-        blocking_share=balancer.long_work_ratio,
+        long_work_ratio=balancer.long_work_ratio,
         limit=balancer.concurrency_limit,
         crowding=balancer.latency_inflation,
         failed_calls=balancer.failed_polls,
@@ -86,12 +86,12 @@
 
     `SiblingAttempts` tells another process of them.
     """
-    told = {}
+    by_host = {}
     for number, host in balancer.hosts.items():
         in_flight = host.in_flight - host.sibling_in_flight
         if in_flight:
-            told[number] = (in_flight, host.overdue - host.sibling_overdue)
-    return told
+            by_host[number] = (in_flight, host.overdue - host.sibling_overdue)
+    return by_host
 
 
 class _HostTable:
@@ -130,8 +130,8 @@
         answered_us=host.newest_answered_sent_us,
         ejections=host.ejections,
         ejected_until_us=host.ejected_until_us,
-        turn=host.slow_start_slot,
-        turn_us=host.slot_work_left_us,
+        slow_start_slot=host.slow_start_slot,
+        slot_work_left_us=host.slot_work_left_us,
         listed=listed,
         failures=host.consecutive_failures,
     )
@@ -174,7 +174,7 @@
             out=request.in_flight,
             groups=request.retry_groups,
             closed=request.closed,
-            kept=self._balancer.requests.get(request.id) is request,
+            registered=self._balancer.requests.get(request.id) is request,
             attempts=[self._attempt_known(attempt) for attempt in request.attempts],
             long=request.long_body,
         )
--- a/quillroad/upgrade/supervisor.py
+++ b/quillroad/upgrade/supervisor.py
@@ -26,16 +26,16 @@
 from quillroad.upgrade.canary import RequestCounts
 from quillroad.upgrade.messages import (
     VERSION,
+    DescriptorLimit,
     Ended,
     Give,
-    Held,
     Hello,
     Message,
     Owning,
     Prepared,
     Ready,
     Report,
-    Room,
+    StateAdopted,
     Unfit,
     Welcome,
     Yield,
@@ -93,8 +93,8 @@
                 self._is_prepared(now, worker, message)
             case Yielded():
                 self._has_yielded(now, number, message)
-            case Held():
-                worker.held = True
+            case StateAdopted():
+                worker.has_state = True
                 self._hand_over(now)
             case Owning():
                 if message.grant == self._grant and number in self.granted:
@@ -200,7 +200,7 @@
             return "not now: the process before has not finished yet"
         self._operator_waits, self._only_checking = True, only_checking
         # First: a process has descriptors from its start on.
-        self._send(self.owner, Room(self.limits.left))
+        self._send(self.owner, DescriptorLimit(self.limits.left))
         self._start_worker(now)
         self._enter(Phase.PROBING, now + self.limits.start_s)
         return ""
@@ -295,7 +295,7 @@
         """Grant the candidate the listener, once nobody else has it and it holds the state."""
         candidate = self.workers.get(self.candidate)
         is_free = self.phase is Phase.SWITCHING and not self.granted
-        if is_free and candidate is not None and candidate.held:
+        if is_free and candidate is not None and candidate.has_state:
             self._grant_listener(now, self.candidate)
 
     def _owns(self, now: float, number: int) -> None:
--- a/quillroad/upgrade/supervisor_state.py
+++ b/quillroad/upgrade/supervisor_state.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 
 from quillroad.upgrade.canary import Canary
-from quillroad.upgrade.messages import Message, Own, Retire, Room, batch_of
+from quillroad.upgrade.messages import DescriptorLimit, Message, Own, Retire, batch_of
 from quillroad.upgrade.supervisor_commands import (
     Command,
     KillWorker,
@@ -67,7 +67,7 @@
     welcomed: bool = False
     ready: bool = False
     prepared: bool = False
-    held: bool = False
+    has_state: bool = False  # all that the owner knew
     memory_mb: float = 0.0
     open: int = 0
     connections: int = 0
@@ -147,7 +147,7 @@
     def _grant_all_descriptors(self) -> None:
         """A worker that serves alone may hold all descriptors."""
         if self.phase is Phase.SERVING and not self.leaving:
-            self._send(self.owner, Room(self.limits.descriptors))
+            self._send(self.owner, DescriptorLimit(self.limits.descriptors))
 
     def _end_upgrade(self, why: str) -> None:
         """Tell who waits what became of the upgrade; `why` is empty where it holds."""
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -32,7 +32,8 @@
 
 log = logging.getLogger("quillroad.upgrade")
 
-SEAT = "QUILLROAD_SEAT"  # environment: the descriptor of the socket to the supervisor
+# Of the environment: the descriptor of the socket to the supervisor.
+SUPERVISOR_SOCKET_VARIABLE = "QUILLROAD_SEAT"
 REPORT_INTERVAL_S = 0.1
 
 
@@ -113,7 +114,7 @@
             await asyncio.sleep(REPORT_INTERVAL_S)
             self._supervisor.send(self._report())
             if self._state.yielded:
-                self._share_attempts()
+                self._update_sibling()
 
     def _report(self) -> Report:
         """What this process did since the last report."""
@@ -136,14 +137,14 @@
 
 
 async def serve(
-    seat: int, first: Callable[[], Config], again: Callable[[], Config], zones: Path | None
+    descriptor: int, first: Callable[[], Config], again: Callable[[], Config], zones: Path | None
 ) -> int:
     """Run one worker to its end; returns the status to exit with.
 
-    `seat` is the descriptor of the socket to the supervisor.
+    `descriptor` is that of the socket to the supervisor.
     """
     loop = asyncio.get_running_loop()
-    worker = SupervisedWorker(loop, socket.socket(fileno=seat), first, again, zones)
+    worker = SupervisedWorker(loop, socket.socket(fileno=descriptor), first, again, zones)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, worker.drain)
     await worker.end.wait()
@@ -155,4 +156,4 @@
     """Run one worker from its start to its end; returns the status to exit with."""
     start_log()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    return uvloop.run(serve(int(os.environ.pop(SEAT)), first, again, zones))
+    return uvloop.run(serve(int(os.environ.pop(SUPERVISOR_SOCKET_VARIABLE)), first, again, zones))
--- a/quillroad/upgrade/worker_process.py
+++ b/quillroad/upgrade/worker_process.py
@@ -46,7 +46,7 @@
 
 END_SEEN_S = 1.0  # for the end of the sibling to be seen, before its batches count as its own
 LAST_GRANT_S = 0.05  # for the supervisor's last grant to come, which may be on its way
-SHARE_INTERVAL_S = 0.005  # the sibling's picture of a host is that old at most
+SIBLING_UPDATE_INTERVAL_S = 0.005  # the sibling's picture of a host is that old at most
 SHOWN_LINES = 20  # of what could not be used, in the answer
 
 
@@ -68,7 +68,7 @@
         self._migrations: Migrations | None = None
         self._listener: socket.socket | None = None
         self._descriptors: list[int] = []  # that came with the message at hand
-        self._share_timer: asyncio.TimerHandle | None = None
+        self._sibling_update_timer: asyncio.TimerHandle | None = None
         self.status = 0  # to exit with
         self._tasks = OwnedTasks(loop, on_fault=lambda: self._fail(1))
         self._ending = False
@@ -131,9 +131,9 @@
         if self._sibling is not None:
             self._sibling.close()
             self._sibling = None
-        if self._share_timer is not None:
-            self._share_timer.cancel()
-            self._share_timer = None
+        if self._sibling_update_timer is not None:
+            self._sibling_update_timer.cancel()
+            self._sibling_update_timer = None
         if self._gateway is not None:
             self.engine.on_change = None
             self._perform_all(self._state.link_lost())
@@ -270,19 +270,19 @@
         match step:
             case Step.ACCEPT:
                 self._accept()
-            case Step.PAUSE:
+            case Step.STOP_ACCEPTING:
                 self.migrations.set_leaving(True)
                 self.gateway.server.pause_accepting()
                 self._serve_operators(False)
-            case Step.SHARE:
-                self.engine.on_change = self._share_soon
+            case Step.UPDATE_SIBLING:
+                self.engine.on_change = self._update_sibling_soon
                 # At once: who is about to serve needs the descriptors that are left here.
-                self._share_attempts()
-            case Step.MOVE:
+                self._update_sibling()
+            case Step.MIGRATE:
                 self.migrations.begin(self._offer_connections)
-            case Step.STAY:
+            case Step.STOP_MIGRATING:
                 self.migrations.stop()
-            case Step.WAIT:
+            case Step.AWAIT_SIBLING_END:
                 waited = self._state.waited
                 self._loop.call_later(END_SEEN_S, lambda: self._perform_all(waited()))
             case Step.ALONE:
@@ -320,13 +320,15 @@
             self._state.offered[batch] = len(descriptors)
             self._send_to_sibling(Connections(batch, brought), descriptors)
 
-    def _share_soon(self) -> None:
-        if self._share_timer is None:
-            self._share_timer = self._loop.call_later(SHARE_INTERVAL_S, self._share_attempts)
+    def _update_sibling_soon(self) -> None:
+        if self._sibling_update_timer is None:
+            self._sibling_update_timer = self._loop.call_later(
+                SIBLING_UPDATE_INTERVAL_S, self._update_sibling
+            )
 
-    def _share_attempts(self) -> None:
+    def _update_sibling(self) -> None:
         """Tell the sibling what is in flight here, and lend it what this process needs no more."""
-        self._share_timer = None
+        self._sibling_update_timer = None
         if self._sibling is None:
             return
         self.engine.set_slow_start_owner(self._owns_slow_start())
@@ -334,7 +336,7 @@
             self._send_to_sibling(report)
         if self._state.yielded:
             while self.gateway.upstream.drop_oldest_idle():
-                self._share_soon()  # a connection that serves nobody; once closed it is lent
+                self._update_sibling_soon()  # a connection that serves nobody; once closed it is lent
             spare = self.gateway.descriptors.spare() - 2 * self.engine.open
             self._perform_all(self._state.lend(spare))
 
--- a/quillroad/upgrade/worker_state.py
+++ b/quillroad/upgrade/worker_state.py
@@ -8,14 +8,14 @@
 
     giver                                   taker
     State(final=False)  ->                  tries it on a copy
-                                        <-  Taken(final=False)       both say Prepared to the supervisor
+                                        <-  StateResult(final=False) both say Prepared to the supervisor
     (Yield) accepts nothing
     State(final=True), Out  ->              takes it over
-                                        <-  Taken(final=True)        says Held to the supervisor
+                                        <-  StateResult(final=True)  says StateAdopted to the supervisor
                                             (Own) accepts
                                         <-  Come
     Connections(batch) + descriptors  ->    holds them, reads nothing
-                                        <-  Kept(batch)
+                                        <-  BatchReceived(batch)
     Release(batch)  ->                      they are its own
 
 A connection between two requests has one reader at every moment: the giver reads nothing from
@@ -33,12 +33,12 @@
 from quillroad.upgrade.messages import (
     BATCH,
     AttemptsInFlight,
+    BatchReceived,
     Come,
     Connections,
+    DescriptorLimit,
     Ended,
     Give,
-    Held,
-    Kept,
     Lend,
     Message,
     Own,
@@ -46,10 +46,10 @@
     Prepared,
     Release,
     Retire,
-    Room,
     State,
+    StateAdopted,
+    StateResult,
     Take,
-    Taken,
     Yield,
     Yielded,
 )
@@ -69,11 +69,13 @@
     """Commands without parameters."""
 
     ACCEPT = "accept"
-    PAUSE = "pause"  # accept nothing
-    SHARE = "share"  # tell the sibling what is in flight, now and whenever that changes
-    MOVE = "move"  # offer connections that are between two requests, now and as they get there
-    STAY = "stay"  # offer no more
-    WAIT = "wait"  # for a while, for word of whether the sibling has ended; then `waited`
+    STOP_ACCEPTING = "stop accepting"
+    UPDATE_SIBLING = "update sibling"  # with what is in flight, now and whenever that changes
+    # Offer connections that are between two requests, now and as they get there.
+    MIGRATE = "migrate"
+    STOP_MIGRATING = "stop migrating"  # offer no more
+    # For a while, for word of whether the sibling has ended; then `waited`.
+    AWAIT_SIBLING_END = "await sibling end"
     ALONE = "alone"  # no sibling is at work: what it told counts no more
     FINISH = "finish"  # end once all that is open has been answered
 
@@ -215,7 +217,7 @@
                 return self._own(message.grant)
             case Retire():
                 return [*self._stop_accepting(), Step.FINISH]
-            case Room():
+            case DescriptorLimit():
                 return [LimitDescriptors(message.descriptors, False)]
         return []
 
@@ -237,7 +239,7 @@
         if not self.accepts:
             return []
         self.accepts = False
-        return [Step.PAUSE]
+        return [Step.STOP_ACCEPTING]
 
     def _yield(self, grant: int) -> list[WorkerCommand]:
         commands = self._stop_accepting()
@@ -246,20 +248,20 @@
             commands.append(ExportState(True))
         self.yielded = True
         if self.role is not LinkRole.NONE:
-            commands.append(Step.SHARE)
+            commands.append(Step.UPDATE_SIBLING)
         return [*commands, ToSupervisor(Yielded(grant))]
 
     def _own(self, grant: int) -> list[WorkerCommand]:
         commands: list[WorkerCommand] = []
         if self.migrating:
             self.migrating = False
-            commands.append(Step.STAY)
+            commands.append(Step.STOP_MIGRATING)
         if not self.accepts:
             commands.append(Step.ACCEPT)
         self.accepts, self.yielded = True, False
         commands.append(ToSupervisor(Owning(grant)))
         if self.role is not LinkRole.NONE:
-            commands += [Step.SHARE, ToSibling(Come())]
+            commands += [Step.UPDATE_SIBLING, ToSibling(Come())]
         return commands
 
     # What the sibling says.
@@ -270,7 +272,7 @@
             case State():
                 takes = self.role is LinkRole.TAKER and not self.accepts
                 return [AdoptState(message)] if takes else []
-            case Taken():
+            case StateResult():
                 is_rehearsed = self.role is LinkRole.GIVER and not message.final
                 return [ToSupervisor(Prepared(message.left))] if is_rehearsed else []
             case AttemptsInFlight():
@@ -282,9 +284,9 @@
             case Connections():
                 self.received.add(message.batch)
                 keep = KeepBatch(message.batch, tuple(message.brought))
-                return [keep, ToSibling(Kept(message.batch))]
-            case Kept():
-                return self._kept(message)
+                return [keep, ToSibling(BatchReceived(message.batch))]
+            case BatchReceived():
+                return self._batch_received(message)
             case Release():
                 return self._released(message)
         return []
@@ -294,9 +296,9 @@
         if not self.yielded:
             return []
         self.migrating = True
-        return [Step.MOVE]
+        return [Step.MIGRATE]
 
-    def _kept(self, message: Kept) -> list[WorkerCommand]:
+    def _batch_received(self, message: BatchReceived) -> list[WorkerCommand]:
         """The sibling holds a batch.
 
         The order counts: a giver that ends in between has not closed what nobody owns yet. A giver
@@ -324,8 +326,8 @@
 
         `left` are plain lines for what could not be used.
         """
-        result = Held() if final else Prepared(left)
-        return [ToSibling(Taken(final, left)), ToSupervisor(result)]
+        result = StateAdopted() if final else Prepared(left)
+        return [ToSibling(StateResult(final, left)), ToSupervisor(result)]
 
     def batch_released(self, batch: int) -> None:
         """Note that a batch was released and is closed here."""
@@ -337,11 +339,13 @@
             return []
         commands: list[WorkerCommand] = [TakeBackBatch(batch) for batch in self.offered]
         if self.received:
-            commands += self._own_held_batches() if self.sibling_has_ended else [Step.WAIT]
+            commands += (
+                self._own_held_batches() if self.sibling_has_ended else [Step.AWAIT_SIBLING_END]
+            )
         if self.lent:
             commands.append(LimitDescriptors(self.lent, True))
         if self.migrating:
-            commands.append(Step.STAY)
+            commands.append(Step.STOP_MIGRATING)
         self.offered.clear()
         self.role, self.lent, self.migrating = LinkRole.NONE, 0, False
         return [*commands, Step.ALONE]
--- a/quillroad/zones/report.py
+++ b/quillroad/zones/report.py
@@ -86,7 +86,7 @@
     """The state of the budget and the traffic of one gateway.
 
     `at` and `since` (the start) are seconds since 1970. `budget_used` is the part of the budget in
-    use (1: all of it). `share` (0 to 1) of first attempts, `per_second` attempts and
+    use (1: all of it). `remote_fraction` (0 to 1) of first attempts, `per_second` attempts and
     `bytes_per_second` are its limits, as means over `window_s` seconds. `allowed_in_s` has for each
     route the seconds until an attempt within the budget is allowed, at the traffic of today, or
     `NEVER_S`.
@@ -99,7 +99,7 @@
     local_zone_lost: bool = field(name="lost")
     is_over_budget: bool = field(name="past")
     budget_used: float = field(name="used")
-    share: float
+    remote_fraction: float = field(name="share")
     per_second: float
     bytes_per_second: float
     window_s: float
@@ -179,7 +179,7 @@
         local_zone_lost=budget.local_zone_lost,
         is_over_budget=budget.is_exceeded,
         budget_used=round(budget.used(now_us), 4),
-        share=limits.share,
+        remote_fraction=limits.share,
         per_second=limits.per_s,
         bytes_per_second=limits.bytes_per_s,
         window_s=limits.window_us / MICROSECONDS,
--- a/quillroad/zones/settings.py
+++ b/quillroad/zones/settings.py
@@ -33,7 +33,7 @@
 class _Budget(Struct, forbid_unknown_fields=True):
     """`[budget]`: what may leave the zone, by all gateways together."""
 
-    share: Part
+    remote_fraction: Part = msgspec.field(name="share")
     window: Duration = "60 s"
     per_second: Rate = 0.0
     bytes_per_second: Rate = 0.0
@@ -124,7 +124,7 @@
     window_s = within(file.budget.window, "budget.window", *WINDOW_BOUNDS_S)
     hold_s = within(file.local_zone.hold, "home.hold", *HOLD_BOUNDS_S)
     return CrossZoneLimits(
-        share=file.budget.share,
+        share=file.budget.remote_fraction,
         classes=tuple(RouteAllowance(route.when_lost == "spend", route.keep) for route in routes),
         window_us=round(MICROSECONDS * window_s),
         per_s=file.budget.per_second / gateway_count,
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import dataclasses
 from typing import Any
 
 import pytest
@@ -11,7 +12,9 @@
 from quillroad.balancing.events import Outcome, StreamStarted
 from quillroad.balancing.platform_settings import read_settings
 from quillroad.balancing.settings import DeduplicationScope, Idempotency, Route, Settings
+from quillroad.config import changed_fields
 from tests.balancing.helpers import BalancerDriver, route, settings
+from tests.net import make_config
 
 
 @pytest.mark.parametrize(
@@ -98,3 +101,15 @@
     balancer = stage.balancer
     assert len(balancer.hosts) == 5 and len(balancer.requests) == len(balancer.timers) == 0
     assert all(len(r.latency) <= 128 for r in balancer.routes)
+
+
+def test_the_log_names_changed_fields_as_it_always_did() -> None:
+    before = make_config(1)
+    after = dataclasses.replace(
+        before,
+        known_hosts={"generation": 2},
+        sockets=before.sockets + 1,
+        machine_types=("m-1",),
+        body_budget_bytes=before.body_budget_bytes - 1,
+    )
+    assert changed_fields(before, after) == ["sockets", "kinds", "buffers"]
--- a/tests/discovery/test_consul.py
+++ b/tests/discovery/test_consul.py
@@ -213,7 +213,7 @@
         make_config(1), asyncio.get_running_loop()
     )  # the platform's discovery is not there
     gateway.listen(open_listener("127.0.0.1", 0))
-    feed = Feed(gateway.config.zones, gateway.config.kinds, gateway.engine.update_endpoints)
+    feed = Feed(gateway.config.zones, gateway.config.machine_types, gateway.engine.update_endpoints)
     source = ConsulSource(told(*agents), feed.listener(), 1)
     source.start()
     try:
--- a/tests/recordings/adapter.py
+++ b/tests/recordings/adapter.py
@@ -144,5 +144,5 @@
 def adopted(balancer: Balancer, document: bytes) -> list[str]:
     """Give the document to a fresh balancer; returns what it could not use."""
     return state_snapshot.adopt(
-        balancer, msgspec.json.decode(document, type=state_snapshot.Knowledge), NAMES
+        balancer, msgspec.json.decode(document, type=state_snapshot.StateSnapshot), NAMES
     )
--- a/tests/recordings/upgrade.py
+++ b/tests/recordings/upgrade.py
@@ -20,13 +20,13 @@
 from quillroad.upgrade.canary import Canary
 from quillroad.upgrade.messages import (
     AttemptsInFlight,
+    BatchReceived,
     Come,
     Connections,
+    DescriptorLimit,
     Ended,
     Give,
-    Held,
     Hello,
-    Kept,
     Lend,
     Message,
     OperatorActions,
@@ -38,9 +38,9 @@
     Release,
     Report,
     Retire,
-    Room,
+    StateAdopted,
+    StateResult,
     Take,
-    Taken,
     Unfit,
     Unknown,
     Welcome,
@@ -66,11 +66,11 @@
 from quillroad.upgrade.state_snapshot import (
     ADOPTED_TIMERS,
     AttemptKnown,
-    Knowledge,
     Names,
     RequestKnown,
     RouteKnown,
     ServerKnown,
+    StateSnapshot,
     Work,
     adopt,
     export,
@@ -96,18 +96,18 @@
     Prepared(["section 'x': not known", "tenant 'y': not configured"]),
     Yield(5),
     Yielded(6),
-    Held(),
+    StateAdopted(),
     Own(8),
     Owning(9),
     Retire(),
     Report(10, 11, 12, 13, 14, 15, 16.5),
     StateMessage({"clock": b"\x01\x02", "module": b"\x03"}, True),
-    Taken(True, ["2 servers: not in the list held"]),
+    StateResult(True, ["2 servers: not in the list held"]),
     Connections(17, [18, 19, 0]),
-    Kept(20),
+    BatchReceived(20),
     Release(21, 22),
     AttemptsInFlight([(23, 24, 25), (26, 27, 28)], ["r-1", "r-2"], ["r-3"]),
-    Room(29),
+    DescriptorLimit(29),
     Lend(30),
     Come(),
     OperatorActions({"s-1": 31, "s-2": 32}, {"s-3": (33, 34)}, True),
@@ -124,18 +124,18 @@
     Prepared(),
     Yield(0),
     Yielded(0),
-    Held(),
+    StateAdopted(),
     Own(0),
     Owning(0),
     Retire(),
     Report(),
     StateMessage({}, False),
-    Taken(False),
+    StateResult(False),
     Connections(0, []),
-    Kept(0),
+    BatchReceived(0),
     Release(0, 0),
     AttemptsInFlight([]),
-    Room(0),
+    DescriptorLimit(0),
     Lend(0),
     Come(),
     OperatorActions({}),
@@ -186,7 +186,7 @@
     for over, closed, kept, long, _ in FLAGS
 ]
 WORK = Work(REQUESTS, [([0, 1], [2])], [[(33, 0, 1), (34, 1, 2)]], [(35, "hedge", 0)], 36, 37)
-KNOWLEDGE = Knowledge(
+SNAPSHOT = StateSnapshot(
     38,
     [SERVER],
     [ROUTE],
@@ -214,7 +214,7 @@
     ATTEMPTS[0],
     REQUESTS[0],
     WORK,
-    KNOWLEDGE,
+    SNAPSHOT,
 )
 NAMES = Names(("acme", "zeta"), ("two-core", "three-core"))
 
@@ -272,9 +272,9 @@
     known = export(balancer, NAMES, work=True)
     whole, learned = _encode(balancer, work=True), _encode(balancer, work=False)
     return {
-        "every field": msgspec.msgpack.encode(KNOWLEDGE),
-        "every field, JSON": msgspec.json.encode(KNOWLEDGE).decode(),
-        "defaults": msgspec.msgpack.encode(Knowledge(0, [], [])),
+        "every field": msgspec.msgpack.encode(SNAPSHOT),
+        "every field, JSON": msgspec.json.encode(SNAPSHOT).decode(),
+        "defaults": msgspec.msgpack.encode(StateSnapshot(0, [], [])),
         "seeded, with work": whole,
         "seeded, with work, JSON": msgspec.json.encode(known).decode(),
         "seeded, without work": learned,
@@ -287,13 +287,13 @@
     if name == "alarms":
         return document
     codec: Any = msgspec.json if name.endswith("JSON") else msgspec.msgpack
-    return bytes(codec.encode(codec.decode(document, type=Knowledge)))
+    return bytes(codec.encode(codec.decode(document, type=StateSnapshot)))
 
 
 def adopt_and_export(document: bytes, work: bool) -> bytes:
     """The document that a fresh balancer writes which has taken over a seeded one's."""
     balancer = Balancer(_seeded_stage().told, 99)
-    assert adopt(balancer, msgspec.msgpack.decode(document, type=Knowledge), NAMES) == []
+    assert adopt(balancer, msgspec.msgpack.decode(document, type=StateSnapshot), NAMES) == []
     return _encode(balancer, work)
 
 
@@ -304,7 +304,7 @@
     AttemptKnown(1, 2, None, True, False, True),
     RequestKnown(1, 2, 3.5, 4, True, 5, 6, False, True),
     Work([], [], [], [], 1, 2),
-    Knowledge(0, [], []),
+    StateSnapshot(0, [], []),
     Hosts([]),
     AdmissionEstimates(1.5, 2.5),
 )
@@ -317,7 +317,7 @@
     queues: list[tuple[list[int], list[int]]] = [([], []) for _ in stage.told.routes]
     work = Work([], queues, [[] for _ in stage.told.routes], alarms, 200, 0)
     balancer = Balancer(stage.told, 99)
-    adopt(balancer, Knowledge(0, [], [], work=work), NAMES)
+    adopt(balancer, StateSnapshot(0, [], [], work=work), NAMES)
     told = export(balancer, NAMES, work=True).work
     assert told is not None
     return list(ADOPTED_TIMERS), [meaning for _, meaning, _ in told.alarms]
@@ -388,7 +388,7 @@
         *SOURCE,
         {"s-1": (63, True), "s-2": (64, False)},
     ),
-    "module": KNOWLEDGE,
+    "module": SNAPSHOT,
     "admission": AdmissionEstimates(
         0.065, 6.6, {"status-check": 0.67, "seat-checkout": 0.68}, {"acme": (69.5, 70.5)}
     ),
--- a/tests/upgrade/test_machines.py
+++ b/tests/upgrade/test_machines.py
@@ -16,13 +16,13 @@
 from quillroad.upgrade.messages import (
     VERSION,
     Connections,
+    DescriptorLimit,
     Give,
     Hello,
     Message,
     Owning,
     Ready,
     Report,
-    Room,
     State,
     Take,
     Unfit,
@@ -200,10 +200,10 @@
                     self.post(number, process.other, State({}, act.final))
                 case AdoptState():
                     self.act(number, process.seat.adopted(act.state.final, []))
-                case Step.MOVE:
+                case Step.MIGRATE:
                     process.waiting = set(process.holds)
                     self.offer(number)
-                case Step.STAY:
+                case Step.STOP_MIGRATING:
                     process.waiting = set()
                 case Step.FINISH:
                     process.finishing = True
@@ -213,7 +213,7 @@
                     process.kept[act.batch] = self.carried
                 case OwnBatch():
                     process.holds |= process.kept.pop(act.batch, set())
-                case Step.WAIT:
+                case Step.AWAIT_SIBLING_END:
                     process.waits = self.now + 1.0
                 case DropBatches():
                     process.kept.clear()
@@ -292,7 +292,7 @@
         assert len(readers) == len(set(readers)), "a connection with two readers"
         told = [message for wire in self.wires.values() for message, _ in wire]
         if not any(
-            isinstance(message, Room) for message in told
+            isinstance(message, DescriptorLimit) for message in told
         ):  # what is told is heard in some turns
             held = sum(process.descriptors() for process in self.processes.values())
             assert held <= LIMITS.descriptors, "more descriptors than there are"
@@ -350,7 +350,7 @@
         assert survivor == 1 and machine.settled[0]
     # Only what was the dead process's own is gone: nothing that the other one held a copy of.
     assert IDLE - machine.lost <= machine.processes[survivor].holds
-    moving = ("Come", "Kept", "Connections", "Release", "AttemptsInFlight", "Owning")
+    moving = ("Come", "BatchReceived", "Connections", "Release", "AttemptsInFlight", "Owning")
     assert not machine.lost or victim == 1 or kind in moving
     upgrade(machine)  # and the next one works
     assert machine.settled[-1] == "" and machine.serving() > survivor
--- a/tests/upgrade/test_sibling_handover.py
+++ b/tests/upgrade/test_sibling_handover.py
@@ -20,7 +20,7 @@
 from quillroad.upgrade.sibling_handover import (
     NEWCOMER_DESCRIPTORS,
     HandoverCommand,
-    HandoverStage,
+    HandoverPhase,
     HandoverStep,
     SendToSibling,
     SiblingHandover,
@@ -95,7 +95,7 @@
                     self.wire.append(State({}, act.final))
                 case AdoptState():
                     self.do(self.seat.adopted(act.state.final, []))
-                case WorkerStep.SHARE:
+                case WorkerStep.UPDATE_SIBLING:
                     self.wire.append(AttemptsInFlight([]))
                 case WorkerStep.ACCEPT:
                     assert self.listens
@@ -163,7 +163,7 @@
     said = play(old, new)
     assert said[:3] == ["Hello", "Welcome", "Ready"]
     assert new.accepts and new.published and not old.accepts
-    assert old.pair.stage is HandoverStage.STANDS_BY
+    assert old.pair.phase is HandoverPhase.STANDS_BY
 
 
 STEPS = len(play(serving(), Side("new")))
@@ -177,7 +177,7 @@
     left = new if who == "old" else old
     if left.prepares:  # it was about to
         left.carry(left.pair.prepared(False))
-    elif left.pair.stage is HandoverStage.LOOKS:  # its next look finds nobody
+    elif left.pair.phase is HandoverPhase.LOOKS:  # its next look finds nobody
         left.carry(left.pair.nobody())
         left.carry(left.pair.prepared(False))
     assert left.accepts and left.listens and left.published
@@ -188,14 +188,14 @@
 def test_a_message_that_hangs_at_any_step_keeps_nobody(step: int) -> None:
     old, new = serving(), Side("new")
     play(old, new, lose=step)
-    if new.pair.stage is HandoverStage.ASKS:
+    if new.pair.phase is HandoverPhase.AWAITS_WELCOME:
         new.carry(new.pair.nobody())
     if new.prepares:
         new.carry(new.pair.prepared(new.linked))
     new.carry(new.pair.late())
     assert new.accepts
     old.cut()  # the newcomer's end of the link is closed by then
-    assert old.accepts or old.pair.stage is HandoverStage.STANDS_BY
+    assert old.accepts or old.pair.phase is HandoverPhase.STANDS_BY
 
 
 def test_one_newcomer_at_a_time_and_none_at_the_end() -> None:
@@ -314,7 +314,7 @@
         assert list(here.gateway.folder.iterdir()) == []
 
 
-KINDS = ["Hello", "Ready", "Taken", "Come", "Kept", "AttemptsInFlight"]
+KINDS = ["Hello", "Ready", "StateResult", "Come", "BatchReceived", "AttemptsInFlight"]
 GIVERS = ["Welcome", "State", "AttemptsInFlight", "Connections", "Release"]
 
 
--- a/tests/upgrade/test_state_snapshot.py
+++ b/tests/upgrade/test_state_snapshot.py
@@ -20,8 +20,8 @@
 )
 from quillroad.upgrade.state_snapshot import (
     VERSION,
-    Knowledge,
     Names,
+    StateSnapshot,
     adopt,
     attempts_in_flight,
     export,
@@ -38,7 +38,7 @@
     """The same balancer in another process: out, over the wire, and in."""
     wire = msgspec.msgpack.encode(export(balancer, NAMES, work))
     other = Balancer(balancer.settings, seed)
-    assert adopt(other, msgspec.msgpack.decode(wire, type=Knowledge), NAMES) == []
+    assert adopt(other, msgspec.msgpack.decode(wire, type=StateSnapshot), NAMES) == []
     return other
 
 
@@ -210,5 +210,5 @@
     for missing in ("random", "crowding", "paces"):
         wire.pop(missing, None)
     other = Balancer(driver.told, 5)
-    assert adopt(other, msgspec.convert(wire, Knowledge), NAMES) == [left]
+    assert adopt(other, msgspec.convert(wire, StateSnapshot), NAMES) == [left]
     assert other.routes[0].samples == driver.balancer.routes[0].samples
--- a/tests/upgrade/test_upgrades.py
+++ b/tests/upgrade/test_upgrades.py
@@ -218,10 +218,10 @@
     [
         ("new", "Hello"),
         ("new", "Ready"),
-        ("new", "Taken"),
+        ("new", "StateResult"),
         ("new", "Prepared"),
-        ("new", "Held"),
-        ("new", "Kept"),
+        ("new", "StateAdopted"),
+        ("new", "BatchReceived"),
         ("old", "State"),
         ("old", "Yielded"),
         ("old", "Connections"),
@@ -244,7 +244,7 @@
         assert (here.workers() == [old]) is (who == "new")
         assert bool(became[0]) is (who == "new" or kind in ("State", "Yielded"))
         # A process that is killed takes along the requests that it holds, and nothing else.
-        held = 0 if who == "new" and kind != "Kept" else 16
+        held = 0 if who == "new" and kind != "BatchReceived" else 16
         in_order(here, load, held)
         assert await here.upgrade() == ""
 
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -174,7 +174,7 @@
         zones.budget.write_text("[budget]\nshare = 2.0")
         os.kill(stage.gateway.pid, signal.SIGHUP)
         for _ in range(2):
-            assert (await zones.report()).share == 0.05
+            assert (await zones.report()).remote_fraction == 0.05
         zones.budget.write_text(zones.text.replace("0.05", "1.0").replace("keep = 0.5", ""))
         os.kill(stage.gateway.pid, signal.SIGHUP)
         while (await zones.report()).classes[0].reserve:
