--- a/quillroad/discovery/consul/register.py
+++ b/quillroad/discovery/consul/register.py
@@ -77,7 +77,7 @@
         self.due = now
         self._wait_s = FIRST_WAIT_S
         self._status = CRITICAL  # as it is
-        self._told_status = ""  # as the agent has it
+        self._registered_status = ""  # as the agent has it
         self._leaves_until = 0.0
         # Something was said, so that the agent may have the entry though it has not answered.
         self._agent_may_have_it = False
@@ -86,7 +86,7 @@
         """Note whether the gateway has hosts to serve by."""
         self._status = PASSING if ready else CRITICAL
         is_registered = self.state is RegistrationState.REGISTERED
-        if is_registered and self._told_status != self._status:
+        if is_registered and self._registered_status != self._status:
             self.due = now
 
     def leave(self, now: float) -> None:
@@ -172,8 +172,8 @@
         was_unregistered = self.state is RegistrationState.UNREGISTERED
         self.state = RegistrationState.REGISTERED
         self._wait_s = FIRST_WAIT_S
-        self._told_status = call.status or self._status
-        is_current = self._told_status == self._status
+        self._registered_status = call.status or self._status
+        is_current = self._registered_status == self._status
         self.due = now + UPDATE_INTERVAL * self._entry.ttl_s if is_current else now
         return "registered" if was_unregistered else ""
 
--- a/quillroad/discovery/consul/registrar.py
+++ b/quillroad/discovery/consul/registrar.py
@@ -56,14 +56,14 @@
                 continue
             registration.serves(monotonic(), self._ready())
             if wait_s > 0.0 and registration.next_s(monotonic()):
-                await self._wait(min(wait_s, LOOK_INTERVAL_S))
+                await self._sleep_until_woken(min(wait_s, LOOK_INTERVAL_S))
                 continue
             call = registration.call()
             status = await self._send(call)
             if line := registration.answered(monotonic(), call, status):
                 log.info("own entry: %s", line)
 
-    async def _wait(self, timeout_s: float) -> None:
+    async def _sleep_until_woken(self, timeout_s: float) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self._wakes.wait()
--- a/quillroad/discovery/platform.py
+++ b/quillroad/discovery/platform.py
@@ -101,7 +101,7 @@
         assert config.discovery is not None
         self.address = config.discovery
         self._update = update
-        self._list = PlatformList(config.zones, config.machine_types)
+        self._endpoint_list = PlatformList(config.zones, config.machine_types)
         self._answer = _Answer()
         self._list_received = False  # by the last call
         self._partly_received = (
@@ -128,22 +128,22 @@
         """Serve by the list as this gateway last had it until discovery's first answer."""
         if config.known_hosts:
             try:
-                self._apply(self._list.read(config.known_hosts, UpdateKind.CACHED))
+                self._apply(self._endpoint_list.read(config.known_hosts, UpdateKind.CACHED))
             except MalformedListError as error:
                 raise ConfigError(f"known: {error}") from None
 
     @property
     def position(self) -> tuple[str, int]:
         """The service's address and the newest generation; ("", 0) if it is another service's."""
-        if self._list.needs_full_list:
+        if self._endpoint_list.needs_full_list:
             return "", 0
         host, port = self.address
-        return f"{host}:{port}", self._list.generation
+        return f"{host}:{port}", self._endpoint_list.generation
 
     def resume(self, position: int) -> None:
         """Go on from this generation of the same service, whose list is in use already."""
-        if position > self._list.generation and not self._list.needs_full_list:
-            self._list.generation = position
+        if position > self._endpoint_list.generation and not self._endpoint_list.needs_full_list:
+            self._endpoint_list.generation = position
             if self._task is not None:
                 self.stop()
                 self._start_watch(0.0)  # this concerns one gateway alone: no round of polls is due
@@ -171,7 +171,7 @@
         """
         assert config.discovery is not None
         self.address = config.discovery
-        self._list.needs_full_list = True
+        self._endpoint_list.needs_full_list = True
         self._freshness.moved(monotonic())
         if self._task is not None:
             self.stop()
@@ -228,11 +228,11 @@
 
     async def _watch(self) -> None:
         """One watch until its connection ends."""
-        if self._list.needs_full_list:
+        if self._endpoint_list.needs_full_list:
             await self._request("/discovery/hosts")
-            if self._list.needs_full_list:
+            if self._endpoint_list.needs_full_list:
                 raise MalformedListError("no list")
-        await self._request(f"/discovery/hosts?watch=1&from={self._list.generation}")
+        await self._request(f"/discovery/hosts?watch=1&from={self._endpoint_list.generation}")
 
     async def _request(self, target: str) -> None:
         """Take over each document of an answer as it comes."""
@@ -268,7 +268,7 @@
 
     def _take_document(self, document: bytes) -> None:
         try:
-            change = self._list.read_document(document)
+            change = self._endpoint_list.read_document(document)
         except MalformedListError:
             self._partly_received = True
             self._recover_drains(document)
@@ -292,7 +292,7 @@
         self._update(*change)
 
     def _recover_drains(self, document: bytes) -> None:
-        change = self._list.recover_drains(document)
+        change = self._endpoint_list.recover_drains(document)
         if change is None:
             return
         shown = ", ".join(change.names[endpoint.id] for endpoint in change.update.endpoints)
--- a/quillroad/discovery/reducer.py
+++ b/quillroad/discovery/reducer.py
@@ -130,8 +130,8 @@
         is_out = instance.status is InstanceStatus.UNHEALTHY
         if remembered is None:
             # On the first list all that is there was there before: it is the gateway that starts.
-            is_told = bool(tells_starts or instance.started_us or self._is_first_list)
-            started_us = instance.started_us if is_told else now_us
+            is_start_known = bool(tells_starts or instance.started_us or self._is_first_list)
+            started_us = instance.started_us if is_start_known else now_us
             self._remembered[instance.id] = _Remembered(started_us, is_out)
             return started_us
         if tells_starts:
--- a/quillroad/membership/transport.py
+++ b/quillroad/membership/transport.py
@@ -9,7 +9,7 @@
 from quillroad.membership.roster import Address
 from quillroad.membership.wire import MAX_DATAGRAM_BYTES
 
-MAX_DATAGRAMS_PER_TURN = 64  # of the event loop: a flood must not hold up requests
+MAX_DATAGRAMS_PER_ITERATION = 64  # of the event loop: a flood must not hold up requests
 
 
 class UdpTransport:
@@ -34,8 +34,8 @@
         loop.add_reader(self._socket, on_readable)
 
     def receive(self) -> Iterator[tuple[bytes, Address]]:
-        """Yield the datagrams that wait, with their senders, `MAX_DATAGRAMS_PER_TURN` at most."""
-        for _ in range(MAX_DATAGRAMS_PER_TURN):
+        """Yield the datagrams that wait, with their senders, `MAX_DATAGRAMS_PER_ITERATION` at most."""
+        for _ in range(MAX_DATAGRAMS_PER_ITERATION):
             try:
                 # One byte more than allowed, so that a longer datagram is seen to be one.
                 data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
--- a/quillroad/upgrade/control_socket.py
+++ b/quillroad/upgrade/control_socket.py
@@ -26,14 +26,14 @@
 class ControlSocket:
     """Listens for operators at `path`.
 
-    `ask` takes a command and returns why not, or nothing; `status` gives the lines for an operator.
+    `on_command` takes a command and returns why not, or nothing; `status` gives the lines for an operator.
     """
 
     def __init__(
-        self, path: Path, ask: Callable[[str], str], status: Callable[[], Iterator[str]]
+        self, path: Path, on_command: Callable[[str], str], status: Callable[[], Iterator[str]]
     ) -> None:
         self._path = path
-        self._on_command = ask
+        self._on_command = on_command
         self._status = status
         self._server: asyncio.Server | None = None
         self._inode = 0
@@ -65,8 +65,8 @@
             return
         if not stat.S_ISSOCK(path.stat().st_mode):
             raise ConfigError(f"control: {path} is no socket")
-        with socket.socket(socket.AF_UNIX) as probe:
-            if probe.connect_ex(str(path)) == 0:
+        with socket.socket(socket.AF_UNIX) as client:
+            if client.connect_ex(str(path)) == 0:
                 raise ConfigError(f"control: {path} is in use by another gateway")
         path.unlink()
 
--- a/quillroad/upgrade/migration.py
+++ b/quillroad/upgrade/migration.py
@@ -38,10 +38,10 @@
         config: Config,
         engine: Engine,
         descriptors: Descriptors,
-        make_room: Callable[[], bool],
+        drop_idle_upstream: Callable[[], bool],
         loop_monitor: EventLoopMonitor,
     ) -> None:
-        super().__init__(loop, config, engine, descriptors, make_room, loop_monitor)
+        super().__init__(loop, config, engine, descriptors, drop_idle_upstream, loop_monitor)
         self.leaving = False
         self.on_idle: Callable[[ClientConnection], None] | None = None
 
--- a/quillroad/upgrade/selftest.py
+++ b/quillroad/upgrade/selftest.py
@@ -101,14 +101,14 @@
 async def _check(port: int, route: Route) -> None:
     try:
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
-            status = await _ask(port, route.name, route.idempotency)
+            status = await _send_request(port, route.name, route.idempotency)
     except (TimeoutError, OSError, asyncio.IncompleteReadError, ValueError) as error:
         raise SelfTestError(f"self-test: {route.name}: {error or 'no answer'}") from None
     if status != 200:
         raise SelfTestError(f"self-test: {route.name}: answered with {status}, 200 was wanted")
 
 
-async def _ask(port: int, name: str, idempotency: Idempotency) -> int:
+async def _send_request(port: int, name: str, idempotency: Idempotency) -> int:
     """The status of one request; `NOT_OURS` for a 200 with another body than the stand-in's."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     is_read = idempotency is Idempotency.IDEMPOTENT
--- a/tests/discovery/test_platform.py
+++ b/tests/discovery/test_platform.py
@@ -197,7 +197,7 @@
         assert isinstance(watch, PlatformSource)
         w.discovery.generation = 8
         w.discovery.tell(w.hosts[0].entry(weight=2.0))
-        await until(lambda: watch._list.generation == 9)
+        await until(lambda: watch._endpoint_list.generation == 9)
         other = await FakeHost("s-other").start()
         new = await successor(w, w.hosts[0].entry(lifecycle="draining"), other.entry())
         assert await new.asked.get() == "/discovery/hosts"
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quillroad.membership.transport import MAX_DATAGRAMS_PER_TURN, UdpTransport
+from quillroad.membership.transport import MAX_DATAGRAMS_PER_ITERATION, UdpTransport
 from quillroad.membership.wire import MAX_DATAGRAM_BYTES
 from testbed.gateway import free_port
 from tests.net import on_loop
@@ -45,7 +45,7 @@
             for _ in range(200):
                 sender.sendto(b"x", ("127.0.0.1", port))
         await readable.wait()
-        assert len(list(transport.receive())) == MAX_DATAGRAMS_PER_TURN
+        assert len(list(transport.receive())) == MAX_DATAGRAMS_PER_ITERATION
     finally:
         transport.close()
 
