--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -32,7 +32,8 @@
 
 log = logging.getLogger("quillroad.upgrade")
 
-SEAT = "QUILLROAD_SEAT"  # environment: the descriptor of the socket to the supervisor
+# Of the environment: the descriptor of the socket to the supervisor.
+SUPERVISOR_SOCKET_VARIABLE = "QUILLROAD_SEAT"
 REPORT_INTERVAL_S = 0.1
 
 
@@ -74,7 +75,7 @@
         if isinstance(message, Welcome) and len(descriptors) == 1:
             self._listener = socket.socket(fileno=descriptors[0])
             self._listener.setblocking(False)
-            self._own_task(self._prepare(message))
+            self._tasks.start(self._prepare(message))
             return
         is_link = isinstance(message, Give | Take) and len(descriptors) == 1
         if is_link and self._gateway is not None:
@@ -102,19 +103,18 @@
             self._unfit(f"{type(error).__name__}: {error}", 1)
         else:
             self._supervisor.send(Ready(memory_mb()))
-            self._own_task(self._report_forever())
+            self._tasks.start(self._report_forever())
 
     def _unfit(self, why: str, status: int) -> None:
         self._supervisor.send(Unfit(why))
-        self.status = status
-        self.end.set()
+        self._fail(status)
 
     async def _report_forever(self) -> None:
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
             self._supervisor.send(self._report())
             if self._state.yielded:
-                self._share_attempts()
+                self._update_sibling()
 
     def _report(self) -> Report:
         """What this process did since the last report."""
@@ -137,14 +137,14 @@
 
 
 async def serve(
-    seat: int, first: Callable[[], Config], again: Callable[[], Config], zones: Path | None
+    descriptor: int, first: Callable[[], Config], again: Callable[[], Config], zones: Path | None
 ) -> int:
     """Run one worker to its end; returns the status to exit with.
 
-    `seat` is the descriptor of the socket to the supervisor.
+    `descriptor` is that of the socket to the supervisor.
     """
     loop = asyncio.get_running_loop()
-    worker = SupervisedWorker(loop, socket.socket(fileno=seat), first, again, zones)
+    worker = SupervisedWorker(loop, socket.socket(fileno=descriptor), first, again, zones)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, worker.drain)
     await worker.end.wait()
@@ -156,4 +156,4 @@
     """Run one worker from its start to its end; returns the status to exit with."""
     start_log()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    return uvloop.run(serve(int(os.environ.pop(SEAT)), first, again, zones))
+    return uvloop.run(serve(int(os.environ.pop(SUPERVISOR_SOCKET_VARIABLE)), first, again, zones))
