--- a/testbed/clients.py
+++ b/testbed/clients.py
@@ -149,7 +149,6 @@
         self.refused_connects = 0  # that the gateway's address did not take
         self._opening: set[asyncio.Task[None]] = set()
         self._again = False  # closed-loop: the next request follows an answer
-        self._end = 0.0
 
     def request(self, work: int | None = None) -> tuple[Record, bytes]:
         """Make a new request, of class `work` or a random one: its record and its bytes."""
@@ -168,7 +167,7 @@
 
     def answered(self, connection: Connection, record: Record | None, keep: bool) -> None:
         """A response has come whole; `keep`: its connection takes another request."""
-        if self._again and time.monotonic() < self._end:
+        if self._again:
             if keep:
                 connection.send(*self.request())
             else:
@@ -190,7 +189,7 @@
             # its way then is sent once more on a new connection; otherwise it would count as lost.
             record.again = True
             self._open(True, (record, connection.sent))
-        elif self._again and time.monotonic() < self._end:
+        elif self._again:
             self._open(True)
 
     # Sending.
@@ -245,11 +244,19 @@
 
     async def closed_loop(self, connections: int, seconds: float) -> None:
         """Run so many clients for `seconds`, each asking again as soon as it is answered."""
+        self.begin_closed_loop(connections)
+        await asyncio.sleep(seconds)
+        await self.end_closed_loop()
+
+    def begin_closed_loop(self, connections: int) -> None:
+        """Start so many clients, each asking again as soon as it is answered."""
         self._again = True
-        self._end = time.monotonic() + seconds
         for _ in range(connections):
             self._open(True)
-        await asyncio.sleep(seconds)
+
+    async def end_closed_loop(self) -> None:
+        """Let clients ask no more, and wait for the answers to what they asked."""
+        self._again = False
         await self.settle()
 
     async def once(self, count: int, silent: int = 0) -> None:
--- a/tests/upgrade/test_upgrades.py
+++ b/tests/upgrade/test_upgrades.py
@@ -368,14 +368,16 @@
     async with scene(tmp_path, hosts=12) as here:
         load = here.stage.load(shares=(3, 1))
         async with watched(here) as held:
-            asking = asyncio.ensure_future(load.closed_loop((SOCKETS - RESERVED) // 2, 6.0))
+            # Until the last upgrade holds: with nobody left that asks, the canary takes the new
+            # process for one to which nothing comes.
+            load.begin_closed_loop((SOCKETS - RESERVED) // 2)
             await until(lambda: len(load.records) > 1000)
             assert [await here.upgrade(broken) for broken in ("", "exits at once", "")] == [
                 "",
                 "it ended with 3",
                 "",
             ]
-            await asking
+            await load.end_closed_loop()
         whole = total(tally(load.records, WORKS).values())
         assert whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed
         assert (whole.late, whole.failed, whole.unanswered) == (0, 0, 0)
