--- a/quillroad/upgrade/canary.py
+++ b/quillroad/upgrade/canary.py
@@ -66,7 +66,9 @@
 
     tuning: CanaryTuning = field(default_factory=CanaryTuning)
     _before: deque[tuple[float, RequestCounts]] = field(default_factory=deque)
-    _began: float = 0.0
+    # Times of the new process's first and last report: of what lies outside nothing is known.
+    _reports_from: float | None = None
+    _reports_until: float = 0.0
     _rate: float = 0.0  # of the old process, requests a second
     _old: RequestCounts = field(default_factory=RequestCounts)
     _new: RequestCounts = field(default_factory=RequestCounts)
@@ -79,21 +81,26 @@
 
     def begin(self, now: float) -> None:
         """Another process serves from now on."""
-        self._began, self._old, self._new = now, RequestCounts(), RequestCounts()
+        self._reports_from, self._old, self._new = None, RequestCounts(), RequestCounts()
         for _, counts in self._before:
             self._old.add(counts)
         spent_s = now - self._before[0][0] if len(self._before) > 1 else 0.0
         self._rate = self._old.whole / spent_s if spent_s > 0 else 0.0
         self._before.clear()
 
-    def count_new(self, counts: RequestCounts) -> None:
+    def count_new(self, now: float, counts: RequestCounts) -> None:
         """The new process tells what it did since it told last."""
+        if self._reports_from is None:
+            self._reports_from = now
+        self._reports_until = now
         self._new.add(counts)
 
-    def worse(self, now: float) -> str:
+    def worse(self) -> str:
         """Why the new process has to go, or nothing."""
         tuning, old, new = self.tuning, self._old, self._new
-        served_s = now - self._began
+        if self._reports_from is None:
+            return ""
+        served_s = self._reports_until - self._reports_from
         if not new.whole and self._rate * served_s >= tuning.silent:
             return f"no request in {served_s:.1f} s, {self._rate:.0f} a second before"
         if new.whole < tuning.least:
