--- a/testbed/stage.py
+++ b/testbed/stage.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import os
 import time
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import replace
@@ -13,6 +12,7 @@
 
 from testbed.account import Drain, Receipt, Work, broken_rules
 from testbed.clients import Load
+from testbed.cores import CoreClaims
 from testbed.gateway import GatewayProcess, free_port, settings
 from testbed.hosts import Discovery, Host
 from testbed.lines import address_of
@@ -47,7 +47,8 @@
 class Stage:
     """Stand-ins in this process, and gateways in theirs, as an asynchronous context manager.
 
-    Each gateway is pinned to a core of its own while there are enough, and is told its number.
+    Each gateway is pinned to a core of its own while there are enough that no other stage on this
+    machine holds, and is told its number.
 
     Parameters:
         folder: for the gateways' files.
@@ -103,6 +104,7 @@
         self.relay = RelayProcess([])
         self.deaf: frozenset[int] = frozenset()  # gateways that cannot hear what discovery tells
         self._count = gateways
+        self._cores = CoreClaims()
         self.gateways: list[GatewayProcess] = []
         self.log = ""
         self.drains: list[Drain] = []  # that were told
@@ -144,8 +146,7 @@
         folder.mkdir()
         own_settings = settings(self._works, peers=self._membership.may_talk)
         own_settings |= {"balancers": self._count, "my_number": number} | self._settings
-        cores = sorted(os.sched_getaffinity(0))
-        core = cores[-1 - number % len(cores)]
+        core = self._cores.claim(number)
         gateway = GatewayProcess(folder, self.discovery.port, own_settings, options.sockets, core)
         gateway.upgrades = options.upgrades
         gateway.path = options.path
@@ -185,6 +186,7 @@
 
     async def __aexit__(self, *_: object) -> None:
         self.log = "".join([await gateway.stop() for gateway in self.gateways])
+        self._cores.release()
         for ration in self._rations:  # it ends with the process that it held
             await ration.wait()
         if self._membership.file:
