--- a/testbed/cores.py
+++ b/testbed/cores.py
@@ -17,17 +17,19 @@
 
     def __init__(self) -> None:
         self._sockets: list[socket.socket] = []
+        self._held: list[int] = []
 
     def claim(self, number: int) -> int:
         """The core for gateway `number`: the last of this process's that no testbed holds.
 
-        Where all are held it is shared: the `number`-th from the end.
+        Where all are held it is shared: one of those held here, if there are any.
         """
         cores = sorted(os.sched_getaffinity(0), reverse=True)
         for core in cores:
             if self._hold(core):
                 return core
-        return cores[number % len(cores)]
+        shared = self._held or cores
+        return shared[number % len(shared)]
 
     def _hold(self, core: int) -> bool:
         claim = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
@@ -37,10 +39,11 @@
             claim.close()
             return False
         self._sockets.append(claim)
+        self._held.append(core)
         return True
 
     def release(self) -> None:
         """Let other testbeds have all that were claimed here."""
         for claim in self._sockets:
             claim.close()
-        self._sockets = []
+        self._sockets, self._held = [], []
