--- a/testbed/clients.py
+++ b/testbed/clients.py
@@ -14,7 +14,7 @@
 from typing import cast
 
 from quillroad.overload.socket_age import Socket, data_age
-from testbed.account import Record, Work
+from testbed.account import Record, RequestClass
 
 GRACE_S = 0.5  # past the deadline, for late answers to show that they are late
 SEND_EARLY_S = 0.0005  # a request may go out this much before its time: sleeps are no finer
@@ -88,7 +88,7 @@
         self._load.answered(self, record, keep)
 
 
-def _request_bytes(request_class: Work, request_id: str, tenant: str, key: int) -> bytes:
+def _request_bytes(request_class: RequestClass, request_id: str, tenant: str, key: int) -> bytes:
     """A request as it goes on the wire; `key` is the last part of its path."""
     method, key_headers, body = b"GET", b"", b""
     if request_class.keyed:
@@ -116,7 +116,7 @@
 class Load:
     """Sends requests of a mix to one gateway and keeps a record of each.
 
-    `shares` weigh the classes of `works`; `tenants` and `keys` are dealt out evenly and at random.
+    `weights` weigh the classes of `request_classes`; `tenants` and `keys` are dealt out evenly and at random.
     `most` bounds the connections that an open-loop client opens; arrivals beyond it are counted in
     `unsent`. `lag` is the most that a scheduled arrival was sent late, in seconds.
     """
@@ -124,8 +124,8 @@
     def __init__(
         self,
         address: tuple[str, int],
-        works: Sequence[Work],
-        shares: Sequence[float],
+        request_classes: Sequence[RequestClass],
+        weights: Sequence[float],
         *,
         tenants: Sequence[str] = ("acme",),
         keys: int = 200,
@@ -134,11 +134,11 @@
         prefix: str = "c",
     ) -> None:
         self.address = address
-        self.works = works
+        self.request_classes = request_classes
         self.records: list[Record] = []
         self.unsent = 0
         self.lag = 0.0  # the most that a scheduled arrival was sent late, in seconds
-        self._cumulative_weights = list(itertools.accumulate(shares))
+        self._cumulative_weights = list(itertools.accumulate(weights))
         self._tenants = tenants
         self._keys = keys
         self._most = most
@@ -150,15 +150,17 @@
         self._opening: set[asyncio.Task[None]] = set()
         self._again = False  # closed-loop: the next request follows an answer
 
-    def request(self, work: int | None = None) -> tuple[Record, bytes]:
-        """Make a new request, of class `work` or a random one: its record and its bytes."""
-        if work is None:
+    def request(self, request_class: int | None = None) -> tuple[Record, bytes]:
+        """Make a new request, of class `request_class` or a random one: its record and its bytes."""
+        if request_class is None:
             drawn = self._random.random() * self._cumulative_weights[-1]
-            work = next(i for i, bound in enumerate(self._cumulative_weights) if drawn <= bound)
-        request_class = self.works[work]
+            request_class = next(
+                i for i, bound in enumerate(self._cumulative_weights) if drawn <= bound
+            )
+        request_class = self.request_classes[request_class]
         request_id = f"{self._prefix}{len(self.records):x}"
         tenant = self._tenants[int(self._random.random() * len(self._tenants))]
-        record = Record(request_id, work, 0.0, request_class.deadline, tenant)
+        record = Record(request_id, request_class, 0.0, request_class.deadline, tenant)
         self.records.append(record)
         key = int(self._random.random() * self._keys)
         return record, _request_bytes(request_class, request_id, tenant, key)
@@ -184,10 +186,10 @@
         connection.record = None
         if record is None:
             return
-        if not record.first_on_connection and not record.again:
+        if not record.first_on_connection and not record.resent:
             # A gateway may close a connection between two requests. A request that was already on
             # its way then is sent once more on a new connection; otherwise it would count as lost.
-            record.again = True
+            record.resent = True
             self._open(True, (record, connection.sent))
         elif self._again:
             self._open(True)
@@ -268,7 +270,7 @@
 
     async def settle(self) -> None:
         """Wait until every request has its answer or its client has given up; then close all."""
-        longest = max(work.deadline for work in self.works) + GRACE_S
+        longest = max(request_class.deadline for request_class in self.request_classes) + GRACE_S
         end = time.monotonic() + longest
         while time.monotonic() < end:
             if not self._opening and not any(c.record is not None for c in self._connections):
--- a/testbed/stage.py
+++ b/testbed/environment.py
@@ -10,7 +10,7 @@
 from socket import SOCK_DGRAM
 from typing import Any, NamedTuple
 
-from testbed.account import Drain, Receipt, Work, broken_rules
+from testbed.account import Drain, Receipt, RequestClass, broken_rules
 from testbed.clients import Load
 from testbed.cores import CoreClaims
 from testbed.gateway import GatewayProcess, free_port, settings
@@ -21,7 +21,7 @@
 
 
 class _GatewayOptions(NamedTuple):
-    """What each gateway is started with; see the parameters of `Stage`."""
+    """What each gateway is started with; see the parameters of `Environment`."""
 
     sockets: int
     upgrades: str
@@ -44,7 +44,7 @@
     view_interval: str
 
 
-class Stage:
+class Environment:
     """Stand-ins in this process, and gateways in theirs, as an asynchronous context manager.
 
     Each gateway is pinned to a core of its own while there are enough that no other stage on this
@@ -71,7 +71,7 @@
     def __init__(
         self,
         folder: Path,
-        works: Sequence[Work],
+        works: Sequence[RequestClass],
         hosts: int,
         *,
         delay: float = 0.0,
@@ -93,7 +93,7 @@
         **changes: Any,
     ) -> None:
         self._folder = folder
-        self._works = works
+        self._request_classes = works
         self._options = _GatewayOptions(sockets, upgrades, budget, operators, path, tree)
         self._settings = {"zones": list(zones)} | changes
         self.hosts = [Host(f"s-{i}", delay, zones[i % len(zones)]) for i in range(hosts)]
@@ -102,7 +102,9 @@
         self._membership = _Membership(fleet, bool(fleet) and peers, aloud, every)
         self._relays_lines = lines
         self.relay = RelayProcess([])
-        self.deaf: frozenset[int] = frozenset()  # gateways that cannot hear what discovery tells
+        self.uninformed: frozenset[int] = (
+            frozenset()
+        )  # gateways that cannot hear what discovery tells
         self._count = gateways
         self._cores = CoreClaims()
         self.gateways: list[GatewayProcess] = []
@@ -115,7 +117,7 @@
         """The first gateway."""
         return self.gateways[0]
 
-    async def __aenter__(self) -> Stage:
+    async def __aenter__(self) -> Environment:
         for host in self.hosts:
             await host.start()
         self.discovery = await self._make_discovery(self.hosts).start()
@@ -144,7 +146,7 @@
         options = self._options
         folder = self._folder / str(number)
         folder.mkdir()
-        own_settings = settings(self._works, peers=self._membership.may_talk)
+        own_settings = settings(self._request_classes, peers=self._membership.may_talk)
         own_settings |= {"balancers": self._count, "my_number": number} | self._settings
         core = self._cores.claim(number)
         gateway = GatewayProcess(folder, self.discovery.port, own_settings, options.sockets, core)
@@ -162,7 +164,7 @@
         if self._relays_lines:
             gateway.reconfigure(discovery=f"{address_of(number)}:{self.discovery.port}")
         peers = self.relay.peers[number]
-        gateway.talks(membership.file, listen, peers, everyone, membership.view_interval)
+        gateway.join_membership(membership.file, listen, peers, everyone, membership.view_interval)
 
     async def _start_gateways(self) -> None:
         """Start the gateways but the last `later`; with membership all at one instant."""
@@ -195,23 +197,23 @@
         for host in self.hosts:
             host.stop()
 
-    def load(self, gateway: int = 0, shares: Sequence[float] = (3, 1), **more: Any) -> Load:
-        """A load on one gateway; `shares` weigh the classes, `more` goes to `Load`."""
+    def load(self, gateway: int = 0, weights: Sequence[float] = (3, 1), **more: Any) -> Load:
+        """A load on one gateway; `weights` weigh the classes, `more` goes to `Load`."""
         more = {"prefix": f"g{gateway}-"} | more
-        return Load(self.gateways[gateway].address, self._works, shares, **more)
+        return Load(self.gateways[gateway].address, self._request_classes, weights, **more)
 
     async def ration(self, fraction: float, gateway: int = 0) -> None:
         """Hold a gateway to a part of its core (0 to 1)."""
         self._rations.append(await hold(self.gateways[gateway].pid, fraction))
 
-    async def no_ration(self) -> None:
+    async def end_rations(self) -> None:
         """Let all gateways have their cores again."""
         for ration in self._rations:
             ration.terminate()
             await ration.wait()
         self._rations = []
         for one in self.gateways:
-            one.go_on()
+            one.resume()
 
     def receipts(self) -> list[Receipt]:
         """All requests that hosts received."""
@@ -220,7 +222,7 @@
     def broken(self, *loads: Load) -> list[str]:
         """Violations in the account of these loads (`account.broken_rules`)."""
         records = [record for load in loads for record in load.records]
-        return broken_rules(records, self.receipts(), self._works, drains=self.drains)
+        return broken_rules(records, self.receipts(), self._request_classes, drains=self.drains)
 
     def break_off(self, host: Host, keep: str, most: int | None = None, **changes: Any) -> float:
         """Change a host's entry, and end watches in the middle of telling it; returns when.
@@ -242,5 +244,5 @@
             if changes["lifecycle"] == "up":
                 self.drains = [replace(d, until=now) if d in open_ones else d for d in self.drains]
             elif not open_ones:
-                self.drains.append(Drain(host.name, now, deaf=self.deaf))
+                self.drains.append(Drain(host.name, now, uninformed=self.uninformed))
         return now
--- a/tests/balancing/test_slow_start_fleet.py
+++ b/tests/balancing/test_slow_start_fleet.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from testbed.account import Work, tally, total
+from testbed.account import RequestClass, count_outcomes, total
+from testbed.environment import Environment
 from testbed.schedule import poisson
-from testbed.stage import Stage
 from tests.net import on_loop_within
 
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 GATEWAYS, RATE, DELAY_S = 6, 35.0, 0.02
 COLD_S, COLD_FROM, MULTIPLE, WINDOW_S = 4.0, 0.3, 2.0, 1.0
@@ -50,9 +50,11 @@
         "fall_multiple": MULTIPLE,
         "tip_after": round(WINDOW_S * 1e6),
     }
-    stage = Stage(tmp_path, WORKS, 3, delay=DELAY_S, gateways=GATEWAYS, guarantees=guarantees)
-    async with stage:
-        loads = [stage.load(number) for number in range(GATEWAYS)]
+    environment = Environment(
+        tmp_path, REQUEST_CLASSES, 3, delay=DELAY_S, gateways=GATEWAYS, guarantees=guarantees
+    )
+    async with environment:
+        loads = [environment.load(number) for number in range(GATEWAYS)]
         running = asyncio.gather(
             *(
                 load.open_loop(without_catching_up(poisson(RATE, COLD_S + 2.0, seed)))
@@ -60,14 +62,14 @@
             )
         )
         await asyncio.sleep(1.0)
-        cold = stage.hosts[0]
+        cold = environment.hosts[0]
         cold.stop()  # and back at the same address, as a process that restarts
         await cold.start(cold.port)
         began = time.monotonic()
-        stage.tell(cold, startedAtMs=round(time.time() * 1000))
+        environment.tell(cold, startedAtMs=round(time.time() * 1000))
         await asyncio.sleep(0.4)
         back = []
-        for gateway in stage.gateways[:killed]:
+        for gateway in environment.gateways[:killed]:
             gateway.kill()
             await gateway.stop()
             back.append(asyncio.ensure_future(gateway.start()))
@@ -76,13 +78,19 @@
         for load in loads:
             await load.settle()
         stayed = loads[killed:]
-        whole = total(tally([r for load in stayed for r in load.records], WORKS).values())
+        whole = total(
+            count_outcomes([r for load in stayed for r in load.records], REQUEST_CLASSES).values()
+        )
         assert (
             whole.sent
-            == whole.in_aim + whole.served + whole.refused + whole.failed + whole.unanswered
+            == whole.within_objective
+            + whole.served
+            + whole.rejected
+            + whole.failed
+            + whole.unanswered
         )
         assert (whole.late, whole.unanswered) == (0, 0)
-        assert stage.broken(*loads) == []
+        assert environment.broken(*loads) == []
         # The budget is of a host within `cold` of its start: of a warm one nothing is promised.
         times = [receipt.at for receipt in cold.receipts if began < receipt.at < began + COLD_S]
         assert len(times) > 20  # it is warmed, and used
--- a/tests/upgrade/test_upgrades.py
+++ b/tests/upgrade/test_upgrades.py
@@ -21,24 +21,24 @@
 from quillroad.downstream.connection_limit import RESTING_PART
 from quillroad.upgrade.messages import batch_of
 from quillroad.upgrade.settings import load_upgrades
-from testbed.account import Work, tally, total
+from testbed.account import RequestClass, count_outcomes, total
 from testbed.builds import Builds
 from testbed.clients import Load
+from testbed.environment import Environment
 from testbed.gateway import ROOT
 from testbed.hosts import Discovery
 from testbed.schedule import steady
-from testbed.stage import Stage
 from tests.net import on_loop, until
 from tests.upgrade.quick import FILE
 
-WORKS = [
-    Work("status-check", 0.58, 1.4, 2.0),
-    Work("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body=200),
+REQUEST_CLASSES = [
+    RequestClass("status-check", 0.58, 1.4, 2.0),
+    RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 # Whose clients wait for longer than a process takes to start, on a busy machine, too.
 PATIENT = [
-    Work("status-check", 20.0, 25.0, 2.0),
-    Work("seat-checkout", 20.0, 25.0, 8.0, keyed=True, body=200),
+    RequestClass("status-check", 20.0, 25.0, 2.0),
+    RequestClass("seat-checkout", 20.0, 25.0, 8.0, keyed=True, body_bytes=200),
 ]
 SOCKETS = 512
 UP = b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n"
@@ -46,29 +46,33 @@
 
 @dataclass
 class Scene:
-    stage: Stage
+    environment: Environment
     builds: Builds
 
     async def status(self) -> list[str]:
-        return await self.stage.gateway.say("status")
+        return await self.environment.gateway.send_command("status")
 
     async def upgrade(self, broken: str = "") -> str:
         """What became of one; empty: it holds, and the process before has ended."""
         self.builds.put(broken)
-        lines = await self.stage.gateway.say("upgrade")
+        lines = await self.environment.gateway.send_command("upgrade")
         while len(await self.status()) > 2:
             await asyncio.sleep(0.02)
         assert lines[0] == "begun"
         return "" if lines[-1] == "done" else lines[-1].removeprefix("error: ")
 
     def workers(self) -> list[int]:
-        return [pid for pid in self.stage.gateway.processes() if pid != self.stage.gateway.pid]
+        return [
+            pid
+            for pid in self.environment.gateway.processes()
+            if pid != self.environment.gateway.pid
+        ]
 
     async def under_load(
         self, *builds: str, rate: float = 150.0, most: int = 200
     ) -> tuple[list[str], Load]:
         """Upgrade to one build after another under steady load of both classes, on `most` connections."""
-        load = self.stage.load(shares=(3, 1), most=most)
+        load = self.environment.load(weights=(3, 1), most=most)
         sending = asyncio.ensure_future(load.open_loop(steady(rate, 120.0)))
         await until(lambda: len(load.records) > 30)
         became = [await self.upgrade(broken) for broken in builds]
@@ -85,20 +89,20 @@
     hosts: int = 4,
     delay: float = 0.03,
     operators: bool = False,
-    works: list[Work] = WORKS,
+    request_classes: list[RequestClass] = REQUEST_CLASSES,
 ) -> AsyncIterator[Scene]:
     builds = Builds(folder / "build")
-    async with Stage(
+    async with Environment(
         folder,
-        works,
+        request_classes,
         hosts=hosts,
         delay=delay,
         sockets=SOCKETS,
         upgrades=FILE,
         path=builds.folder,
         operators=operators,
-    ) as stage:
-        yield Scene(stage, builds)
+    ) as environment:
+        yield Scene(environment, builds)
 
 
 @asynccontextmanager
@@ -108,9 +112,9 @@
 
     async def watch() -> None:
         while True:
-            held = here.stage.gateway.processes()
+            held = here.environment.gateway.processes()
             counts.append(
-                sum(count for pid, count in held.items() if pid != here.stage.gateway.pid)
+                sum(count for pid, count in held.items() if pid != here.environment.gateway.pid)
             )
             await asyncio.sleep(0.002)
 
@@ -124,14 +128,15 @@
 def in_order(scene: Scene, load: Load, lost: int = 0) -> None:
     """Every request has its one answer, and the hosts saw what the gateway may have sent. A machine that
     stands still for longer than an aim brings refusals with or without an upgrade, so a few are let pass."""
-    whole = total(tally(load.records, WORKS).values())
+    whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
     assert (
-        whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed + whole.unanswered
+        whole.sent
+        == whole.within_objective + whole.served + whole.rejected + whole.failed + whole.unanswered
     )
     assert (whole.late, whole.failed) == (0, 0)
-    assert whole.refused <= 0.05 * whole.sent
+    assert whole.rejected <= 0.05 * whole.sent
     assert whole.unanswered <= lost
-    assert scene.stage.broken(load) == []
+    assert scene.environment.broken(load) == []
     assert load.refused_connects == 0
 
 
@@ -144,16 +149,16 @@
         in_order(here, load)
         assert len(here.workers()) == 1 and here.workers() != first
         # Clients kept their connections: those that rested moved, and none of them had to connect anew.
-        assert not any(record.again for record in load.records)
+        assert not any(record.resent for record in load.records)
 
 
 @on_loop
 async def test_a_check_starts_the_build_and_ends_it(tmp_path: Path) -> None:
     async with scene(tmp_path) as here:
         before = here.workers()
-        assert (await here.stage.gateway.say("check"))[-1] == "done"
+        assert (await here.environment.gateway.send_command("check"))[-1] == "done"
         here.builds.put("fails its self-test")
-        assert "self-test" in (await here.stage.gateway.say("check"))[-1]
+        assert "self-test" in (await here.environment.gateway.send_command("check"))[-1]
         assert before[0] in here.workers()
 
 
@@ -191,12 +196,12 @@
         before = here.workers()
         became, load = await here.under_load("serves errors")
         assert became[0].startswith("failed: ") and here.workers() == before
-        whole = total(tally(load.records, WORKS).values())
-        assert whole.failed >= 20 and (whole.late, whole.unanswered, whole.refused) == (0, 0, 0)
-        assert whole.sent == whole.in_aim + whole.served + whole.failed
+        whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
+        assert whole.failed >= 20 and (whole.late, whole.unanswered, whole.rejected) == (0, 0, 0)
+        assert whole.sent == whole.within_objective + whole.served + whole.failed
         last = [record.status for record in load.records[-20:]]
         assert set(last) == {200} and load.refused_connects == 0
-        assert here.stage.broken(load) == []
+        assert here.environment.broken(load) == []
 
 
 @on_loop
@@ -207,7 +212,7 @@
         before = here.workers()
         became, load = await here.under_load("hangs once it serves", rate=80.0)
         assert became[0] and here.workers() == before
-        whole = total(tally(load.records, WORKS).values())
+        whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
         # It took nothing: what came meanwhile waited in the kernel, and was answered by the old one.
         assert (whole.late, whole.unanswered) == (0, 0) and load.refused_connects == 0
         assert {record.status for record in load.records[-20:]} == {200}
@@ -254,21 +259,21 @@
     tmp_path: Path,
 ) -> None:
     """A client that asks again through the new process, while the old one has an attempt out."""
-    async with scene(tmp_path, hosts=2, works=PATIENT) as here:
-        for host in here.stage.hosts:
+    async with scene(tmp_path, hosts=2, request_classes=PATIENT) as here:
+        for host in here.environment.hosts:
             host.hangs = True
-        load = here.stage.load()
+        load = here.environment.load()
         record, data = load.request(1)
-        sock = socket.create_connection(here.stage.gateway.address)
+        sock = socket.create_connection(here.environment.gateway.address)
         sock.sendall(data)
-        await until(lambda: bool(here.stage.receipts()))
+        await until(lambda: bool(here.environment.receipts()))
         upgrading = asyncio.ensure_future(here.upgrade())
         while not any("stands by" in line for line in await here.status()):
             await asyncio.sleep(0.005)
-        reader, writer = await asyncio.open_connection(*here.stage.gateway.address)
+        reader, writer = await asyncio.open_connection(*here.environment.gateway.address)
         writer.write(data)
         assert (await reader.readline()).startswith(b"HTTP/1.1 400")
-        for host in here.stage.hosts:
+        for host in here.environment.hosts:
             host.hangs = False
             for connection in host.connections:
                 connection.answer()
@@ -279,7 +284,7 @@
         # The connection moved after its answer, to a process that sends the request now: it is known no more.
         await asyncio.get_running_loop().sock_sendall(sock, data)
         assert (await asyncio.get_running_loop().sock_recv(sock, 4096)).startswith(b"HTTP/1.1 200")
-        assert record.id == here.stage.receipts()[0].id
+        assert record.id == here.environment.receipts()[0].id
         sock.close()
         writer.close()
 
@@ -287,13 +292,13 @@
 @on_loop
 async def test_a_drain_told_in_the_middle_is_kept_by_whoever_sends(tmp_path: Path) -> None:
     async with scene(tmp_path) as here:
-        load = here.stage.load(shares=(3, 1), most=200)
+        load = here.environment.load(weights=(3, 1), most=200)
         sending = asyncio.ensure_future(load.open_loop(steady(150.0, 60.0)))
         await until(lambda: len(load.records) > 30)
         upgrading = asyncio.ensure_future(here.upgrade())
         await until(lambda: len(here.workers()) == 2)
-        host = here.stage.hosts[0]
-        told = here.stage.tell(host, lifecycle="draining")
+        host = here.environment.hosts[0]
+        told = here.environment.tell(host, lifecycle="draining")
         assert await upgrading == ""
         count = len(load.records)
         await until(lambda: len(load.records) > count + 60)
@@ -309,10 +314,10 @@
     """Hosts are told by another discovery from a reload on, and one of them drains there. A new process that
     has read the file before, or can't take a signal yet, must not go on by the old one."""
     async with scene(tmp_path) as here:
-        gateway, host = here.stage.gateway, here.stage.hosts[0]
-        other = await Discovery(here.stage.hosts).start()
+        gateway, host = here.environment.gateway, here.environment.hosts[0]
+        other = await Discovery(here.environment.hosts).start()
         other.tell(host.name, lifecycle="draining")
-        load = here.stage.load(shares=(3, 1), most=200)
+        load = here.environment.load(weights=(3, 1), most=200)
         sending = asyncio.ensure_future(load.open_loop(steady(150.0, 60.0)))
         await until(lambda: len(load.records) > 30)
         upgrading = asyncio.ensure_future(here.upgrade())
@@ -338,7 +343,7 @@
 async def test_both_processes_killed_at_once(tmp_path: Path) -> None:
     """They take along what they hold; the keeper starts another, and connects wait for it."""
     async with scene(tmp_path) as here:
-        load = here.stage.load(shares=(3, 1), most=200)
+        load = here.environment.load(weights=(3, 1), most=200)
         sending = asyncio.ensure_future(load.open_loop(steady(100.0, 60.0)))
         await until(lambda: len(load.records) > 30)
         upgrading = asyncio.ensure_future(here.upgrade())
@@ -353,11 +358,11 @@
         await until(lambda: len(load.records) > count + 150)
         sending.cancel()
         await load.settle()
-        whole = total(tally(load.records, WORKS).values())
+        whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
         # What waited in the kernel for longer than its aim allows is refused, and none is answered late.
         assert whole.unanswered <= 16 and (whole.late, load.refused_connects) == (0, 0)
         assert {record.status for record in load.records[-20:]} == {200}
-        assert here.stage.broken(load) == []
+        assert here.environment.broken(load) == []
         assert here.workers() and not set(here.workers()) & set(both)
 
 
@@ -366,7 +371,7 @@
     """As many clients as there are places, each asking again at once, through two upgrades and one that is
     given up."""
     async with scene(tmp_path, hosts=12) as here:
-        load = here.stage.load(shares=(3, 1))
+        load = here.environment.load(weights=(3, 1))
         async with watched(here) as held:
             # Until the last upgrade holds: with nobody left that asks, the canary takes the new
             # process for one to which nothing comes.
@@ -378,17 +383,17 @@
                 "",
             ]
             await load.end_closed_loop()
-        whole = total(tally(load.records, WORKS).values())
-        assert whole.sent == whole.in_aim + whole.served + whole.refused + whole.failed
+        whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
+        assert whole.sent == whole.within_objective + whole.served + whole.rejected + whole.failed
         assert (whole.late, whole.failed, whole.unanswered) == (0, 0, 0)
-        assert here.stage.broken(load) == [] and load.refused_connects == 0
+        assert here.environment.broken(load) == [] and load.refused_connects == 0
         assert max(held) <= SOCKETS
 
 
 @on_loop
 async def test_both_together_stay_within_the_descriptors_and_none_leaks(tmp_path: Path) -> None:
     async with scene(tmp_path) as here:
-        address = here.stage.gateway.address
+        address = here.environment.gateway.address
         # With the load's no more than may rest in an upgrade, which sets some descriptors apart: else a load
         # that a busy machine holds up opens more, and those that rested longest end for them.
         least = (SOCKETS - 64 - 2 * batch_of(SOCKETS) - RESERVED) // 2
@@ -403,7 +408,7 @@
         async with watched(here) as held:
             for _ in range(3):
                 assert await here.upgrade() == ""
-                counts.append(sum(here.stage.gateway.processes().values()))
+                counts.append(sum(here.environment.gateway.processes().values()))
             became, load = await here.under_load("", rate=200.0, most=24)
         assert became == [""]
         in_order(here, load)
@@ -417,10 +422,10 @@
 
 @on_loop
 async def test_a_crash_is_met_by_a_new_start_and_connects_wait(tmp_path: Path) -> None:
-    async with scene(tmp_path, works=PATIENT) as here:
+    async with scene(tmp_path, request_classes=PATIENT) as here:
         (pid,) = here.workers()
         os.kill(pid, signal.SIGKILL)
-        load = here.stage.load(shares=(1, 0))
+        load = here.environment.load(weights=(1, 0))
         await load.once(20)
         assert {record.status for record in load.records} == {200} and load.refused_connects == 0
         assert here.workers() != [pid]
@@ -431,12 +436,12 @@
     """SIGTERM drains; SIGKILL leaves a worker that answers what it has and ends, and a socket that the next
     one takes over."""
     async with scene(tmp_path, delay=0.3) as here:
-        gateway = here.stage.gateway
+        gateway = here.environment.gateway
         assert stat.S_IMODE(gateway.control.stat().st_mode) == 0o600
         for how in (signal.SIGKILL, signal.SIGTERM):
-            load = here.stage.load(shares=(1, 0), prefix=f"e{how}-")
+            load = here.environment.load(weights=(1, 0), prefix=f"e{how}-")
             asking = asyncio.ensure_future(load.once(5))
-            await until(lambda: len(here.stage.receipts()) >= 5)
+            await until(lambda: len(here.environment.receipts()) >= 5)
             workers = here.workers()
             os.kill(gateway.pid, how)
             assert gateway.process is not None
@@ -449,8 +454,8 @@
                     not any(Path(f"/proc/{pid}").exists() for pid in workers)
                 )
             )
-            here.stage.hosts[0].receipts.clear()
-            for host in here.stage.hosts:
+            here.environment.hosts[0].receipts.clear()
+            for host in here.environment.hosts:
                 host.receipts.clear()
             if how == signal.SIGKILL:
                 assert gateway.control.exists()
@@ -461,7 +466,7 @@
 @on_loop
 async def test_the_commands_of_an_operator(tmp_path: Path) -> None:
     async with scene(tmp_path) as here:
-        folder = here.stage.gateway.control.parent
+        folder = here.environment.gateway.control.parent
 
         async def command(*words: str) -> tuple[int, str]:
             process = await asyncio.create_subprocess_exec(
@@ -484,7 +489,7 @@
         assert await command("rollback") == (1, "error: nothing to go back to: serving")
         here.builds.put("exits at once")
         assert await command("upgrade") == (1, "error: it ended with 3")
-        os.kill(here.stage.gateway.pid, signal.SIGKILL)
+        os.kill(here.environment.gateway.pid, signal.SIGKILL)
         status, said = await command("status")
         assert status == 1 and said.startswith("quillroad: no gateway at ")
 
@@ -571,16 +576,16 @@
 async def test_what_operators_did_by_hand_stays_over_an_upgrade_and_back(tmp_path: Path) -> None:
     """One address for them, which is theirs who accepts."""
     async with scene(tmp_path, operators=True) as here:
-        gateway = here.stage.gateway
+        gateway = here.environment.gateway
         assert await gateway.call("POST", "/hosts/s-0/maint") == 200
         became, _ = await here.under_load("")
         assert became == [""]
         assert await gateway.call("POST", "/hosts/s-1/maint") == 200  # at the one that took over
-        counts = [len(host.receipts) for host in here.stage.hosts]
+        counts = [len(host.receipts) for host in here.environment.hosts]
         became, _ = await here.under_load("serves errors")  # it hands back
         assert became != [""]
         assert await gateway.call("GET", "/healthcheck") == 200
-        assert [len(host.receipts) for host in here.stage.hosts][:2] == counts[:2]
-        assert sum(len(host.receipts) for host in here.stage.hosts) > sum(counts)
+        assert [len(host.receipts) for host in here.environment.hosts][:2] == counts[:2]
+        assert sum(len(host.receipts) for host in here.environment.hosts) > sum(counts)
         for name in ("s-0", "s-1"):
             assert await gateway.call("POST", f"/hosts/{name}/ready") == 200
