--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -133,10 +133,10 @@
     print_answers(observation)
     print_requests(load, observation.switches)
     print_totals(load, observation, _connections(load) - connections_before)
-    broken_rules = stage.broken(load)
-    for line in broken_rules[:MOST_BROKEN_SHOWN]:
+    rule_violations = stage.violations(load)
+    for line in rule_violations[:MOST_BROKEN_SHOWN]:
         print(f"broken: {line}")
-    return 1 if broken_rules else 0
+    return 1 if rule_violations else 0
 
 
 def _connections(load: Load) -> int:
--- a/quillroad/cli/demo.py
+++ b/quillroad/cli/demo.py
@@ -77,7 +77,7 @@
             testbed.hosts[HANGING_HOST].hangs = True
             load = testbed.load(weights=ROUTE_SHARES)
             drained_at = await _send(console, testbed, load, seconds, rate)
-            broken = testbed.broken(load)
+            broken = testbed.violations(load)
             console.print(
                 _route_table(count_outcomes(load.records, ROUTES)), _host_table(testbed, drained_at)
             )
@@ -120,7 +120,7 @@
         counts = (
             row.sent,
             row.within_objective,
-            row.served,
+            row.after_objective,
             row.rejected,
             row.failed,
             row.unanswered,
--- a/testbed/account.py
+++ b/testbed/account.py
@@ -13,9 +13,9 @@
 
 # Seconds from the notice of a drain until the host may receive nothing more: time for discovery's
 # update to reach the gateway and for attempts that are already on their way.
-GRACE_S = 0.5
+DRAIN_GRACE_S = 0.5
 # Seconds past a deadline that an answer on its way, and a client that reads late, may take.
-SLACK_S = 0.05
+LATE_READ_TOLERANCE_S = 0.05
 MOST_UNKNOWN_REPORTED = 5  # requests that no client sent: the first few show what went wrong
 # Answers that promise that the request was not started: Too Many Requests, Service Unavailable.
 REJECTIONS = frozenset((HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE))
@@ -61,7 +61,7 @@
 
     sent: int = 0
     within_objective: int = 0  # 200 within the latency objective
-    served: int = 0  # 200 after the objective, before the deadline
+    after_objective: int = 0  # 200 after the objective, before the deadline
     late: int = 0  # 200 after the deadline: what must never be
     rejected: int = 0
     failed: int = 0
@@ -74,7 +74,7 @@
         """Whether every request sent is in exactly one column."""
         parts = (
             self.within_objective
-            + self.served
+            + self.after_objective
             + self.late
             + self.rejected
             + self.failed
@@ -87,7 +87,7 @@
 SUMMED_COLUMNS = (
     "sent",
     "within_objective",
-    "served",
+    "after_objective",
     "late",
     "rejected",
     "failed",
@@ -101,7 +101,7 @@
 ) -> dict[str, OutcomeCounts]:
     """Count what became of the requests: one row a class, by the class's name.
 
-    A 200 counts as late when it came more than `SLACK_S` after its client's time was over.
+    A 200 counts as late when it came more than `LATE_READ_TOLERANCE_S` after its client's time was over.
     """
     rows = {request_class.name: OutcomeCounts() for request_class in request_classes}
     for record in records:
@@ -117,13 +117,13 @@
             row.failed += 1
         else:
             row.took.append(record.took)
-            if record.took > record.client_timeout + SLACK_S:
+            if record.took > record.client_timeout + LATE_READ_TOLERANCE_S:
                 row.late += 1
             elif record.took <= request_class.latency_objective:
                 row.within_objective += 1
                 row.value += request_class.priority_weight
             else:
-                row.served += 1
+                row.after_objective += 1
     return rows
 
 
@@ -171,7 +171,7 @@
         return (
             receipt.by not in self.uninformed
             and receipt.host == self.host
-            and self.announced_at + GRACE_S < receipt.at < self.until
+            and self.announced_at + DRAIN_GRACE_S < receipt.at < self.until
         )
 
 
@@ -185,7 +185,7 @@
     at: float
 
 
-def broken_rules(
+def rule_violations(
     records: Sequence[Record],
     receipts: Iterable[Receipt],
     request_classes: Sequence[RequestClass],
@@ -194,6 +194,9 @@
 ) -> list[str]:
     """Violations of what every gateway must keep, one sentence each; empty when there are none.
 
+    Checked elsewhere: that every request has an answer (`OutcomeCounts.unanswered`), and that no
+    warming host gets more than its budget (tests of slow start).
+
     No gateway may report an answer that no host gave, send a request that no client asked for,
     send one request more than `most_sends` times, use an idempotency key for two requests or after
     its window, send anything to a draining host after the grace period, or answer 200 after the
@@ -256,7 +259,10 @@
     for record in records:
         if record.status == HTTPStatus.OK and not sends[record.id]:
             yield f"{record.id}: served, received by no host"
-        if record.status == HTTPStatus.OK and record.took > record.client_timeout + SLACK_S:
+        if (
+            record.status == HTTPStatus.OK
+            and record.took > record.client_timeout + LATE_READ_TOLERANCE_S
+        ):
             yield f"{record.id}: served {record.took - record.client_timeout:.3f} s after its deadline"
         if sends[record.id] > most_sends:
             yield f"{record.id}: sent {sends[record.id]} times"
--- a/testbed/clients.py
+++ b/testbed/clients.py
@@ -16,7 +16,7 @@
 from quillroad.overload.socket_age import Socket, data_age
 from testbed.account import Record, RequestClass
 
-GRACE_S = 0.5  # past the deadline, for late answers to show that they are late
+LATE_ANSWER_WAIT_S = 0.5  # past the deadline, for late answers to show that they are late
 SEND_EARLY_S = 0.0005  # a request may go out this much before its time: sleeps are no finer
 YIELD_LATE_S = 0.01  # a sender this late lets answers be read before it sends on
 SETTLE_POLL_S = 0.01  # between two looks at whether every request has its answer
@@ -260,7 +260,7 @@
         self._again = False
         await self.settle()
 
-    async def once(self, count: int, silent: int = 0) -> None:
+    async def burst(self, count: int, silent: int = 0) -> None:
         """Open `count` connections with a request each, and `silent` without, at one instant."""
         connects = count + silent
         for i in range(connects):
@@ -269,7 +269,8 @@
 
     async def settle(self) -> None:
         """Wait until every request has its answer or its client has given up; then close all."""
-        longest = max(request_class.deadline for request_class in self.request_classes) + GRACE_S
+        longest = max(request_class.deadline for request_class in self.request_classes)
+        longest += LATE_ANSWER_WAIT_S
         end = time.monotonic() + longest
         while time.monotonic() < end:
             if not self._opening and not any(c.record is not None for c in self._connections):
--- a/testbed/environment.py
+++ b/testbed/environment.py
@@ -10,7 +10,7 @@
 from socket import SOCK_DGRAM
 from typing import Any, NamedTuple
 
-from testbed.account import Drain, Receipt, RequestClass, broken_rules
+from testbed.account import Drain, Receipt, RequestClass, rule_violations
 from testbed.clients import Load
 from testbed.cores import CoreClaims
 from testbed.gateway import GatewayProcess, settings
@@ -59,14 +59,15 @@
         gateways: how many; the last `later` of them start with `start_later` only.
         upgrades, budget, fleet: texts of the files that turn upgrades, the cross-zone budget and
             membership on; empty: off.
-        path: folder whose modules come before those of the build.
-        tree: folder whose packages run in place of the source tree's.
+        path: folder of single modules that hide those of the same name, for broken builds.
+        tree: folder whose packages run in place of the source tree's, as a compiled build.
         operators: whether each gateway has an operators' address.
         registry: makes the discovery that lists the hosts.
         peers: whether the platform lets gateways talk to each other, through `relay`.
         broadcast: whether each gateway reaches all others by one datagram, too.
         every: how often views of the fleet are written, as the fleet file has it.
-        lines: whether connections to hosts and discovery go through the relay, too.
+        lines: whether connections to hosts and discovery go through the relay, too; needs `fleet`,
+            without which there is no relay. Raises ValueError.
         changes: changes to the gateways' settings.
     """
 
@@ -102,6 +103,8 @@
         self._started_later = later
         self._make_discovery = registry
         self._membership = _Membership(fleet, bool(fleet) and peers, broadcast, every)
+        if lines and not fleet:
+            raise ValueError("lines: only the relay of a fleet carries them")
         self._relays_lines = lines
         self.relay = RelayProcess([])
         self.uninformed: frozenset[int] = frozenset()  # gateways that discovery does not reach
@@ -219,10 +222,10 @@
         """All requests that hosts received."""
         return [receipt for host in self.hosts for receipt in host.receipts]
 
-    def broken(self, *loads: Load) -> list[str]:
-        """Violations in the account of these loads (`account.broken_rules`)."""
+    def violations(self, *loads: Load) -> list[str]:
+        """Violations in the account of these loads (`account.rule_violations`)."""
         records = [record for load in loads for record in load.records]
-        return broken_rules(records, self.receipts(), self._request_classes, drains=self.drains)
+        return rule_violations(records, self.receipts(), self._request_classes, drains=self.drains)
 
     def break_off(self, host: Host, keep: str, most: int | None = None, **changes: Any) -> float:
         """Change a host's entry, and end watches in the middle of telling it; returns when.
--- a/testbed/gateway.py
+++ b/testbed/gateway.py
@@ -25,7 +25,7 @@
 def settings(
     request_classes: Sequence[RequestClass], tenants: dict[str, float] | None = None, **limits: Any
 ) -> dict[str, Any]:
-    """The settings of a gateway for these classes; `limits` replace those of the document.
+    """The settings of a gateway for these classes; `limits` replace or add to the limits here.
 
     `tenants` are quotas in requests a second, by name; without any there is one with ample quota.
     """
@@ -97,12 +97,13 @@
             "settings": balancing,
         }
         self.process: asyncio.subprocess.Process | None = None
-        self.admin = 0  # its operators' port; 0: they have none
+        self.admin = 0  # port of its operators' address; 0: they have none
         self.upgrades = ""  # the text of the file that turns upgrades on
         self.fleet = ""  # the text of the file that turns the view of the fleet on
         self.budget = ""  # the text of the file that holds traffic to other zones to a budget
         build = os.environ.get("RIG_BUILD")
-        # The folder whose packages run in place of the source tree's.
+        # The folder whose packages run in place of the source tree's: CI's second part names the
+        # compiled build by RIG_BUILD.
         self.tree = Path(build) if build else None
         self.path: Path | None = None  # of modules that replace those of the build, on the disk
 
@@ -186,7 +187,7 @@
         """Where changes of that view are written, one JSON object a line."""
         return self._folder / "changes.jsonl"
 
-    def setting(self, name: str) -> Any:
+    def config_field(self, name: str) -> Any:
         """A field of its configuration file; raises KeyError."""
         return self._data[name]
 
@@ -307,11 +308,14 @@
         os.kill(self.pid, signal.SIGHUP)
 
     def kill(self) -> None:
-        """Kill it (SIGKILL)."""
+        """Kill its first process (SIGKILL); `stop` must be awaited before the next `start`."""
         os.kill(self.pid, signal.SIGKILL)
 
     async def stop(self) -> str:
-        """Kill all its processes; returns its log where that was kept."""
+        """Kill all its processes and wait for their end; returns its log where that was kept.
+
+        It may be started again afterwards, at the same port.
+        """
         process = self.process
         if process is None:
             return ""
--- a/tests/balancing/test_slow_start_fleet.py
+++ b/tests/balancing/test_slow_start_fleet.py
@@ -66,13 +66,13 @@
         assert (
             whole.sent
             == whole.within_objective
-            + whole.served
+            + whole.after_objective
             + whole.rejected
             + whole.failed
             + whole.unanswered
         )
         assert (whole.late, whole.unanswered) == (0, 0)
-        assert environment.broken(*loads) == []
+        assert environment.violations(*loads) == []
         # The budget is of a host within `cold` of its start: of a warm one nothing is promised.
         times = [receipt.at for receipt in cold.receipts if began < receipt.at < began + COLD_S]
         assert len(times) > 20  # it is warmed, and used
--- a/tests/discovery/test_crowd.py
+++ b/tests/discovery/test_crowd.py
@@ -56,7 +56,7 @@
         await running
         await load.settle()
         whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
-        assert whole.sent == whole.within_objective + whole.served + whole.rejected
-        assert environment.broken(load) == []
+        assert whole.sent == whole.within_objective + whole.after_objective + whole.rejected
+        assert environment.violations(load) == []
         assert len(leaves.receipts) > IN_USE
         assert registry.turned_away <= 1
--- a/tests/discovery/test_silence.py
+++ b/tests/discovery/test_silence.py
@@ -63,8 +63,8 @@
         whole = total(
             count_outcomes([r for load in loads for r in load.records], REQUEST_CLASSES).values()
         )
-        assert whole.sent == whole.within_objective + whole.served + whole.rejected
-        assert environment.broken(*loads) == []
+        assert whole.sent == whole.within_objective + whole.after_objective + whole.rejected
+        assert environment.violations(*loads) == []
         for host in leaves:
             assert len(host.receipts) > 20  # in use until then, by all of them
             assert (
--- a/tests/membership/test_lines.py
+++ b/tests/membership/test_lines.py
@@ -111,9 +111,12 @@
                 [r for load in (*loads, *late) for r in load.records], REQUEST_CLASSES
             ).values()
         )
-        assert whole.sent == whole.within_objective + whole.served + whole.rejected + whole.failed
+        assert (
+            whole.sent
+            == whole.within_objective + whole.after_objective + whole.rejected + whole.failed
+        )
         assert whole.within_objective > 0.9 * whole.sent
-        assert on.broken(*loads, *late) == []
+        assert on.violations(*loads, *late) == []
 
 
 @on_loop
@@ -141,4 +144,4 @@
         await loads[0].settle()
         sound = total(count_outcomes(loads[0].records, REQUEST_CLASSES).values())
         assert sound.within_objective > 0.9 * sound.sent and sound.failed == 0
-        assert on.broken(*loads) == []
+        assert on.violations(*loads) == []
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -97,9 +97,12 @@
     for load in loads:
         await load.settle()
         whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
-        assert whole.sent == whole.within_objective + whole.served + whole.rejected + whole.failed
+        assert (
+            whole.sent
+            == whole.within_objective + whole.after_objective + whole.rejected + whole.failed
+        )
         assert whole.failed == 0 and whole.within_objective > 0.9 * whole.sent
-    assert on.broken(*loads) == []
+    assert on.violations(*loads) == []
 
 
 @on_loop
@@ -290,7 +293,7 @@
         await until(agreed(on, range(3)))
         twin = GatewayProcess(tmp_path, on.discovery.port, settings(REQUEST_CLASSES, peers=True))
         twin.reconfigure(
-            **{name: on.gateways[1].setting(name) for name in ("peer_listen", "peers")}
+            **{name: on.gateways[1].config_field(name) for name in ("peer_listen", "peers")}
         )
         twin.fleet = "[use]\nwindows = true"
         await twin.start()
--- a/tests/overload/test_event_loop_lag.py
+++ b/tests/overload/test_event_loop_lag.py
@@ -143,7 +143,7 @@
         await load.open_loop(steady(150, 4.2))
         whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
         assert (whole.late, load.unsent) == (0, 0)
-        assert environment.broken(load) == []
+        assert environment.violations(load) == []
         after = [r for r in load.records if r.sent > stopped[0] + 3.0]
         assert len(after) > 30
         assert {r.status for r in after} == {200}
--- a/tests/overload/test_overload.py
+++ b/tests/overload/test_overload.py
@@ -40,8 +40,10 @@
     rows = count_outcomes(load.records, REQUEST_CLASSES)
     whole = total(rows.values())
     assert (whole.late, whole.unanswered) == (0, 0)
-    assert whole.sent == whole.within_objective + whole.served + whole.rejected + whole.failed
-    assert environment.broken(load, *others) == []
+    assert (
+        whole.sent == whole.within_objective + whole.after_objective + whole.rejected + whole.failed
+    )
+    assert environment.violations(load, *others) == []
     return rows
 
 
@@ -71,7 +73,7 @@
         await load.open_loop(steady(load_of * served, 2.5))
         rows = account(environment, load, first)
         whole = total(rows.values())
-        assert whole.within_objective + whole.served > 0.1 * 2.5 * served
+        assert whole.within_objective + whole.after_objective > 0.1 * 2.5 * served
 
 
 @pytest.mark.parametrize(
@@ -198,4 +200,4 @@
         assert all((row.late, row.unanswered) == (0, 0) for row in rows)
         greedy_part, modest_part = (row.within_objective / row.sent for row in rows)
         assert modest_part > 1.5 * greedy_part
-        assert environment.broken(greedy, modest, first) == []
+        assert environment.violations(greedy, modest, first) == []
--- a/tests/overload/test_storms.py
+++ b/tests/overload/test_storms.py
@@ -34,15 +34,17 @@
         busy, storm = environment.load(seed=1, keys=50), environment.load(seed=2, prefix="storm-")
         busy_task = asyncio.ensure_future(busy.open_loop(steady(200, 3.0)))
         await until(lambda: len(busy.records) > 100)
-        await storm.once(1000)
+        await storm.burst(1000)
         await busy_task
         whole = total(count_outcomes(storm.records, REQUEST_CLASSES).values())
         assert (whole.sent, whole.late, whole.unanswered) == (1000, 0, 0)
-        assert whole.within_objective + whole.served + whole.rejected + whole.failed == 1000
+        assert (
+            whole.within_objective + whole.after_objective + whole.rejected + whole.failed == 1000
+        )
         calm = total(count_outcomes(busy.records, REQUEST_CLASSES).values())
         assert (calm.late, calm.unanswered) == (0, 0)
         assert calm.within_objective > calm.sent / 2
-        assert environment.broken(busy, storm) == []
+        assert environment.violations(busy, storm) == []
 
 
 @on_loop
@@ -62,7 +64,7 @@
         whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
         assert (whole.late, whole.unanswered) == (0, 0)
         assert whole.within_objective > 0
-        assert environment.broken(load) == []
+        assert environment.violations(load) == []
         assert [r for r in environment.hosts[-1].receipts if r.at > told + GRACE_S] == []
 
 
@@ -71,12 +73,12 @@
     """SIGTERM, and the front still sends for a moment: whoever got a connection gets an answer."""
     async with Environment(tmp_path, REQUEST_CLASSES, hosts=6, delay=0.01) as environment:
         load = environment.load()
-        await load.once(50)
+        await load.burst(50)
         environment.gateway.drain()
-        await load.once(250)
+        await load.burst(250)
         whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
         assert (whole.sent, whole.late, whole.unanswered) == (300, 0, 0)
-        assert environment.broken(load) == []
+        assert environment.violations(load) == []
         process = environment.gateway.process
         assert process is not None
         assert await process.wait() == 0
@@ -106,7 +108,7 @@
             200
         }  # back within a second
         assert overload > 1000
-        assert environment.broken(load) == []
+        assert environment.violations(load) == []
         await until(lambda: environment.gateway.descriptors() <= descriptors + 12 * 4)
 
 
@@ -131,7 +133,7 @@
         loads = [environment.load(0), environment.load(1)]
         before = len(cold.receipts)
         await asyncio.gather(*(load.closed_loop(150, 3.0) for load in loads))
-        assert environment.broken(*loads) == []
+        assert environment.violations(*loads) == []
         for load in loads:
             whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
             assert (whole.late, whole.unanswered) == (0, 0)
@@ -167,7 +169,7 @@
         )
         assert sum(record.first_on_connection for record in load.records) == 300
         assert whole.within_objective > 300
-        assert environment.broken(load) == []
+        assert environment.violations(load) == []
 
 
 @on_loop
@@ -178,11 +180,11 @@
     gets one answer in time."""
     async with Environment(tmp_path, SHORT_DEADLINES, hosts=12, sockets=200) as environment:
         load = environment.load()
-        await load.once(300, silent=150)
+        await load.burst(300, silent=150)
         whole = total(count_outcomes(load.records, SHORT_DEADLINES).values())
         assert whole.sent == 300
         assert (whole.late, whole.unanswered) == (0, 0)
-        assert whole.within_objective + whole.served + whole.rejected + whole.failed == 300
+        assert whole.within_objective + whole.after_objective + whole.rejected + whole.failed == 300
         assert whole.within_objective >= 90
-        assert environment.broken(load) == []
+        assert environment.violations(load) == []
         await until(lambda: environment.gateway.descriptors() < 200)
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -71,8 +71,8 @@
         sending.cancel()
         await load.settle()
         whole = total(count_outcomes(load.records, request_classes).values())
-        assert whole.sent == whole.within_objective + whole.served + whole.rejected
-        assert environment.broken(load) == [] and load.refused_connects == 0
+        assert whole.sent == whole.within_objective + whole.after_objective + whole.rejected
+        assert environment.violations(load) == [] and load.refused_connects == 0
 
 
 def test_streams_differ_by_their_seed() -> None:
--- a/tests/testbed/test_account.py
+++ b/tests/testbed/test_account.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from testbed.account import Drain, Receipt, Record, RequestClass, broken_rules, count_outcomes
+from testbed.account import Drain, Receipt, Record, RequestClass, count_outcomes, rule_violations
 
 REQUEST_CLASS = RequestClass("status-check", 0.5, 1.0, 2.0)
 
@@ -25,7 +25,7 @@
     row = count_outcomes(records, [REQUEST_CLASS])["status-check"]
     assert (
         row.within_objective,
-        row.served,
+        row.after_objective,
         row.late,
         row.rejected,
         row.failed,
@@ -37,28 +37,29 @@
 
 def test_what_no_gateway_may_do_is_found() -> None:
     good = [record("a", 200), record("b", 503)]
-    assert broken_rules(good, [Receipt("a", "s-1", 5.0)], [REQUEST_CLASS]) == []
-    assert "received by no host" in broken_rules(good, [], [REQUEST_CLASS])[0]
+    assert rule_violations(good, [Receipt("a", "s-1", 5.0)], [REQUEST_CLASS]) == []
+    assert "received by no host" in rule_violations(good, [], [REQUEST_CLASS])[0]
     assert (
         "asked for by nobody"
-        in broken_rules(good, [Receipt(n, "s", 5.0) for n in "ax"], [REQUEST_CLASS])[0]
+        in rule_violations(good, [Receipt(n, "s", 5.0) for n in "ax"], [REQUEST_CLASS])[0]
     )
-    assert "sent 5 times" in broken_rules(good, [Receipt("a", "s", 5.0)] * 5, [REQUEST_CLASS])[0]
+    assert "sent 5 times" in rule_violations(good, [Receipt("a", "s", 5.0)] * 5, [REQUEST_CLASS])[0]
     assert (
         "after its deadline"
-        in broken_rules([record("a", 200, 1.2)], [Receipt("a", "s", 5.0)], [REQUEST_CLASS])[0]
+        in rule_violations([record("a", 200, 1.2)], [Receipt("a", "s", 5.0)], [REQUEST_CLASS])[0]
     )
     seats = [RequestClass("seat-checkout", 0.5, 1.0, keyed=True)]
     copies = [Receipt("a", "s", 5.0, "k"), Receipt("a", "t", 11.1, "k")]
-    assert "6.1 s after" in broken_rules(good, copies, seats)[0]
-    assert broken_rules(good, copies[:1], seats) == []
+    assert "6.1 s after" in rule_violations(good, copies, seats)[0]
+    assert rule_violations(good, copies[:1], seats) == []
     assert (
-        "sent with b too" in broken_rules(good, [copies[0], Receipt("b", "s", 5.1, "k")], seats)[0]
+        "sent with b too"
+        in rule_violations(good, [copies[0], Receipt("b", "s", 5.1, "k")], seats)[0]
     )
     drains = [Drain("s", 4.0, 5.2), Drain("s", 6.0)]
     for at, wrong in ((4.4, False), (4.6, True), (5.3, False), (6.4, False), (6.6, True)):
         assert (
-            bool(broken_rules(good, [Receipt("a", "s", at)], [REQUEST_CLASS], drains=drains))
+            bool(rule_violations(good, [Receipt("a", "s", at)], [REQUEST_CLASS], drains=drains))
             is wrong
         )
-    assert "an id twice" in broken_rules([record("a", 503)] * 2, [], [REQUEST_CLASS])[0]
+    assert "an id twice" in rule_violations([record("a", 503)] * 2, [], [REQUEST_CLASS])[0]
--- a/tests/upgrade/test_sibling_handover.py
+++ b/tests/upgrade/test_sibling_handover.py
@@ -36,7 +36,7 @@
     WorkerState,
 )
 from quillroad.upgrade.worker_state import Step as WorkerStep
-from testbed.account import Record, RequestClass, broken_rules, count_outcomes, total
+from testbed.account import Record, RequestClass, count_outcomes, rule_violations, total
 from testbed.builds import Builds
 from testbed.clients import Load
 from testbed.gateway import settings
@@ -253,7 +253,7 @@
         assert (
             whole.sent
             == whole.within_objective
-            + whole.served
+            + whole.after_objective
             + whole.rejected
             + whole.failed
             + whole.unanswered
@@ -262,7 +262,7 @@
         assert whole.rejected <= 0.05 * whole.sent
         assert whole.unanswered <= (lost if ends is None else len(self.lost_with(load, ends)))
         receipts = [receipt for host in self.hosts for receipt in host.receipts]
-        assert broken_rules(load.records, receipts, REQUEST_CLASSES, drains=[]) == []
+        assert rule_violations(load.records, receipts, REQUEST_CLASSES, drains=[]) == []
         assert load.refused_connects == 0
 
 
--- a/tests/upgrade/test_upgrades.py
+++ b/tests/upgrade/test_upgrades.py
@@ -131,12 +131,16 @@
     whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
     assert (
         whole.sent
-        == whole.within_objective + whole.served + whole.rejected + whole.failed + whole.unanswered
+        == whole.within_objective
+        + whole.after_objective
+        + whole.rejected
+        + whole.failed
+        + whole.unanswered
     )
     assert (whole.late, whole.failed) == (0, 0)
     assert whole.rejected <= 0.05 * whole.sent
     assert whole.unanswered <= lost
-    assert scene.environment.broken(load) == []
+    assert scene.environment.violations(load) == []
     assert load.refused_connects == 0
 
 
@@ -198,10 +202,10 @@
         assert became[0].startswith("failed: ") and here.workers() == before
         whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
         assert whole.failed >= 20 and (whole.late, whole.unanswered, whole.rejected) == (0, 0, 0)
-        assert whole.sent == whole.within_objective + whole.served + whole.failed
+        assert whole.sent == whole.within_objective + whole.after_objective + whole.failed
         last = [record.status for record in load.records[-20:]]
         assert set(last) == {200} and load.refused_connects == 0
-        assert here.environment.broken(load) == []
+        assert here.environment.violations(load) == []
 
 
 @on_loop
@@ -362,7 +366,7 @@
         # What waited in the kernel for longer than its aim allows is refused, and none is answered late.
         assert whole.unanswered <= 16 and (whole.late, load.refused_connects) == (0, 0)
         assert {record.status for record in load.records[-20:]} == {200}
-        assert here.environment.broken(load) == []
+        assert here.environment.violations(load) == []
         assert here.workers() and not set(here.workers()) & set(both)
 
 
@@ -384,9 +388,12 @@
             ]
             await load.end_closed_loop()
         whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
-        assert whole.sent == whole.within_objective + whole.served + whole.rejected + whole.failed
+        assert (
+            whole.sent
+            == whole.within_objective + whole.after_objective + whole.rejected + whole.failed
+        )
         assert (whole.late, whole.failed, whole.unanswered) == (0, 0, 0)
-        assert here.environment.broken(load) == [] and load.refused_connects == 0
+        assert here.environment.violations(load) == [] and load.refused_connects == 0
         assert max(held) <= SOCKETS
 
 
@@ -426,7 +433,7 @@
         (pid,) = here.workers()
         os.kill(pid, signal.SIGKILL)
         load = here.environment.load(weights=(1, 0))
-        await load.once(20)
+        await load.burst(20)
         assert {record.status for record in load.records} == {200} and load.refused_connects == 0
         assert here.workers() != [pid]
 
@@ -440,7 +447,7 @@
         assert stat.S_IMODE(gateway.control.stat().st_mode) == 0o600
         for how in (signal.SIGKILL, signal.SIGTERM):
             load = here.environment.load(weights=(1, 0), prefix=f"e{how}-")
-            asking = asyncio.ensure_future(load.once(5))
+            asking = asyncio.ensure_future(load.burst(5))
             await until(lambda: len(here.environment.receipts()) >= 5)
             workers = here.workers()
             os.kill(gateway.pid, how)
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -98,8 +98,10 @@
 
 def check_accounted(zones: TwoZones, load: Load) -> None:
     whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
-    assert whole.sent == whole.within_objective + whole.served + whole.rejected + whole.failed
-    assert (whole.late, whole.unanswered) == (0, 0) and zones.environment.broken(load) == []
+    assert (
+        whole.sent == whole.within_objective + whole.after_objective + whole.rejected + whole.failed
+    )
+    assert (whole.late, whole.unanswered) == (0, 0) and zones.environment.violations(load) == []
 
 
 @pytest.mark.parametrize("how", ["hangs", "refuses connects", "drains"])
