--- a/bench/fleet_processes.py
+++ b/bench/fleet_processes.py
@@ -43,10 +43,10 @@
 
 
 class FaultRun:
-    """The faults on one stage of `count` gateways; each prints its row once the views agree."""
+    """The faults in one environment of `count` gateways; each prints its row once views agree."""
 
     def __init__(self, environment: Environment, count: int) -> None:
-        self._stage = environment
+        self._environment = environment
         self._all = set(range(count))
         self._killed, self._left = killed_and_left(count)
         self._sides = partition_sides(count)
@@ -57,7 +57,7 @@
 
     def loads(self) -> list[Load]:
         """Loads on some of the gateways that are never killed."""
-        return [self._stage.load(number) for number in sorted(self._left)[:LOADED]]
+        return [self._environment.load(number) for number in sorted(self._left)[:LOADED]]
 
     async def kill(self) -> None:
         """Seven in ten are killed at once; the processes are reaped once the views agree."""
@@ -78,17 +78,17 @@
         """The relay cuts two groups of gateways off from each other."""
         began = time.monotonic()
         one, other = self._sides
-        await self._stage.relay.apart(sorted(one), sorted(other))
+        await self._environment.relay.apart(sorted(one), sorted(other))
         await self._print_row("partition", self._sides, began)
 
     async def heal(self) -> None:
         """The relay lets everything through again."""
         began = time.monotonic()
-        await self._stage.relay.rule()
+        await self._environment.relay.rule()
         await self._print_row("heal", [self._all], began)
 
     def _killed_gateways(self) -> list[GatewayProcess]:
-        return [self._stage.gateways[number] for number in self._killed]
+        return [self._environment.gateways[number] for number in self._killed]
 
     async def _print_row(
         self,
@@ -102,7 +102,7 @@
         To hold one of the own group for gone counts as wrong from `wrong_from` on, by default from
         `began`. Both are times of the monotonic clock.
         """
-        environment = self._stage
+        environment = self._environment
         before = await _sent_bytes(environment)
         agreed = await _wait_until(
             lambda: all(_views_agree(environment, group) for group in groups)
--- a/bench/fleet_view.py
+++ b/bench/fleet_view.py
@@ -1,12 +1,30 @@
 """How fast views agree, and what that costs: `python -m bench.fleet_view [--seeds 50] [--jobs 8]`.
 
-Failure detectors run on the same simulated network with the same seeds: the gateway's membership
-core ("own"), the same with a broadcast address ("own aloud"), SWIM without Lifeguard, heartbeats
-from all to all, phi-accrual and cut detection by many observers. For each event and fleet size the
-table has the seconds until all views agree (median and worst of the seeds, and how many never did
-in 60 s), running members that another held for faulty, and the bytes and datagrams that a member
-sends a second. The CPU time of a datagram is this machine's. `--jobs` runs go side by side.
-`--json FILE` keeps the figures, `--plot FILE` draws the times.
+Failure detectors run on the same simulated network with the same seeds. The table has a row for
+each fleet size, event and detector:
+
+    members        fleet size
+    event          what happens to the fleet, which agreed before (but for the start)
+    way            the failure detector, see below
+    median s, worst s  seconds from the event until all views agree, over the seeds that converged;
+                   0 for slow members, since no view should change
+    never          seeds whose views never converged (in 60 s after the event)
+    false ends     false positives: pairs of which one held the other for faulty, which ran; the
+                   sum of all seeds
+    B/s, most B/s  bytes that a member sends a second: mean, and the most of any member and seed
+    datagrams/s    datagrams that a member sends a second
+    us a datagram  CPU time of this machine for a datagram sent, simulation included
+
+The detectors, by their names in the column and in `--ways`:
+
+    own            the gateway's: SWIM with Lifeguard (quillroad.membership)
+    own aloud      the same, with a broadcast address besides
+    plain SWIM     the same without Lifeguard
+    heartbeats     heartbeats from all to all
+    phi-accrual    heartbeats from all to all, judged by the distribution of their intervals
+    cut detection  many observers of each member that vote on who has failed (Rapid)
+
+`--jobs` runs go side by side. `--json FILE` keeps the figures, `--plot FILE` draws the times.
 """
 
 from __future__ import annotations
@@ -61,7 +79,9 @@
 
 
 DETECTORS = {
-    "own": Detector(Core),
+    "own": Detector(
+        Core
+    ),  # the printed names are those of the journal: the docstring explains them
     "own aloud": Detector(Core, broadcast_address=EVERYONE),
     "plain SWIM": Detector(Core, replace(Timing(), lifeguard=False)),
     "heartbeats": Detector(Heartbeats),
@@ -364,20 +384,27 @@
 
 def main() -> int:
     """Run the program; returns its exit status."""
-    parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--sizes", default="5,40")
-    parser.add_argument("--seeds", type=int, default=10)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--sizes", default="5,40", help="fleet sizes (default 5,40)")
+    parser.add_argument("--seeds", type=int, default=10, help="number of seeds (default 10)")
     parser.add_argument("--first", type=int, default=0, help="the first seed")
-    parser.add_argument("--jobs", type=int, default=1)
-    parser.add_argument("--ways", default=",".join(DETECTORS))
-    parser.add_argument("--events", default=",".join(EVENTS))
-    parser.add_argument("--json", type=Path)
-    parser.add_argument("--plot", type=Path)
+    parser.add_argument("--jobs", type=int, default=1, help="runs at once (default 1)")
+    parser.add_argument(
+        "--ways",
+        dest="detectors",
+        default=",".join(DETECTORS),
+        help="failure detectors (default all)",
+    )
+    parser.add_argument("--events", default=",".join(EVENTS), help="events (default all)")
+    parser.add_argument("--json", type=Path, help="file to write the figures to")
+    parser.add_argument("--plot", type=Path, help="file to draw the times into")
     args = parser.parse_args()
     results = measure(
         sizes=[int(size) for size in args.sizes.split(",")],
         events=args.events.split(","),
-        detectors=args.ways.split(","),
+        detectors=args.detectors.split(","),
         seeds=range(args.first, args.first + args.seeds),
         jobs=args.jobs,
         file=args.json,
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -2,10 +2,30 @@
 
 First finds the core's capacity with closed-loop clients. Then offers parts and multiples of it
 open-loop, a step from 0.2 to 3 times, and a square wave of 3 and 0.3 times a second long each.
-Prints a row a load: answers within their latency objective weighted by priority, late answers, how
-fast rejections are, and the part of the CPU time that did not go into answers.
-
-`--ration` holds the gateway to a part of its core. Needs four cores; about a minute and a half.
+Prints a row a load. What a request costs without overload is measured by `bench.path`.
+
+The columns ("refused" is the printed word for rejected, "aim" for the latency objective):
+
+    load          the multiple of the capacity, or the name of a load that changes
+    sent/s        requests that the clients sent, a second
+    worth/s       priority weight of the answers within their latency objective, a second
+    of offered    the same as a part (0 to 1) of the priority weight of all requests sent
+    in aim        requests answered 200 within their latency objective
+    after it      requests answered 200 after the objective, before the deadline (or late by less)
+    late          requests answered 200 after the deadline, by more than 50 ms
+    refused       requests rejected: 429 or 503
+    failed        requests answered with any other status
+    none          requests without an answer
+    p50 / p99 ms  latency of all answers of 200
+    refused p50 / p99 ms      latency of rejections
+    CPU, part not for served  cores that the gateway used; the part (0 to 1) of its CPU time that
+                              did not produce answers of 200 before the deadline, where such an
+                              answer is taken to cost what it costs at the capacity
+
+A remark behind a row says how many requests the clients could not send, or how late they sent.
+
+`--ration` holds the gateway to a part of its core. Needs three cores, one each for the gateway, the
+hosts and the clients; by default it takes four, two of them for clients. About a minute and a half.
 """
 
 from __future__ import annotations
@@ -27,7 +47,9 @@
 from testbed.gateway import GatewayProcess
 from testbed.processes import Result, run_load
 
-CLASS_SHARES = [0.56, 0.44]  # of the requests
+# Of the requests, by class. More seat-checkouts than in `MIX` (3 to 1), which the other programs
+# send: these are the shares of tests/overload, and rows must compare with those on record.
+CLASS_SHARES = [0.56, 0.44]
 MULTIPLES = (0.9, 1.0, 1.1, 1.5, 2.0, 3.0, 5.0)  # of the capacity
 # Loads that change: parts of (multiple of the capacity, seconds).
 SHAPES = {"step": ((0.2, 1.0), (3.0, 3.0)), "square": ((3.0, 1.0), (0.3, 1.0)) * 3}
@@ -195,22 +217,28 @@
 
 
 def _parser() -> argparse.ArgumentParser:
-    parser = argparse.ArgumentParser(description=__doc__)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument(
         "--seconds", type=float, default=6.0, help="length of each load (default 6)"
     )
-    Cores.add_option(parser, 4, "gateway, hosts, clients ...")
+    Cores.add_option(
+        parser, 4, "cores of gateway, hosts, clients ...: three or more (default: the last four)"
+    )
     parser.add_argument(
         "--delay", type=float, default=0.0, help="of the hosts' answers, seconds (default 0)"
     )
     parser.add_argument(
-        "--loads", default=",".join(map(str, MULTIPLES)), help="multiples of the capacity"
+        "--loads",
+        default=",".join(map(str, MULTIPLES)),
+        help="multiples of the capacity, with commas between",
     )
     parser.add_argument("--ration", type=float, default=1.0, help="part of the core (default 1)")
     parser.add_argument(
         "--sockets", type=int, default=8192, help="descriptors of the gateway (default 8192)"
     )
-    parser.add_argument("--svg", help="file to draw the worth into")
+    parser.add_argument("--svg", help="file to draw the column worth/s into")
     parser.add_argument("--name", default="now", help="of this run in the picture")
     return parser
 
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,11 +1,17 @@
 """What a request costs on the ordinary path, beside a bare relay: `python -m bench.path`.
 
+The ordinary path is that of a request with nothing amiss: no overload, no fault, one attempt. This
+is for the cost of the gateway's own code; `bench.overload` is for what a core serves, rejects and
+wastes at more load than it can take. Its requests/s are of other clients and shares of the classes,
+so they do not compare with those printed here.
+
 The relay (bench.relay: same loop, same parser, pooled connections, no decisions), the gateway as
 plain Python and as the platform runs it (compiled, from build/compiled: run scripts/build first)
 take the same closed-loop load in turn, each on a core of its own, for every class and for the mix:
-CPU time, requests a second, reads and writes a request, p50 and p99. `--growth` varies hosts and
-connections instead, `--svg FILE` draws that. Needs three cores; two minutes, with --growth three
-more. `bench.counts` has what does not depend on the machine.
+CPU time, requests a second, reads and writes (system calls) a request, p50 and p99, and requests
+rejected ("refused"). The column "form" is the program: relay, plain or compiled. `--growth` varies
+hosts and connections instead, `--svg FILE` draws that. Needs three cores; two minutes, with
+--growth three more. `bench.counts` has what does not depend on the machine.
 """
 
 from __future__ import annotations
@@ -176,10 +182,14 @@
 
 def main() -> int:
     """Run by the command line; returns the exit status, 2 where there is nothing to measure."""
-    parser = argparse.ArgumentParser(description=__doc__)
-    Cores.add_option(parser, 3, "gateway, hosts, clients")
-    parser.add_argument("--seconds", type=float, default=2.0, help="of each run (default 2)")
-    parser.add_argument("--repeats", type=int, default=2, help="of each run (default 2)")
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    Cores.add_option(parser, 3, "cores of gateway, hosts, clients (default: the last three)")
+    parser.add_argument("--seconds", type=float, default=2.0, help="length of each run (default 2)")
+    parser.add_argument(
+        "--repeats", type=int, default=2, help="runs of each, the cheapest counts (default 2)"
+    )
     parser.add_argument("--growth", action="store_true", help="vary hosts and connections")
     parser.add_argument("--svg", type=Path, help="draw the growth with hosts")
     options = parser.parse_args()
--- a/bench/upgradable_gateway.py
+++ b/bench/upgradable_gateway.py
@@ -34,7 +34,7 @@
 
 @contextlib.asynccontextmanager
 async def upgradable_gateway(canary: str) -> AsyncIterator[tuple[Environment, Builds]]:
-    """A stage whose gateway can be upgraded, and the build on its disk.
+    """An environment whose gateway can be upgraded, and the build on its disk.
 
     `canary` is how long the process before stands by, as the upgrades file has it ("500 ms").
     """
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -1,12 +1,35 @@
 """What an upgrade costs the requests that are served meanwhile: `python -m bench.upgrade`.
 
 A gateway under steady open-loop load of both classes is upgraded again and again, with `--broken`
-to broken builds, too. Printed are the time in each phase, the latency and what was not served
-within a window round each switch against the seconds before, connections kept, descriptors and
-memory of both processes, and the account of every request. `--cold` compares the routing of the
-first seconds after a switch, with one host of six that hangs: the new process has the old one's
-state, or begins with nothing. `--queues` shows what the kernel does with connects that nobody has
-accepted yet. Needs three cores; about a minute.
+to broken builds, too. Printed are three tables and a summary.
+
+How long each phase of an upgrade took, by the supervisor's log:
+
+    step    the phase, as `quillroad.upgrade.supervisor` names it
+    times   how often an upgrade was in that phase
+    p50 ms, max ms  its duration
+
+What became of the upgrades to each kind of build: how many, and the last lines of the answers to
+the command `upgrade`.
+
+What became of the requests: of all, of those near a switch to another process, and of those in the
+second before:
+
+    in aim        answered 200 within the latency objective
+    refused       rejected: 429 or 503
+    failed        answered with any other status
+    no answer     the connection ended first
+    p50 / p99 ms  latency of the answers of 200
+
+The summary has connects that the gateway's address refused, connections that clients opened from
+the first upgrade on, requests that clients sent once more because their connection had been closed,
+and the most descriptors and resident memory (MB: MiB) of supervisor and workers together. A line
+"broken" is a violation of what every gateway must keep (`testbed.account.broken_rules`).
+
+`--cold` compares, with one host of six that hangs, the routing of the first seconds after a switch
+to a process with the old one's state, to one without, and without a switch
+(`bench.upgrade_successors` explains its columns). `--queues` shows what the kernel does with
+connects that nobody has accepted yet. Needs three cores; about a minute.
 """
 
 from __future__ import annotations
@@ -38,13 +61,13 @@
 from testbed.clients import Load
 from testbed.gateway import GatewayProcess
 
-QUIET_S = 1.0  # of load before the first upgrade and after the last
+BASELINE_S = 1.0  # of load without an upgrade, before the first one and after the last
 WATCH_S = 0.004  # between two looks at the gateway's processes
 POLL_S = 0.02  # between two looks at whether an upgrade is over
 WINDOW_S = 0.5  # on each side of a switch
 MOST_BROKEN_SHOWN = 10  # violations of the rules that are printed
 MOST_ANSWER_SHOWN = 120  # characters of the answers to `upgrade` that are printed
-GOOD_BUILD = ""  # its key in `BROKEN`
+GOOD_BUILD = ""  # the key in `BROKEN` of the build that nothing is changed in
 STATUS_LINES_AT_REST = 2  # of the supervisor and of the one process that serves
 
 
@@ -117,23 +140,23 @@
     `rate` is of the load, in requests a second; `kinds` are keys of `testbed.builds.BROKEN`.
     """
     async with (
-        upgradable_gateway(canary) as (stage, builds),
-        steady_load(stage, rate) as load,
-        observed(stage.gateway) as observation,
+        upgradable_gateway(canary) as (environment, builds),
+        steady_load(environment, rate) as load,
+        observed(environment.gateway) as observation,
     ):
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(BASELINE_S)
         connections_before = _connections(load)
         for number in range(count):
             kind = kinds[number % len(kinds)]
             builds.put(kind)
-            answer = await upgrade_once(stage.gateway)
+            answer = await upgrade_once(environment.gateway)
             observation.answers[kind or "a good build"].append(answer)
-        await asyncio.sleep(QUIET_S)
-    print_phases(stage.log)
+        await asyncio.sleep(BASELINE_S)
+    print_phases(environment.log)
     print_answers(observation)
     print_requests(load, observation.switches)
     print_totals(load, observation, _connections(load) - connections_before)
-    broken_rules = stage.broken(load)
+    broken_rules = environment.broken(load)
     for line in broken_rules[:MOST_BROKEN_SHOWN]:
         print(f"broken: {line}")
     return 1 if broken_rules else 0
@@ -169,9 +192,9 @@
 
 def phase_starts(log: str) -> Iterator[PhaseStart]:
     """The phases of all upgrades in the supervisor's log, in order."""
-    for hours, minutes, seconds, word in LOG_LINE.findall(log):
-        if word in UPGRADE_PHASES:
-            yield PhaseStart(word, (int(hours) * 60 + int(minutes)) * 60 + float(seconds))
+    for hours, minutes, seconds, phase in LOG_LINE.findall(log):
+        if phase in UPGRADE_PHASES:
+            yield PhaseStart(phase, (int(hours) * 60 + int(minutes)) * 60 + float(seconds))
 
 
 def phase_durations_ms(log: str) -> dict[str, list[float]]:
@@ -189,8 +212,9 @@
 def print_phases(log: str) -> None:
     """Print how long each phase took."""
     print(header("step", "times", "p50 ms", "max ms"))
-    for phase, values in phase_durations_ms(log).items():
-        print(row(phase, len(values), f"{percentile(values, 0.5):.0f}", f"{max(values):.0f}"))
+    for phase, durations_ms in phase_durations_ms(log).items():
+        count, median_ms = len(durations_ms), percentile(durations_ms, 0.5)
+        print(row(phase, count, f"{median_ms:.0f}", f"{max(durations_ms):.0f}"))
 
 
 def print_answers(observation: Observation) -> None:
@@ -245,23 +269,29 @@
 
 def main() -> int:
     """Run the program; returns its exit status."""
-    parser = argparse.ArgumentParser(description=__doc__)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument(
         "--count", type=int, default=20, help="upgrades (default 20); runs with --cold"
     )
     parser.add_argument("--rate", type=float, default=300.0, help="requests a second (default 300)")
     parser.add_argument(
-        "--canary", default="500 ms", help="time for which the old process stands by"
+        "--canary",
+        default="500 ms",
+        help="time for which the old process stands by after a switch (default 500 ms)",
+    )
+    parser.add_argument(
+        "--broken", action="store_true", help="upgrade to every kind of broken build, too"
     )
     parser.add_argument(
-        "--broken", action="store_true", help="every kind of broken build among them"
+        "--cold", action="store_true", help="compare a successor without the state snapshot"
     )
     parser.add_argument(
-        "--cold", action="store_true", help="compare with a new process that is told nothing"
+        "--queues", action="store_true", help="what becomes of connects that nobody has accepted"
     )
-    parser.add_argument("--queues", action="store_true", help="what the kernel's queue loses")
     parser.add_argument(
-        "--seconds", type=float, default=5.0, help="watched after a switch, with --cold"
+        "--seconds", type=float, default=5.0, help="watched after a switch, with --cold (default 5)"
     )
     return uvloop.run(run(parser.parse_args()))
 
--- a/bench/upgrade_successors.py
+++ b/bench/upgrade_successors.py
@@ -1,7 +1,13 @@
 """What the state of the old process is worth to the one that takes over in an upgrade.
 
 One host of six hangs, which the old process has learned; counted are the requests that go there in
-the first seconds after the switch.
+the first seconds after the switch. The columns:
+
+    told              what the process that serves was given of the old one's state (state
+                      snapshot): all, nothing, or "no upgrade": the old one serves on
+    requests in 5 s   requests that clients sent in that time
+    sent to the host that hangs  attempts that this host received in that time
+    p50 / p99 ms      latency of those requests that were answered 200
 """
 
 from __future__ import annotations
@@ -50,10 +56,10 @@
     which the gateway learns that the host hangs.
     """
     async with (
-        upgradable_gateway(CANARY) as (stage, builds),
-        steady_load(stage, rate) as load,
+        upgradable_gateway(CANARY) as (environment, builds),
+        steady_load(environment, rate) as load,
     ):
-        hanging = stage.hosts[0]
+        hanging = environment.hosts[0]
         hanging.hangs = True
         await asyncio.sleep(LEARN_S)
         if successor is Successor.HAS_NO_STATE:
@@ -61,8 +67,8 @@
             module.write_text(module.read_text() + NO_STATE_BUILD)
         async with asyncio.TaskGroup() as tasks:
             if successor is not Successor.NO_UPGRADE:
-                tasks.create_task(stage.gateway.send_command("upgrade"))
-                await _wait_for_switch(stage.gateway)
+                tasks.create_task(environment.gateway.send_command("upgrade"))
+                await _wait_for_switch(environment.gateway)
             began = time.monotonic()
             await asyncio.sleep(seconds)
     ended = began + seconds
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -1,12 +1,34 @@
 """What a cross-zone budget does when the local zone fails: `python -m bench.zones`.
 
 A gateway in `east`, with four hosts there and four in `west`, takes steady load of both classes
-through four phases: all is well, half of the local zone hangs, all of it hangs, all is well again.
-This is played once for each configuration: no budget at all, one that seat-checkouts may pass, one
-that nobody may pass, and one of nothing. Printed are what was served and rejected in each phase,
-what crossed zones and why, and whether the gateway's totals are those of the stand-ins. Needs three
-cores; about three minutes. `--svg FILE` draws the crossings over time. `--cost` times the balancer
-alone, with and without a budget.
+through four phases: all hosts are healthy, half of the local zone hangs, all of it hangs, all are
+healthy again. This is played once for each configuration: no budget at all, one that seat-checkouts
+may exceed, one that nobody may exceed, and one of nothing.
+
+The first table has what became of the requests in each phase:
+
+    told                the configuration: the budget that the gateway was given
+    the own zone        the phase: what the hosts of the local zone do ("well": healthy)
+    CLASS in aim / refused  parts (0 to 1) of the requests of a class that were answered 200 within
+                        the latency objective, and that were rejected (429 or 503)
+    crossed             requests that hosts of the remote zone received, for each request of clients
+    p50 / p99 ms        latency of the answers of 200
+
+The second has the attempts that crossed zones, by the gateway's report over all phases:
+
+    told, class         the configuration, and the class of requests
+    crossed             attempts that were sent to the remote zone; the sum of the next four columns
+    spill               of them, because the local zone was healthy but had no room
+    lost                ... because too few hosts of the local zone were healthy
+    copy                ... as hedged attempts
+    bound               ... because the request may have run there, so that only hosts of that zone
+                        drop a repeat of its idempotency key
+    past                of the crossed ones, those that exceeded the budget
+    refused for it      requests that were rejected because no budget was left for them
+
+A line "broken" is a total of the report that is not that of the stand-in hosts, or a violation of
+what every gateway must keep. Needs three cores; about three minutes. `--svg FILE` draws the
+crossings over time. `--cost` times the balancer alone, with and without a budget.
 """
 
 from __future__ import annotations
@@ -201,17 +223,17 @@
     if run.report is None:
         return []
     classes = run.report.classes
-    lines = [
-        row(name, line.name, line.crossed, *line.reasons.values(), line.past, line.refused)
-        for line in classes
+    rows = [
+        row(name, route.name, route.crossed, *route.reasons.values(), route.past, route.refused)
+        for route in classes
     ]
     for zone, received in run.received.items():
         reported = sum(
-            cell.received for line in classes for cell in line.zones if cell.zone == zone
+            traffic.received for route in classes for traffic in route.zones if traffic.zone == zone
         )
         if reported != received:
-            lines.append(f"broken: {zone} received {received}, the report says {reported}")
-    return lines
+            rows.append(f"broken: {zone} received {received}, the report says {reported}")
+    return rows
 
 
 SLOT_S = 0.5  # of the picture
@@ -243,12 +265,12 @@
         for record in records
         if REQUEST_CLASSES[record.class_index].keyed
     ]
-    good = [record for record in checkouts if _is_in_objective(record)]
+    within_objective = [record for record in checkouts if _is_in_objective(record)]
     sent_counts = _count_by_slot((record.sent for record in checkouts), run.began, slots)
-    good_counts = _count_by_slot((record.sent for record in good), run.began, slots)
+    served_counts = _count_by_slot((record.sent for record in within_objective), run.began, slots)
     return [
-        good_count / sent_count if sent_count else 1.0
-        for good_count, sent_count in zip(good_counts, sent_counts, strict=True)
+        served_count / sent_count if sent_count else 1.0
+        for served_count, sent_count in zip(served_counts, sent_counts, strict=True)
     ]
 
 
@@ -362,11 +384,13 @@
 
 def main() -> int:
     """Run the program; returns its exit status."""
-    parser = argparse.ArgumentParser(description=__doc__)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--rate", type=float, default=150.0, help="requests a second (default 150)")
-    parser.add_argument("--seconds", type=float, default=8.0, help="of each part (default 8)")
+    parser.add_argument("--seconds", type=float, default=8.0, help="of each phase (default 8)")
     parser.add_argument("--svg", type=Path, help="draw the crossings over time")
-    parser.add_argument("--cost", action="store_true", help="time the module alone")
+    parser.add_argument("--cost", action="store_true", help="time the balancer alone")
     args = parser.parse_args()
     if args.cost:
         print_costs()
