--- a/bench/fleet_processes.py
+++ b/bench/fleet_processes.py
@@ -3,9 +3,9 @@
 Their datagrams go through the relay; with `--aloud` there is a broadcast address, too. One after
 the other, under load: all start, seven in ten are killed, these start again, a partition two to
 three, its heal. For each the table has the seconds until all views agreed, how often one gateway
-held another wrongly for gone, and the bytes that a gateway sent a second. The last line accounts
-for every request. The more processes share a core, the later their timers run: the figures are of
-this machine, too.
+held another wrongly for gone (false positives), and the bytes that a gateway sent a second. The
+last line accounts for every request. The more processes share a core, the later their timers run:
+the figures are of this machine, too.
 """
 
 from __future__ import annotations
@@ -224,9 +224,9 @@
 def main() -> int:
     """Run the program; returns its exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--gateways", type=int, default=60)
-    parser.add_argument("--seconds", type=float, default=60.0, help="of load")
-    parser.add_argument("--aloud", action="store_true")
+    parser.add_argument("--gateways", type=int, default=60, help="processes (default 60)")
+    parser.add_argument("--seconds", type=float, default=60.0, help="of load (default 60)")
+    parser.add_argument("--aloud", action="store_true", help="with a broadcast address")
     args = parser.parse_args()
     print(header("event", "agreed after s", "wrongly gone", "bytes/s a gateway"))
     uvloop.run(play(args.gateways, args.seconds, args.aloud))
