--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -62,7 +62,7 @@
             counts = await _load(gateway, seconds, prefix="c")
             used_s = gateway.cpu_s() - before_s
             request_us = 1e6 * used_s / max(1, counts.sent)
-            return Cost(rest_ms_per_s, request_us, counts.within_objective + counts.served)
+            return Cost(rest_ms_per_s, request_us, counts.within_objective + counts.after_objective)
 
 
 async def _rest_ms_per_s(gateways: Sequence[GatewayProcess], seconds: float) -> float:
--- a/bench/fleet_processes.py
+++ b/bench/fleet_processes.py
@@ -183,11 +183,11 @@
 def _account(environment: Environment, loads: Sequence[Load]) -> str:
     """What became of all requests, in one line."""
     whole = summarize(record for load in loads for record in load.records)
-    served = whole.within_objective + whole.served
+    served = whole.within_objective + whole.after_objective
     unanswered = whole.sent - served - whole.rejected - whole.failed
     return (
         f"sent {whole.sent}, served {served}, refused {whole.rejected}, failed {whole.failed}, "
-        f"unanswered {unanswered}, rules broken {len(environment.broken(*loads))}"
+        f"unanswered {unanswered}, rules broken {len(environment.violations(*loads))}"
     )
 
 
--- a/bench/fleet_worth.py
+++ b/bench/fleet_worth.py
@@ -48,7 +48,7 @@
     value_in_objective: float
     rejected: int
     sent: int
-    broken_rules: list[str]
+    rule_violations: list[str]
 
 
 async def play(
@@ -80,8 +80,8 @@
             await send(measured, rate_after, MEASURED_S, seed * MEASURED_SEED_FACTOR)
             for load in [*calm.values(), *measured.values()]:
                 await load.settle()
-            broken_rules = environment.broken(*calm.values(), *measured.values())
-            return summarize_loads(measured, broken_rules)
+            rule_violations = environment.violations(*calm.values(), *measured.values())
+            return summarize_loads(measured, rule_violations)
 
 
 async def send(loads: Mapping[int, Load], rate: float, seconds: float, seed: int) -> None:
@@ -91,11 +91,13 @@
     )
 
 
-def summarize_loads(loads: Mapping[int, Load], broken_rules: list[str]) -> Result:
+def summarize_loads(loads: Mapping[int, Load], rule_violations: list[str]) -> Result:
     """The result of these loads; AssertionError where a request was late or has no answer."""
     whole = summarize(record for load in loads.values() for record in load.records)
-    assert whole.sent == whole.within_objective + whole.served + whole.rejected + whole.failed
-    return Result(whole.value, whole.rejected, whole.sent, broken_rules)
+    assert (
+        whole.sent == whole.within_objective + whole.after_objective + whole.rejected + whole.failed
+    )
+    return Result(whole.value, whole.rejected, whole.sent, rule_violations)
 
 
 async def measure(seeds: int, gateways: int, rate: float, host_delay_s: float) -> None:
@@ -106,7 +108,7 @@
             result = await play(use_live_count, gateways, rate, host_delay_s, seed)
             windows_by = "the live number" if use_live_count else "the told number"
             cells = (f"{result.value_in_objective:.0f}", result.rejected, result.sent)
-            print(row(seed, windows_by, *cells, len(result.broken_rules)), flush=True)
+            print(row(seed, windows_by, *cells, len(result.rule_violations)), flush=True)
 
 
 def main() -> int:
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -110,7 +110,7 @@
 
     def cpu_not_served(self, capacity: Capacity) -> float:
         """Part (0 to 1) of the CPU time that did not go into answers before the deadline."""
-        served = self.counts.within_objective + self.counts.served
+        served = self.counts.within_objective + self.counts.after_objective
         return max(0.0, 1.0 - served * capacity.cpu_s / self.gateway_cpu_s)
 
 
@@ -165,7 +165,7 @@
         f"{measured.weight_per_s:.0f}",
         f"{counts.value / max(1.0, measured.weight_offered):.2f}",
         str(counts.within_objective),
-        str(counts.served),
+        str(counts.after_objective),
         str(counts.late),
         str(counts.rejected),
         str(counts.failed),
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -24,7 +24,7 @@
 The summary has connects that the gateway's address refused, connections that clients opened from
 the first upgrade on, requests that clients sent once more because their connection had been closed,
 and the most descriptors and resident memory (MB: MiB) of supervisor and workers together. A line
-"broken" is a violation of what every gateway must keep (`testbed.account.broken_rules`).
+"broken" is a violation of what every gateway must keep (`testbed.account.rule_violations`).
 
 `--cold` compares, with one host of six that hangs, the routing of the first seconds after a switch
 to a process with the old one's state, to one without, and without a switch
@@ -156,10 +156,10 @@
     print_answers(observation)
     print_requests(load, observation.switches)
     print_totals(load, observation, _connections(load) - connections_before)
-    broken_rules = environment.broken(load)
-    for line in broken_rules[:MOST_BROKEN_SHOWN]:
+    rule_violations = environment.violations(load)
+    for line in rule_violations[:MOST_BROKEN_SHOWN]:
         print(f"broken: {line}")
-    return 1 if broken_rules else 0
+    return 1 if rule_violations else 0
 
 
 def _connections(load: Load) -> int:
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -140,7 +140,7 @@
     records: dict[Phase, list[Record]]
     crossings: list[float]
     received: dict[str, int]
-    broken_rules: list[str]
+    rule_violations: list[str]
     report: Report | None
 
     @property
@@ -171,14 +171,14 @@
                 ]
                 for zone in (LOCAL_ZONE, REMOTE_ZONE)
             }
-            broken_rules = environment.broken(load)
+            rule_violations = environment.violations(load)
             if budget:
                 await asyncio.sleep(REPORT_WAIT_S)
             return Run(
                 records=records,
                 crossings=receipts[REMOTE_ZONE],
                 received={zone: len(times) for zone, times in receipts.items()},
-                broken_rules=broken_rules,
+                rule_violations=rule_violations,
                 report=read_report(report.read_bytes()) if budget else None,
             )
 
@@ -325,11 +325,11 @@
     print(f"\n{header(*BUDGET_COLUMNS)}")
     for name, run in runs.items():
         _print_lines(budget_rows(name, run))
-    broken_rules = [line for run in runs.values() for line in run.broken_rules]
-    _print_lines([f"broken: {line}" for line in broken_rules[:MOST_BROKEN_SHOWN]])
+    rule_violations = [line for run in runs.values() for line in run.rule_violations]
+    _print_lines([f"broken: {line}" for line in rule_violations[:MOST_BROKEN_SHOWN]])
     if picture is not None:
         draw(picture, runs, phase_s)
-    return 1 if broken_rules else 0
+    return 1 if rule_violations else 0
 
 
 def _print_lines(lines: Sequence[str]) -> None:
