--- a/bench/fleet_processes.py
+++ b/bench/fleet_processes.py
@@ -3,9 +3,9 @@
 Their datagrams go through the relay; with `--aloud` there is a broadcast address, too. One after
 the other, under load: all start, seven in ten are killed, these start again, a partition two to
 three, its heal. For each the table has the seconds until all views agreed, how often one gateway
-held another wrongly for gone, and the bytes that a gateway sent a second. The last line accounts
-for every request. The more processes share a core, the later their timers run: the figures are of
-this machine, too.
+held another wrongly for gone (false positives), and the bytes that a gateway sent a second. The
+last line accounts for every request. The more processes share a core, the later their timers run:
+the figures are of this machine, too.
 """
 
 from __future__ import annotations
@@ -43,10 +43,10 @@
 
 
 class FaultRun:
-    """The faults on one stage of `count` gateways; each prints its row once the views agree."""
+    """The faults in one environment of `count` gateways; each prints its row once views agree."""
 
     def __init__(self, environment: Environment, count: int) -> None:
-        self._stage = environment
+        self._environment = environment
         self._all = set(range(count))
         self._killed, self._left = killed_and_left(count)
         self._sides = partition_sides(count)
@@ -57,7 +57,7 @@
 
     def loads(self) -> list[Load]:
         """Loads on some of the gateways that are never killed."""
-        return [self._stage.load(number) for number in sorted(self._left)[:LOADED]]
+        return [self._environment.load(number) for number in sorted(self._left)[:LOADED]]
 
     async def kill(self) -> None:
         """Seven in ten are killed at once; the processes are reaped once the views agree."""
@@ -78,17 +78,17 @@
         """The relay cuts two groups of gateways off from each other."""
         began = time.monotonic()
         one, other = self._sides
-        await self._stage.relay.apart(sorted(one), sorted(other))
+        await self._environment.relay.apart(sorted(one), sorted(other))
         await self._print_row("partition", self._sides, began)
 
     async def heal(self) -> None:
         """The relay lets everything through again."""
         began = time.monotonic()
-        await self._stage.relay.rule()
+        await self._environment.relay.rule()
         await self._print_row("heal", [self._all], began)
 
     def _killed_gateways(self) -> list[GatewayProcess]:
-        return [self._stage.gateways[number] for number in self._killed]
+        return [self._environment.gateways[number] for number in self._killed]
 
     async def _print_row(
         self,
@@ -102,7 +102,7 @@
         To hold one of the own group for gone counts as wrong from `wrong_from` on, by default from
         `began`. Both are times of the monotonic clock.
         """
-        environment = self._stage
+        environment = self._environment
         before = await _sent_bytes(environment)
         agreed = await _wait_until(
             lambda: all(_views_agree(environment, group) for group in groups)
@@ -224,9 +224,9 @@
 def main() -> int:
     """Run the program; returns its exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--gateways", type=int, default=60)
-    parser.add_argument("--seconds", type=float, default=60.0, help="of load")
-    parser.add_argument("--aloud", action="store_true")
+    parser.add_argument("--gateways", type=int, default=60, help="processes (default 60)")
+    parser.add_argument("--seconds", type=float, default=60.0, help="of load (default 60)")
+    parser.add_argument("--aloud", action="store_true", help="with a broadcast address")
     args = parser.parse_args()
     print(header("event", "agreed after s", "wrongly gone", "bytes/s a gateway"))
     uvloop.run(play(args.gateways, args.seconds, args.aloud))
