--- a/bench/counts.py
+++ b/bench/counts.py
@@ -90,8 +90,13 @@
             gateway = GatewayProcess(Path(folder), discovery.port, balancing, DESCRIPTORS)
             gateway.tree = tree
             await gateway.start(command=("-m", "testbed.counted", str(counts_file)))
+            # Reads of the start are left out: how often `/up` is asked depends on times, too.
+            reads_of_start, writes_of_start = gateway.io()
+            keepalives_of_start = discovery.keepalives_sent
             writer = await send_requests(gateway.address, request_class, requests)
             reads, writes = gateway.io()
+            reads -= reads_of_start + discovery.keepalives_sent - keepalives_of_start
+            writes -= writes_of_start
             assert gateway.process is not None
             gateway.process.send_signal(signal.SIGTERM)
             writer.close()
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -217,7 +217,8 @@
 ) -> None:
     """Print what became of the requests, and what the gateway used."""
     print(
-        f"\n{whole.sent} requests: {whole.within_objective} in aim, {whole.after_objective} after it, "
+        f"\n{whole.sent} requests: {whole.within_objective} in aim, "
+        f"{whole.after_objective} after it, "
         f"{whole.late} late, {whole.rejected} refused, {whole.failed} failed, "
         f"{whole.unanswered} unanswered. "
         f"{instances} instances: {cpu_ms_per_s:.1f} ms of CPU a second, {memory_mb:.1f} MB."
--- a/quillroad/downstream/request_parser.py
+++ b/quillroad/downstream/request_parser.py
@@ -203,7 +203,7 @@
         return bool(self.backlog) or bool(self.unparsed) or self.state in PARTIAL
 
     def expects_continue(self) -> bool:
-        """Whether the client waits for `100 Continue` before it sends the body (RFC 9110, 10.1.1)."""
+        """Whether the client waits for `100 Continue` with its body (RFC 9110, 10.1.1)."""
         if self.state is not ReadState.BODY or self.size or self.backlog or self.continue_sent:
             return False
         for name, value in self._headers:
--- a/quillroad/membership/transport.py
+++ b/quillroad/membership/transport.py
@@ -34,7 +34,7 @@
         loop.add_reader(self._socket, on_readable)
 
     def receive(self) -> Iterator[tuple[bytes, Address]]:
-        """Yield the datagrams that wait, with their senders, `MAX_DATAGRAMS_PER_ITERATION` at most."""
+        """Yield at most `MAX_DATAGRAMS_PER_ITERATION` waiting datagrams, with their senders."""
         for _ in range(MAX_DATAGRAMS_PER_ITERATION):
             try:
                 # One byte more than allowed, so that a longer datagram is seen to be one.
--- a/quillroad/upgrade/control_socket.py
+++ b/quillroad/upgrade/control_socket.py
@@ -26,7 +26,8 @@
 class ControlSocket:
     """Listens for operators at `path`.
 
-    `on_command` takes a command and returns why not, or nothing; `status` gives the lines for an operator.
+    `on_command` takes a command and returns why not, or nothing; `status` gives the lines for an
+    operator.
     """
 
     def __init__(
--- a/quillroad/upgrade/messages.py
+++ b/quillroad/upgrade/messages.py
@@ -3,7 +3,8 @@
 One message is one or more packets on a local socket that keeps packets apart (`SOCK_SEQPACKET`,
 unix(7)). Each packet is a head of 20 bytes, then at most `CHUNK` bytes:
 
-    magic "QRup" · version u8 · flags u8 (0) · part u16 · parts u16 · number u32 · length u16 · CRC-32 u32
+    magic "QRup" · version u8 · flags u8 (0) · part u16 · parts u16
+    number u32 · length u16 · CRC-32 u32
 
 in network order; the check sum is over the bytes that follow the head and the part's place, so that
 a packet that got lost, doubled or garbled is found out. The bytes of all parts are MessagePack: an
--- a/quillroad/upgrade/state_document.py
+++ b/quillroad/upgrade/state_document.py
@@ -122,9 +122,9 @@
 
     `limit` is this gateway's part of what `balancers` gateways share. `quotas` has a tenant's
     tokens and when they were counted, `paces` the slowness of each machine type, by name. `chance`
-    is the state of Python's `random.Random`, `long_work_ratio` the part (0 to 1) of long requests in
-    the work. `born_us` is when this gateway first decided, over all
-    its processes: slow-start slots are its own from then on.
+    is the state of Python's `random.Random`, `long_work_ratio` the part (0 to 1) of long requests
+    in the work. `born_us` is when this gateway first decided, over all its processes: slow-start
+    slots are its own from then on.
     """
 
     now_us: int
--- a/quillroad/upgrade/worker_process.py
+++ b/quillroad/upgrade/worker_process.py
@@ -336,7 +336,8 @@
             self._send_to_sibling(report)
         if self._state.yielded:
             while self.gateway.upstream.drop_oldest_idle():
-                self._update_sibling_soon()  # a connection that serves nobody; once closed it is lent
+                # A connection that serves nobody; once closed its descriptor is lent.
+                self._update_sibling_soon()
             spare = self.gateway.descriptors.spare() - 2 * self.engine.open
             self._perform_all(self._state.lend(spare))
 
--- a/quillroad/upgrade/worker_state.py
+++ b/quillroad/upgrade/worker_state.py
@@ -4,14 +4,15 @@
 `link_lost` that the sibling cannot be heard any more; each returns what is to be done, in order. A
 worker accepts from `Own` to `Yield` and at no other time.
 
-A hand-over over the link between two workers, where the giver is the one that served:
+A hand-over over the link between two workers, where the giver is the one that served. What a worker
+"says" in the table goes to the supervisor:
 
     giver                                   taker
     State(final=False)  ->                  tries it on a copy
-                                        <-  StateResult(final=False) both say Prepared to the supervisor
+                                        <-  StateResult(final=False) both say Prepared
     (Yield) accepts nothing
     State(final=True), Out  ->              takes it over
-                                        <-  StateResult(final=True)  says StateAdopted to the supervisor
+                                        <-  StateResult(final=True)  says StateAdopted
                                             (Own) accepts
                                         <-  Come
     Connections(batch) + descriptors  ->    holds them, reads nothing
--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -52,7 +52,8 @@
 
     `options`: the gateway's `host` and `port`, `request_classes` (fields of `RequestClass`), their
     `weights` in the mix, and a `kind`: `closed` with `connections` and `seconds`, `open` with
-    `rate` and `seconds`, `steps` with `parts` of (rate, seconds). Raises ValueError for any other kind.
+    `rate` and `seconds`, `steps` with `parts` of (rate, seconds). Raises ValueError for any other
+    kind.
     """
     request_classes = [
         RequestClass(**request_class) for request_class in options["request_classes"]
--- a/testbed/account.py
+++ b/testbed/account.py
@@ -101,7 +101,8 @@
 ) -> dict[str, OutcomeCounts]:
     """Count what became of the requests: one row a class, by the class's name.
 
-    A 200 counts as late when it came more than `LATE_READ_TOLERANCE_S` after its client's time was over.
+    A 200 counts as late when it came more than `LATE_READ_TOLERANCE_S` after its client's time was
+    over.
     """
     rows = {request_class.name: OutcomeCounts() for request_class in request_classes}
     for record in records:
@@ -263,7 +264,8 @@
             record.status == HTTPStatus.OK
             and record.took > record.client_timeout + LATE_READ_TOLERANCE_S
         ):
-            yield f"{record.id}: served {record.took - record.client_timeout:.3f} s after its deadline"
+            late_s = record.took - record.client_timeout
+            yield f"{record.id}: served {late_s:.3f} s after its deadline"
         if sends[record.id] > most_sends:
             yield f"{record.id}: sent {sends[record.id]} times"
 
--- a/testbed/hosts.py
+++ b/testbed/hosts.py
@@ -137,6 +137,7 @@
         self.port = 0
         self._watches: list[asyncio.StreamWriter] = []
         self._silent: set[asyncio.StreamWriter] = set()
+        self.keepalives_sent = 0  # over all watches
 
     @staticmethod
     def _as_seen(line: bytes, writer: asyncio.StreamWriter) -> bytes:
@@ -175,6 +176,7 @@
                 if writer in self._silent:
                     continue
                 writer.write(b"1\r\n\n\r\n")  # the empty line
+                self.keepalives_sent += 1
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             # The caller has gone, or the event loop ends. A cancellation is not passed on:
             # asyncio's streams would log it as an error of this callback.
--- a/tests/balancing/test_platform_settings.py
+++ b/tests/balancing/test_platform_settings.py
@@ -83,8 +83,9 @@
         },
     }
     if any(lane["deadline"] < 4 * WORK_US for lane in told["lanes"]):
-        # What is given up before its work is done teaches nothing of that, and the checker knows it: at cold
-        # hosts such a class is bounded by its guess alone (docs/design/crossings.md, Left).
+        # What is given up before its work is done teaches nothing of that, and the checker knows
+        # it: at cold hosts such a class is bounded by its guess alone (docs/design/crossings.md,
+        # Left).
         told["guarantees"]["cold"] = 0
     for key in draw(
         st.sets(st.sampled_from(sorted(told.keys() - {"lanes", "guarantees"})), max_size=4)
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -24,7 +24,8 @@
 ) -> None:
     monkeypatch.setenv("QUILLROAD_COUNTS", "1")
     caplog.set_level(logging.INFO)
-    # Slow-start slots of 0.3 s: an attempt on a connection that comes up after its slot is not sent.
+    # Slow-start slots of 0.3 s: an attempt on a connection that comes up after its slot is not
+    # sent.
     settings = told_settings(
         guarantees={"cold": 60_000_000, "cold_from": 1.0, "fall_multiple": 1.0}
     )
