--- a/testbed/clients.py
+++ b/testbed/clients.py
@@ -276,6 +276,8 @@
             if not self._opening and not any(c.record is not None for c in self._connections):
                 break
             await asyncio.sleep(SETTLE_POLL_S)
+        # Where this process stood still, answers that came in time are in the kernel, unread.
+        await asyncio.sleep(SETTLE_POLL_S)
         for task in list(self._opening):
             task.cancel()
         for connection in list(self._connections):
