--- a/bench/zones.py
+++ b/bench/zones.py
@@ -37,7 +37,6 @@
 import asyncio
 import sys
 import tempfile
-import time
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 from enum import StrEnum
@@ -49,17 +48,7 @@
 from bench.picture import over_time
 from bench.request_classes import MIX, REQUEST_CLASSES
 from bench.tables import header, percentiles_ms, row
-from quillroad.balancing.balancer import Balancer
-from quillroad.balancing.endpoint import Endpoint
-from quillroad.balancing.events import (
-    AttemptFinished,
-    EndpointUpdate,
-    Outcome,
-    RequestArrived,
-    UpdateKind,
-)
-from quillroad.balancing.settings import Idempotency, Route, Settings
-from quillroad.balancing.zone_routing import CrossZoneBudget, CrossZoneLimits, RouteAllowance
+from bench.zones_cost import print_costs
 from quillroad.zones.report import Report, read_report
 from testbed.account import Record, count_outcomes, total
 from testbed.clients import Load
@@ -337,51 +326,6 @@
         print(line)
 
 
-# The balancer alone.
-
-COST_HOSTS = (8, 100, 1000)
-COST_REQUESTS = 20_000
-COST_REPEATS = 5  # the least of which counts: what else runs on the machine only adds
-ARRIVAL_GAP_US = 500
-ATTEMPT_US = 400
-COST_ROUTE = Route(
-    name="r",
-    idempotency=Idempotency.IDEMPOTENT,
-    latency_objective_us=580_000,
-    deadline_us=1_400_000,
-)
-COST_SETTINGS = Settings(
-    routes=(COST_ROUTE,), max_attempts=4, hedging_allowed=True, cancellation_allowed=True
-)
-
-
-def cost_us(hosts: int, has_budget: bool) -> float:
-    """CPU time of the balancer for a request, in microseconds; half of the hosts are remote."""
-    limits = CrossZoneLimits(0.05, (RouteAllowance(),))
-    balancer = Balancer(COST_SETTINGS, 1, CrossZoneBudget(limits) if has_budget else None)
-    endpoints = tuple(Endpoint(number, zone=number % 2) for number in range(hosts))
-    balancer.handle(1, [EndpointUpdate(UpdateKind.FULL, endpoints)])
-    began_s = time.process_time()
-    for request in range(COST_REQUESTS):
-        now_us = 1_000 + ARRIVAL_GAP_US * request
-        balancer.handle(now_us, [RequestArrived(request, 0, now_us + COST_ROUTE.deadline_us)])
-        finished = AttemptFinished(request, 0, Outcome.SUCCESS, ATTEMPT_US, True)
-        balancer.handle(now_us + ATTEMPT_US, [finished])
-        balancer.timers.clear()
-    return (time.process_time() - began_s) / COST_REQUESTS * 1e6
-
-
-def print_costs() -> None:
-    """Print what a request costs the balancer, without and with a budget."""
-    print(header("hosts", "us a request, off", "on"))
-    for hosts in COST_HOSTS:
-        off_us, on_us = (
-            min(cost_us(hosts, has_budget) for _ in range(COST_REPEATS))
-            for has_budget in (False, True)
-        )
-        print(row(hosts, f"{off_us:.1f}", f"{on_us:.1f}"))
-
-
 def main() -> int:
     """Run the program; returns its exit status."""
     parser = argparse.ArgumentParser(
--- a/quillroad/config/model.py
+++ b/quillroad/config/model.py
@@ -137,6 +137,11 @@
     body_budget_bytes: int = BUFFERS  # of long bodies that are in memory at once
     peers: Peers | None = None  # None: the platform allows no talk between gateways
 
+    @property
+    def longest_deadline_s(self) -> float:
+        """Seconds for which any client waits at most; 0 without routes."""
+        return max((route.deadline_us for route in self.settings.routes), default=0) / 1e6
+
 
 def read_address(text: Any, field: str) -> Address:
     """An address such as `10.0.0.4:8000`. Raises `ConfigError` that names the field."""
--- a/quillroad/engine/request_table.py
+++ b/quillroad/engine/request_table.py
@@ -15,9 +15,7 @@
 
     def __init__(self) -> None:
         self._open: dict[int, OpenRequest] = {}  # by number
-        self._unanswered_ids: set[str] = (
-            set()
-        )  # ids of the requests that still wait for their answer
+        self._unanswered_ids: set[str] = set()  # of requests that still wait for their answer
 
     def is_open(self, request_id: str) -> bool:
         """Whether a request of this id waits for its answer."""
--- a/quillroad/gateway.py
+++ b/quillroad/gateway.py
@@ -264,9 +264,7 @@
         front may still send: ending them first would lose what crosses the close.
         """
         began = monotonic()
-        routes = self.config.settings.routes
-        longest_s = max((route.deadline_us for route in routes), default=0) / 1e6
-        end = began + longest_s + DRAIN_MARGIN_S
+        end = began + self.config.longest_deadline_s + DRAIN_MARGIN_S
         self.serving_state.end()
         self.server.draining = True
         # A request that was taken late, half of it before the drain, has no longer than the
--- a/quillroad/upgrade/owned_tasks.py
+++ b/quillroad/upgrade/owned_tasks.py
@@ -11,9 +11,14 @@
 
 
 class OwnedTasks:
-    """Tasks of one owner. `on_fault` is called after each that ends by an exception."""
+    """Tasks of one owner, which keeps a reference to each: the event loop has weak ones only.
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, on_fault: Callable[[], None]) -> None:
+    `on_fault` is called after each that ends by an exception.
+    """
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, on_fault: Callable[[], None] = lambda: None
+    ) -> None:
         self._loop = loop
         self._on_fault = on_fault
         self._running: set[asyncio.Task[None]] = set()
--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -12,7 +12,7 @@
 import socket
 import sys
 import time
-from collections.abc import Callable, Coroutine, Sequence
+from collections.abc import Callable, Sequence
 from pathlib import Path
 from typing import assert_never
 
@@ -23,6 +23,7 @@
 from quillroad.upgrade.channel import HAS_ENDED, Channel, close_all, pair
 from quillroad.upgrade.control_socket import ControlSocket
 from quillroad.upgrade.messages import Message, Take, Welcome
+from quillroad.upgrade.owned_tasks import OwnedTasks
 from quillroad.upgrade.settings import Upgrades, load_upgrades
 from quillroad.upgrade.supervisor import Supervisor
 from quillroad.upgrade.supervisor_commands import (
@@ -65,7 +66,7 @@
         )
         self._channels: dict[int, Channel] = {}
         self._processes: dict[int, asyncio.subprocess.Process] = {}
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._tasks = OwnedTasks(loop)
         self._timer: asyncio.TimerHandle | None = None
         self.status: asyncio.Future[int] = loop.create_future()
 
@@ -125,7 +126,7 @@
     def _perform(self, command: Command) -> None:
         match command:
             case StartWorker():
-                self._own_task(self._run_worker(command.worker))
+                self._tasks.start(self._run_worker(command.worker))
             case SendMessage():
                 self._send(command)
             case ConnectWorkers():
@@ -206,12 +207,6 @@
         )
         await self._wait_for(number, process)
 
-    def _own_task(self, coroutine: Coroutine[None, None, None]) -> None:
-        """Run it, and keep a reference until it is done: the loop has weak ones only."""
-        task = self._loop.create_task(coroutine)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-
     def close(self) -> None:
         """End listening for operators, and the timer."""
         self._control.close()
--- a/quillroad/upgrade/worker_process.py
+++ b/quillroad/upgrade/worker_process.py
@@ -347,7 +347,8 @@
         """Answer what is open, migrate or close idle connections, then end."""
         if self._listener is not None and not self._state.accepts:
             self._listener.close()
-        until = self._loop.time() + self._longest_s()
+        longest_s = self.gateway.config.longest_deadline_s + ANSWERS_FLUSH_S
+        until = self._loop.time() + longest_s
         server = self.gateway.server
         await wait_until_empty(server, until, self._must_close)
         server.draining = True
@@ -362,10 +363,6 @@
             return True
         return False
 
-    def _longest_s(self) -> float:
-        deadlines_us = (route.deadline_us for route in self.gateway.config.settings.routes)
-        return max(deadlines_us, default=0) / 1e6 + ANSWERS_FLUSH_S
-
     def drain(self) -> None:
         """Answer what is open and end: SIGTERM, or the supervisor has gone."""
         if self._ending:
--- a/simulation/schedule.py
+++ b/simulation/schedule.py
@@ -13,7 +13,7 @@
 from typing import Annotated, Literal, NamedTuple
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 from quillroad.membership.core import Core
 from quillroad.membership.member_table import MemberState
@@ -53,12 +53,15 @@
 
 
 class Schedule(Struct, forbid_unknown_fields=True, frozen=True):
-    """Steps for `size` members; with `broadcast` they can reach all others by one datagram."""
+    """Steps for `size` members; with `broadcast` they can reach all others by one datagram.
+
+    Schedules that a run found are kept as files: there the field is `aloud`.
+    """
 
     seed: int
     size: int
     steps: tuple[Step, ...]
-    broadcast: bool = False
+    broadcast: bool = field(name="aloud", default=False)
 
 
 def read_schedule(text: str) -> Schedule:
--- a/testbed/environment.py
+++ b/testbed/environment.py
@@ -36,13 +36,24 @@
     """How gateways talk to each other: the text of the fleet file (empty: not at all) and more.
 
     `may_talk`: whether the platform allows it; `broadcast`: each reaches all others by one
-    datagram, too; `view_interval`: how often views are written, as the fleet file has it.
+    datagram, too; `view_interval`: how often views are written, as the fleet file has it;
+    `relays_lines`: connections to hosts and discovery go through the relay, too.
     """
 
     file: str
     may_talk: bool
     broadcast: bool
     view_interval: str
+    relays_lines: bool
+
+
+def _membership(
+    file: str, may_talk: bool, broadcast: bool, view_interval: str, relays_lines: bool
+) -> _Membership:
+    """These options; without a file there is no relay, so `relays_lines` raises ValueError."""
+    if relays_lines and not file:
+        raise ValueError("lines: only the relay of a fleet carries them")
+    return _Membership(file, bool(file) and may_talk, broadcast, view_interval, relays_lines)
 
 
 class Environment:
@@ -102,10 +113,7 @@
         self.hosts = [Host(f"s-{i}", delay, zones[i % len(zones)]) for i in range(hosts)]
         self._started_later = later
         self._make_discovery = registry
-        self._membership = _Membership(fleet, bool(fleet) and peers, broadcast, every)
-        if lines and not fleet:
-            raise ValueError("lines: only the relay of a fleet carries them")
-        self._relays_lines = lines
+        self._membership = _membership(fleet, peers, broadcast, every, lines)
         self.relay = RelayProcess([])
         self.uninformed: frozenset[int] = frozenset()  # gateways that discovery does not reach
         self._count = gateways
@@ -138,7 +146,7 @@
         # An address for each: the relay's many sockets may get any free port of 127.0.0.1.
         listens = [(f"127.1.0.{n + 1}", free_port(SOCK_DGRAM)) for n in range(self._count)]
         lines: dict[str, int] | None = None
-        if self._relays_lines:
+        if self._membership.relays_lines:
             lines = {host.name: host.port for host in self.hosts}
             lines["discovery"] = self.discovery.port
         self.relay = await RelayProcess(listens, lines=lines).start()
@@ -164,7 +172,7 @@
         """Let a gateway talk to the others, and reach hosts and discovery, through the relay."""
         membership = self._membership
         everyone = self.relay.everyone[number] if membership.broadcast else ""
-        if self._relays_lines:
+        if self._membership.relays_lines:
             gateway.reconfigure(discovery=f"{address_of(number)}:{self.discovery.port}")
         peers = self.relay.peers[number]
         gateway.join_membership(membership.file, listen, peers, everyone, membership.view_interval)
--- a/tests/balancing/test_slow_start_fleet.py
+++ b/tests/balancing/test_slow_start_fleet.py
@@ -63,14 +63,7 @@
         whole = total(
             count_outcomes([r for load in stayed for r in load.records], REQUEST_CLASSES).values()
         )
-        assert (
-            whole.sent
-            == whole.within_objective
-            + whole.after_objective
-            + whole.rejected
-            + whole.failed
-            + whole.unanswered
-        )
+        assert whole.adds_up()
         assert (whole.late, whole.unanswered) == (0, 0)
         assert environment.violations(*loads) == []
         # The budget is of a host within `cold` of its start: of a warm one nothing is promised.
--- a/tests/membership/test_schedules.py
+++ b/tests/membership/test_schedules.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import json
 from collections.abc import Callable
 from typing import Any
 
@@ -64,6 +65,14 @@
         read_schedule(write_schedule(schedule).replace('"act"', '"acts"'))
 
 
+def test_a_kept_schedule_has_the_field_names_that_it_was_written_with() -> None:
+    kept = """{"seed": 3, "size": 4, "aloud": true, "steps":
+        [{"after_s": 1.5, "act": "kill", "members": [2], "loss": 0.0}]}"""
+    schedule = Schedule(3, 4, (Step(1.5, "kill", (2,)),), broadcast=True)
+    assert read_schedule(kept) == schedule
+    assert json.loads(write_schedule(schedule)) == json.loads(kept)
+
+
 def test_a_breaking_schedule_is_reduced_to_what_it_needs() -> None:
     def breaks(schedule: Any) -> bool:
         kills = [step for step in schedule.steps if step.act == "kill" and 2 in step.members]
--- a/tests/overload/test_overload.py
+++ b/tests/overload/test_overload.py
@@ -3,9 +3,11 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import subprocess
 import sys
 from collections import Counter
+from collections.abc import AsyncIterator
 from pathlib import Path
 
 import pytest
@@ -30,9 +32,8 @@
     """Requests a second answered within their objective, and the load that measured it."""
     load = environment.load(weights=MIX, prefix="w")
     await load.closed_loop(64, 1.0)
-    return total(
-        count_outcomes(load.records, REQUEST_CLASSES).values()
-    ).within_objective / 1.0, load
+    whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
+    return whole.within_objective / 1.0, load
 
 
 def account(environment: Environment, load: Load, *others: Load) -> dict[str, OutcomeCounts]:
@@ -47,6 +48,17 @@
     return rows
 
 
+@contextlib.asynccontextmanager
+async def rationed(tmp_path: Path) -> AsyncIterator[tuple[Environment, float, Load]]:
+    """A gateway with `SHARE` of a core, the requests a second that it serves, and their load."""
+    async with Environment(
+        tmp_path, REQUEST_CLASSES, hosts=9, delay=0.005, sockets=1024
+    ) as environment:
+        await environment.ration(SHARE)
+        served, first = await capacity(environment)
+        yield environment, served, first
+
+
 def test_the_cpu_ration_of_the_testbed_is_kept() -> None:
     with subprocess.Popen([sys.executable, "-c", "while True: pass"]) as busy:
         before = used_s(busy.pid)
@@ -64,11 +76,7 @@
     It used to read everything late and serve a twentieth of it; connections ended with no answer.
     How much is answered within its objective depends on the machine, and `bench.overload` measures
     it: here it must not come to nothing."""
-    async with Environment(
-        tmp_path, REQUEST_CLASSES, hosts=9, delay=0.005, sockets=1024
-    ) as environment:
-        await environment.ration(SHARE)
-        served, first = await capacity(environment)
+    async with rationed(tmp_path) as (environment, served, first):
         load = environment.load(weights=MIX, most=900)
         await load.open_loop(steady(load_of * served, 2.5))
         rows = account(environment, load, first)
@@ -132,11 +140,7 @@
     """A gateway with 0.15 of a core gets twice what it serves, then as much, then a whole core.
 
     Every request has one answer in time meanwhile, and in the end all are served."""
-    async with Environment(
-        tmp_path, REQUEST_CLASSES, hosts=9, delay=0.005, sockets=1024
-    ) as environment:
-        await environment.ration(SHARE)
-        served, first = await capacity(environment)
+    async with rationed(tmp_path) as (environment, served, first):
         load = environment.load(weights=MIX, most=900)
         sending = asyncio.ensure_future(load.open_loop(steps((2.0 * served, 2.0), (served, 2.0))))
         await until(lambda: len(load.records) > 3.5 * served)
--- a/tests/upgrade/test_sibling_handover.py
+++ b/tests/upgrade/test_sibling_handover.py
@@ -254,14 +254,7 @@
 
     def accounted(self, load: Load, ends: list[float] | None = None, lost: int = 0) -> None:
         whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
-        assert (
-            whole.sent
-            == whole.within_objective
-            + whole.after_objective
-            + whole.rejected
-            + whole.failed
-            + whole.unanswered
-        )
+        assert whole.adds_up()
         assert (whole.late, whole.failed) == (0, 0)
         assert whole.rejected <= 0.05 * whole.sent
         assert whole.unanswered <= (lost if ends is None else len(self.lost_with(load, ends)))
--- a/tests/upgrade/test_upgrades.py
+++ b/tests/upgrade/test_upgrades.py
@@ -133,14 +133,7 @@
     so a few are let pass.
     """
     whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
-    assert (
-        whole.sent
-        == whole.within_objective
-        + whole.after_objective
-        + whole.rejected
-        + whole.failed
-        + whole.unanswered
-    )
+    assert whole.adds_up()
     assert (whole.late, whole.failed) == (0, 0)
     assert whole.rejected <= 0.05 * whole.sent
     assert whole.unanswered <= lost
