--- a/quillroad/engine/__init__.py
+++ b/quillroad/engine/__init__.py
@@ -1,1 +1,1 @@
-"""Drives the balancing decisions: events in, actions out, and the open requests."""
+"""The engine: feeds events to the balancer, performs its actions and tracks open requests."""
--- a/quillroad/engine/client_request.py
+++ b/quillroad/engine/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request as the engine takes it."""
+"""The parsed and validated client request that the engine accepts."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request that has passed all checks of its form.
+    """A client request that has passed all syntax checks.
 
-    `received_at` is when it came, wherever it has waited since, and `deadline_at` when its client
-    stops waiting; both are seconds of the monotonic clock. `work_estimate_us` is the client's
-    estimate of its work.
+    `received_at` is the arrival time, before any queueing in this process, and `deadline_at` the
+    time at which the client stops waiting; both are seconds of the monotonic clock.
+    `work_estimate_us` is the client's estimate of the work, in microseconds.
     """
 
     id: str
-    route: int  # index in the settings' routes
-    tenant: int  # index in the settings' tenants; -1: none
-    key: str | None  # of deduplication
+    route: int  # index into the routes of the settings
+    tenant: int  # index into the tenants of the settings; -1: no tenant
+    key: str | None  # deduplication key; None: no deduplication
     received_at: float
     deadline_at: float
-    is_retry: bool  # the client says that it has sent this before
+    is_retry: bool  # the client marked the request as a retry
     work_estimate_us: int | None
-    head: bytes  # request line and headers that go on unchanged, without the deadline's
-    body: bytes | bytearray  # complete; nobody changes it any more
+    head: bytes  # request line and headers to forward, without the deadline header
+    body: bytes | bytearray  # complete; not modified after this point
--- a/quillroad/engine/deadlines.py
+++ b/quillroad/engine/deadlines.py
@@ -1,27 +1,28 @@
-"""How long before a client's deadline its request is decided. No I/O.
+"""Safety margins between the gateway's decisions and a client's deadline. No I/O.
 
-docs/design/upstream-constants.md has what was measured.
+docs/design/upstream-constants.md lists the measurements behind these values.
 """
 
 from __future__ import annotations
 
 # Seconds before the client's deadline at which its attempts time out and the balancer gives its
-# final answer: the time in which that answer must reach the client, also from an event loop that
-# runs late on a core that another process has just then.
+# final answer. The answer must reach the client within this time, even if the event loop runs late
+# because another process occupies the core.
 DECISION_MARGIN_S = 0.040
-# Seconds before the client's deadline at which the engine answers by itself if the balancer has
-# not: less than the margin above, so that the balancer comes first, and still time for the way to
-# the client.
+# Seconds before the client's deadline at which the engine answers if the balancer has not. It is
+# shorter than DECISION_MARGIN_S, so that the balancer can answer first, and still leaves time for
+# the answer to reach the client.
 FALLBACK_MARGIN_S = 0.015
-# Most of the time that a client gives that the longer margin may take. Without this a client that
-# gives 50 ms would have an attempt of 10 ms; both margins shrink to fit.
-MARGIN_FRACTION = 0.25
-# Seconds since the event loop's last sign of life after which a client's end may lie unread in the
-# kernel, so that it is asked for before an attempt begins. A client that has left counts as gone
-# after 0.1 s; with this a loop that is late is noticed before that.
-UNREAD_CLIENT_S = 0.075
+# Largest fraction of the client's remaining time that DECISION_MARGIN_S may take; both margins
+# shrink in proportion to fit. Without this limit, a request with a timeout of 50 ms would have only
+# 10 ms for its attempt.
+MAX_MARGIN_FRACTION = 0.25
+# Seconds since the event loop's last tick after which the kernel may hold an unread client
+# disconnect, so that the socket state is checked before an attempt starts. A client that left
+# counts as gone after 0.1 s; this value is lower, so that a late event loop is noticed before then.
+CLIENT_CHECK_LAG_S = 0.075
 
 
 def margin_scale(left_s: float) -> float:
-    """By what both margins shrink (0 to 1) for a client that gives `left_s` seconds."""
-    return min(1.0, MARGIN_FRACTION * left_s / DECISION_MARGIN_S)
+    """Return the factor (0 to 1) for both margins if `left_s` seconds remain to the deadline."""
+    return min(1.0, MAX_MARGIN_FRACTION * left_s / DECISION_MARGIN_S)
--- a/quillroad/engine/endpoint_sync.py
+++ b/quillroad/engine/endpoint_sync.py
@@ -1,4 +1,4 @@
-"""Brings the hosts that attempts go to in line with an endpoint update."""
+"""Applies endpoint updates from discovery to the hosts that attempts are sent to."""
 
 from __future__ import annotations
 
@@ -16,42 +16,42 @@
     names: dict[int, str],
     addresses: dict[int, Address],
 ) -> None:
-    """Change `hosts` (by endpoint id) to what the update tells; close what it ends.
+    """Apply the update to `hosts` (by endpoint id); retire removed, moved and draining hosts.
 
-    `names` and `addresses` hold each endpoint that the update names as present.
+    `names` and `addresses` hold an entry for each endpoint of the update that is not removed.
     """
     present = {e.id: e for e in update.endpoints if e.status is not EndpointStatus.REMOVED}
-    _retire_ended(hosts, upstream, update, present, addresses)
-    for number, endpoint in present.items():
-        host = hosts.get(number)
+    _retire_removed_or_moved(hosts, upstream, update, present, addresses)
+    for endpoint_id, endpoint in present.items():
+        host = hosts.get(endpoint_id)
         if host is None:
-            host = Host(names[number], addresses[number])
-            hosts[number] = host
+            host = Host(names[endpoint_id], addresses[endpoint_id])
+            hosts[endpoint_id] = host
         _apply_endpoint(host, upstream, endpoint)
 
 
-def _retire_ended(
+def _retire_removed_or_moved(
     hosts: dict[int, Host],
     upstream: Upstream,
     update: EndpointUpdate,
     present: dict[int, Endpoint],
     addresses: dict[int, Address],
 ) -> None:
-    """Take out hosts that are removed, or that have moved to another address."""
+    """Remove and retire hosts that the update removed or moved to another address."""
     is_full = update.kind is not UpdateKind.INCREMENTAL
-    named = {endpoint.id for endpoint in update.endpoints}
-    for number, host in list(hosts.items()):
-        removed = number not in present and (is_full or number in named)
-        moved = number in present and addresses[number] != host.address
+    listed_ids = {endpoint.id for endpoint in update.endpoints}
+    for endpoint_id, host in list(hosts.items()):
+        removed = endpoint_id not in present and (is_full or endpoint_id in listed_ids)
+        moved = endpoint_id in present and addresses[endpoint_id] != host.address
         if removed or moved:
-            del hosts[number]
+            del hosts[endpoint_id]
             upstream.retire(host)
 
 
 def _apply_endpoint(host: Host, upstream: Upstream, endpoint: Endpoint) -> None:
     host.zone = endpoint.zone
     if host.started_us != endpoint.started_us:
-        # A new process: connections to the one before may hang for ever.
+        # The host's process restarted: idle connections to the previous one may hang forever.
         host.started_us = endpoint.started_us
         host.drop_idle()
     if endpoint.status is EndpointStatus.DRAINING:
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -1,7 +1,8 @@
-"""Drives the balancer: feeds it events and performs its actions, until each request has its answer.
+"""Feeds events to the balancer and performs its actions, until each request is answered.
 
-Nothing about hosts, retries or rejections is decided here. The engine adds what real sockets need:
-an answer in time even if the balancer says nothing, and a fault in one request that stays its own.
+The balancer makes all decisions about hosts, retries and rejections. The engine adds two
+safeguards: a request is answered in time even if the balancer decides nothing, and an internal
+error in one request does not affect the others.
 """
 
 from __future__ import annotations
@@ -39,9 +40,9 @@
 from quillroad.engine.client_request import ClientRequest
 from quillroad.engine.clock import EngineClock
 from quillroad.engine.deadlines import (
+    CLIENT_CHECK_LAG_S,
     DECISION_MARGIN_S,
     FALLBACK_MARGIN_S,
-    UNREAD_CLIENT_S,
     margin_scale,
 )
 from quillroad.engine.endpoint_sync import apply_endpoint_update
@@ -60,16 +61,18 @@
 
 
 class Engine(RequestTable):
-    """One balancer, one clock, and the open requests."""
+    """Connects one balancer to the sockets, and holds its clock and the open requests."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream
     ) -> None:
         super().__init__()
         self.hosts: dict[int, Host] = {}  # by endpoint id
-        # Called when no more requests wait in the balancer than there are hosts.
+        # Called after events were handled, if the balancer queues no more requests than there are
+        # hosts.
         self.on_capacity: Callable[[], None] | None = None
-        # Called with each attempt's route, host, bytes and `done`; returns a `done` in its place.
+        # Called for each attempt with its route, host, size in bytes and `done` callback; returns
+        # the callback to use instead.
         self.attempt_observer: Callable[[int, Host, int, Done], Done] | None = None
         self._loop = loop
         self._balancer = balancer
@@ -77,40 +80,40 @@
         self._loop_monitor = upstream.loop_monitor
         self._loop_lag = upstream.loop_monitor.loop_lag
         self._clock = EngineClock(upstream.loop_monitor.loop_lag)
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._events: deque[Event] = deque()
-        self._feeding = False
+        self._processing_events = False
 
     def now_us(self) -> int:
-        """Unix time in microseconds that never goes back."""
+        """Return the current Unix time in microseconds; it never decreases."""
         return self._clock.now_us()
 
     @property
     def ready(self) -> bool:
-        """Whether there are hosts."""
+        """Whether at least one host is known."""
         return bool(self.hosts)
 
     @property
     def warm_up_us(self) -> int:
-        """For so long after its start a host may be warming up, in microseconds."""
+        """How long after its start a host may be warming up, in microseconds."""
         return self._balancer.settings.warm_up_us
 
     @property
     def queued(self) -> int:
-        """Requests that wait in the balancer for a place at a host."""
+        """Number of requests in the balancer's queue, waiting for capacity at a host."""
         return self._balancer.queued
 
     @property
     def counters(self) -> dict[str, int]:
-        """What the balancer has counted since its start."""
+        """The balancer's event counts since its start, by name."""
         return self._balancer.counters
 
     @property
     def gauges(self) -> dict[str, float]:
-        """How the balancer stands at the moment."""
+        """The current values of the balancer's gauges and the number of open requests, by name."""
         return {"open": len(self._open), **self._balancer.gauges(self._clock.latest_us)}
 
-    # From the downstream side.
+    # Called by the downstream side.
 
     def accept(
         self,
@@ -118,35 +121,37 @@
         reply: Callable[[Reply], None],
         client: Requester | None = None,
     ) -> OpenRequest:
-        """Take a request; `reply` is called once, before the client's deadline, unless it departs.
+        """Accept a request; `reply` is called once, before the deadline, unless the client departs.
 
-        Before each attempt `client` is asked whether it has, where that may have gone unread.
+        Before each attempt `client` is checked for a disconnect that may not have been read yet.
         """
         scale = margin_scale(max(0.0, request.deadline_at - monotonic()))
-        give_up = request.deadline_at - DECISION_MARGIN_S * scale
-        opened = OpenRequest(next(self._numbers), request, reply, give_up, client)
-        self._open[opened.number] = opened
+        attempts_end_at = request.deadline_at - DECISION_MARGIN_S * scale
+        open_request = OpenRequest(
+            next(self._request_numbers), request, reply, attempts_end_at, client
+        )
+        self._open[open_request.number] = open_request
         self._unanswered_ids.add(request.id)
-        opened.overdue_timer = self._loop.call_at(
-            request.deadline_at - FALLBACK_MARGIN_S * scale, self._on_overdue, opened
+        open_request.fallback_timer = self._loop.call_at(
+            request.deadline_at - FALLBACK_MARGIN_S * scale, self._on_fallback_timer, open_request
         )
         if len(self._open) == 1:
             self._loop_monitor.work_begins(self._has_work)
-        if self._loop_monitor.stalled():  # first the outcomes that lie in the kernel, then new work
-            self._loop_monitor.defer(self._arrive, opened)
+        if self._loop_monitor.stalled():  # read pending outcomes before new work
+            self._loop_monitor.defer(self._submit, open_request)
         else:
-            self._arrive(opened)
-        return opened
+            self._submit(open_request)
+        return open_request
 
-    def _arrive(self, opened: OpenRequest) -> None:
-        if opened.reply is None:
-            return  # departed, or answered, while it was held
-        request = opened.request
+    def _submit(self, open_request: OpenRequest) -> None:
+        if open_request.reply is None:
+            return  # the client departed or was answered while the request was deferred
+        request = open_request.request
         self.feed(
             RequestArrived(
-                opened.number,
+                open_request.number,
                 request.route,
-                self._clock.epoch_us + int(opened.attempts_end_at * 1e6),
+                self._clock.epoch_us + int(open_request.attempts_end_at * 1e6),
                 request.key,
                 request.work_estimate_us,
                 request.tenant,
@@ -155,97 +160,106 @@
             )
         )
 
-    def depart(self, opened: OpenRequest) -> None:
-        """The client has gone."""
-        if opened.reply is not None:
-            self._settle(opened)
-            self.feed(ClientDisconnected(opened.number))
-            self._forget(opened)
+    def depart(self, open_request: OpenRequest) -> None:
+        """Note that the client disconnected; does nothing if the request was already answered."""
+        if open_request.reply is not None:
+            self._clear_reply(open_request)
+            self.feed(ClientDisconnected(open_request.number))
+            self._remove_if_finished(open_request)
+
+    def _on_fallback_timer(self, open_request: OpenRequest) -> None:
+        """Time out a request that the balancer has not answered.
 
-    def _on_overdue(self, opened: OpenRequest) -> None:
-        """Time out a request without a decision: that promises nothing, so it is always right."""
+        This answer does not say whether a host executed the request, so it is always correct.
+        """
         if self._loop_monitor.stalled():
-            self._loop_monitor.defer(self._on_overdue, opened)
-        elif opened.reply is not None:
-            log.error("request %s: no decision by its deadline", opened.request.id)
-            self._answer_undecided(opened, Reply(TIMED_OUT))
+            self._loop_monitor.defer(self._on_fallback_timer, open_request)
+        elif open_request.reply is not None:
+            log.error(
+                "request %s: timed out, no decision by the balancer before its deadline",
+                open_request.request.id,
+            )
+            self._answer_undecided(open_request, Reply(TIMED_OUT))
 
-    def _answer_undecided(self, opened: OpenRequest, reply: Reply) -> None:
-        """Answer in place of the balancer, which is told that nobody waits any more."""
-        self._answer(opened, reply)
-        self.feed(ClientDisconnected(opened.number))
-        self._forget(opened)
+    def _answer_undecided(self, open_request: OpenRequest, reply: Reply) -> None:
+        """Answer in place of the balancer, and report the client to it as disconnected."""
+        self._answer(open_request, reply)
+        self.feed(ClientDisconnected(open_request.number))
+        self._remove_if_finished(open_request)
 
-    # From discovery.
+    # Called by discovery.
 
     def update_endpoints(
-        self, servers: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
+        self, update: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
-        """Take an endpoint update; `names` and `addresses` are those of its endpoints, by id.
+        """Apply an endpoint update; `names` and `addresses` belong to its endpoints, by id.
 
-        It takes effect on the sockets first: what it ends must not get a byte more.
+        Connections are updated before the balancer, because a host that was removed must not
+        receive another byte.
         """
-        apply_endpoint_update(self.hosts, self._upstream, servers, names, addresses)
-        self.feed(servers)
+        apply_endpoint_update(self.hosts, self._upstream, update, names, addresses)
+        self.feed(update)
 
     # Events in, actions out.
 
     def feed(self, event: Event) -> None:
-        """Give the balancer one event and perform what it decides.
+        """Pass one event to the balancer and perform the resulting actions.
 
-        What an action brings about at once is fed after it, never from inside the balancer.
+        Events that an action triggers immediately are queued and handled after it; the balancer is
+        never called recursively.
         """
         self._events.append(event)
-        if self._feeding:
+        if self._processing_events:
             return
-        self._feeding = True
+        self._processing_events = True
         try:
             while self._events:
                 self._step(self._events.popleft())
         finally:
-            self._feeding = False
+            self._processing_events = False
         if self.on_capacity is not None and self._balancer.queued <= len(self.hosts):
             self.on_capacity()
 
     def _step(self, event: Event) -> None:
-        """Handle one event; a fault is logged and fails the request that it belongs to.
+        """Handle one event; an exception is logged and fails the request that it belongs to.
 
-        Else one request could take the gateway down. What was decided before the fault counts.
+        Without this, one request could take the gateway down. Actions that the balancer decided
+        before the exception are still performed.
         """
         try:
             actions = self._balancer.handle(self._clock.now_us(), [event])
         except Exception:
-            log.exception("the balancer failed on %s", type(event).__name__)
+            log.exception("the balancer raised an exception on event %s", type(event).__name__)
             actions = self._balancer.actions
             if isinstance(event, RequestArrived | AttemptFinished | StreamStarted):
                 self._fail_request(event.request)
-                # Without this the balancer would keep the request for ever.
+                # Without this the balancer would keep the request forever.
                 self._events.append(ClientDisconnected(event.request))
         for action in actions:
             try:
                 self._perform(action)
             except Exception:
-                log.exception("could not carry out %s", type(action).__name__)
+                log.exception("could not perform the balancer's action %s", type(action).__name__)
                 if isinstance(action, SendAttempt | Reject | Fail | CancelAttempt):
                     self._fail_request(action.request)
 
     def _fail_request(self, number: int) -> None:
-        """Fail a request after a fault of this program."""
-        opened = self._open.get(number)
-        if opened is not None and opened.reply is not None:
-            self._answer_undecided(opened, Reply(FAILED))
+        """Answer a request with FAILED after an internal error."""
+        open_request = self._open.get(number)
+        if open_request is not None and open_request.reply is not None:
+            self._answer_undecided(open_request, Reply(FAILED))
 
     def _perform(self, action: Action) -> None:
         """Perform one action.
 
-        `WatchEndpoints` asks for what the gateway always does, `StartHealthCheck` is never asked
-        for.
+        `WatchEndpoints` is ignored because the gateway always watches the endpoints, and the
+        balancer never emits `StartHealthCheck`.
         """
         if isinstance(action, SendAttempt):
             self._send(action)
         elif isinstance(action, SetTimer):
-            due = monotonic() + action.delay_us / 1e6
-            self._loop.call_at(due, self._on_timer, TimerFired(action.timer_id))
+            fires_at = monotonic() + action.delay_us / 1e6
+            self._loop.call_at(fires_at, self._on_timer, TimerFired(action.timer_id))
         elif isinstance(action, CancelAttempt):
             self._cancel(action)
         elif isinstance(action, Reject):
@@ -262,48 +276,57 @@
             self.feed(event)
 
     def _cancel(self, action: CancelAttempt) -> None:
-        opened = self._open.get(action.request)
-        attempt = opened.attempts[action.attempt] if opened is not None else None
+        open_request = self._open.get(action.request)
+        attempt = open_request.attempts[action.attempt] if open_request is not None else None
         if attempt is not None:
             attempt.cancel()
 
     def _finish(self, number: int, reply: Reply) -> None:
-        """Give the balancer's final answer."""
-        opened = self._open.get(number)
-        if opened is not None and opened.reply is not None:
-            self._answer(opened, reply)
-            self._forget(opened)
+        """Send the balancer's final answer to the client."""
+        open_request = self._open.get(number)
+        if open_request is not None and open_request.reply is not None:
+            self._answer(open_request, reply)
+            self._remove_if_finished(open_request)
 
     # Attempts.
 
     def _send(self, action: SendAttempt) -> None:
-        """Start an attempt. Each attempt of each request starts here."""
-        opened = self._open.get(action.request)
-        if opened is None:
+        """Start an attempt, unless the client left, the host is unknown or it is too late to send.
+
+        All attempts of all requests start here.
+        """
+        open_request = self._open.get(action.request)
+        if open_request is None:
             return
-        started = monotonic()
-        client = opened.client
+        started_at = monotonic()
+        client = open_request.client
         if client is not None and (
-            client.may_have_disconnected or started - self._loop_lag.last_tick > UNREAD_CLIENT_S
+            client.may_have_disconnected
+            or started_at - self._loop_lag.last_tick > CLIENT_CHECK_LAG_S
         ):
-            self._depart_if_gone(opened, client)
+            self._depart_if_disconnected(open_request, client)
         host = self.hosts.get(action.endpoint)
         send_by = math.inf
         if action.send_by_us:
             send_by = (action.send_by_us - self._clock.epoch_us) / 1e6
-        if opened.reply is None or host is None or started > send_by:
-            self._attempt_not_started(opened, Outcome.NOT_SENT)
+        if open_request.reply is None or host is None or started_at > send_by:
+            self._report_failed_start(open_request, Outcome.NOT_SENT)
             return
-        timeout_s = max(0.0, opened.attempts_end_at - started)
+        timeout_s = max(0.0, open_request.attempts_end_at - started_at)
         if action.timeout_us:
             timeout_s = min(timeout_s, action.timeout_us / 1e6)
-        self._start_attempt(opened, host, started, timeout_s, send_by)
+        self._start_attempt(open_request, host, started_at, timeout_s, send_by)
 
     def _start_attempt(
-        self, opened: OpenRequest, host: Host, started: float, timeout_s: float, send_by: float
+        self,
+        open_request: OpenRequest,
+        host: Host,
+        started_at: float,
+        timeout_s: float,
+        send_by: float,
     ) -> None:
-        request = opened.request
-        # A short body travels in one piece with the head, which saves a copy and a system call.
+        request = open_request.request
+        # A short body is sent in one write with the head, which saves a copy and a system call.
         short_body = b""
         long_body: bytes | bytearray = b""
         if len(request.body) > SHORT_BODY:
@@ -315,50 +338,57 @@
             max(1, int(timeout_s * 1000)),
             short_body,
         )
-        done: Done = partial(self._on_done, opened, len(opened.attempts), started)
+        done: Done = partial(
+            self._on_attempt_done, open_request, len(open_request.attempts), started_at
+        )
         if self.attempt_observer is not None:
             done = self.attempt_observer(request.route, host, len(message) + len(long_body), done)
         try:
             attempt = self._upstream.start(host, message, timeout_s, done, long_body, send_by)
         except Exception:
-            log.exception("request %s could not be sent", request.id)
-            # The fault may have come after the first byte: the balancer must not take it for not
-            # sent.
-            self._attempt_not_started(opened, Outcome.RESET)
+            log.exception("request %s: starting an attempt failed", request.id)
+            # The exception may have been raised after the first byte was sent, so the balancer must
+            # not treat the attempt as not sent.
+            self._report_failed_start(open_request, Outcome.RESET)
             return
-        opened.attempts_in_flight += 1
-        opened.attempts.append(attempt)
+        open_request.attempts_in_flight += 1
+        open_request.attempts.append(attempt)
 
-    def _depart_if_gone(self, opened: OpenRequest, client: Requester) -> None:
-        """Note that a client has gone whose end may lie unread; else hosts would work for nobody.
+    def _depart_if_disconnected(self, open_request: OpenRequest, client: Requester) -> None:
+        """Check for a client disconnect that may not have been read yet.
 
-        It had sent ahead, so that nothing is read from it, or the event loop is late.
+        That happens when reading is paused because the client pipelined requests, or when the event
+        loop is late. Without this, hosts would work on requests of clients that have left.
         """
-        if opened.reply is not None and client.has_disconnected():
-            self.depart(opened)
+        if open_request.reply is not None and client.has_disconnected():
+            self.depart(open_request)
 
-    def _attempt_not_started(self, opened: OpenRequest, outcome: Outcome) -> None:
-        number = len(opened.attempts)
-        opened.attempts.append(None)
+    def _report_failed_start(self, open_request: OpenRequest, outcome: Outcome) -> None:
+        number = len(open_request.attempts)
+        open_request.attempts.append(None)
         self._events.append(
-            AttemptFinished(opened.number, number, outcome, 0, opened.reply is None)
+            AttemptFinished(open_request.number, number, outcome, 0, open_request.reply is None)
         )
 
-    def _on_done(
+    def _on_attempt_done(
         self,
-        opened: OpenRequest,
+        open_request: OpenRequest,
         number: int,
-        started: float,
+        started_at: float,
         outcome: Outcome,
         answer: Answer | None,
-        at: float,
+        finished_at: float,
     ) -> None:
-        opened.attempts_in_flight -= 1
-        opened.attempts[number] = None
-        if answer is not None and opened.reply is not None:
-            # Past its deadline nobody waits for it: it ran, and served nobody.
-            late = monotonic() >= opened.request.deadline_at
-            self._answer(opened, Reply(TIMED_OUT) if late else Reply(SERVED, answer))
-        elapsed_us = max(1, int((at - started) * 1e6))
-        self.feed(AttemptFinished(opened.number, number, outcome, elapsed_us, opened.reply is None))
-        self._forget(opened)
+        open_request.attempts_in_flight -= 1
+        open_request.attempts[number] = None
+        if answer is not None and open_request.reply is not None:
+            # The host executed the request, but after the deadline its client no longer waits.
+            late = monotonic() >= open_request.request.deadline_at
+            self._answer(open_request, Reply(TIMED_OUT) if late else Reply(SERVED, answer))
+        elapsed_us = max(1, int((finished_at - started_at) * 1e6))
+        self.feed(
+            AttemptFinished(
+                open_request.number, number, outcome, elapsed_us, open_request.reply is None
+            )
+        )
+        self._remove_if_finished(open_request)
--- a/quillroad/engine/open_request.py
+++ b/quillroad/engine/open_request.py
@@ -1,4 +1,4 @@
-"""A request from its arrival until its final answer and the outcome of each of its attempts."""
+"""The state of one request, from arrival until it is answered and all its attempts are over."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class OpenRequest:
-    """One request that the engine has open.
+    """A request that is unanswered or still has attempts in flight.
 
-    `number` names it in the balancer's events; `give_up` is the moment at which its attempts end,
-    in seconds of the monotonic clock.
+    `number` identifies it in the balancer's events and actions. `attempts_end_at` is the time at
+    which its attempts time out, in seconds of the monotonic clock.
     """
 
     def __init__(
@@ -23,23 +23,24 @@
         number: int,
         request: ClientRequest,
         reply: Callable[[Reply], None],
-        give_up: float,
+        attempts_end_at: float,
         client: Requester | None,
     ) -> None:
         self.number = number
         self.request = request
         self.client = client
-        self.attempts_end_at = give_up
-        self.reply: Callable[[Reply], None] | None = reply  # None: answered, or the client has gone
-        self.attempts: list[Attempt | None] = []  # None: never sent, or over
-        self.attempts_in_flight = 0  # attempts in flight
-        self.overdue_timer: asyncio.TimerHandle | None = None  # the engine then answers by itself
-
-    def withdraw_connecting(self) -> None:
-        """Withdraw attempts of which no byte has gone out: nobody waits for them any more.
-
-        Without this a request could be sent long after its client had its answer. It calls nothing
-        off at a host, so it is right also where the settings forbid that.
+        self.attempts_end_at = attempts_end_at
+        self.reply: Callable[[Reply], None] | None = reply  # None: answered or client left
+        self.attempts: list[Attempt | None] = []  # None: never sent, or finished
+        self.attempts_in_flight = 0
+        self.fallback_timer: asyncio.TimerHandle | None = None  # the engine answers when it fires
+
+    def withdraw_connecting_attempts(self) -> None:
+        """Withdraw the attempts whose connection is still being established.
+
+        Without this a request could be sent long after its client was answered. No host has
+        received a byte of these attempts, so this is correct even if the settings forbid cancelling
+        attempts.
         """
         for attempt in self.attempts:
             if attempt is not None and attempt.connecting:
--- a/quillroad/engine/reply.py
+++ b/quillroad/engine/reply.py
@@ -1,4 +1,4 @@
-"""The one final answer that a client gets."""
+"""The final answer to a client request."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from quillroad.http_answer import Answer
 
-# The statuses of a `Reply`.
+# Values of `Reply.status`.
 SERVED = 200
-FAILED = 502  # promises nothing: the request may have run
-REJECTED = 503  # a retry is harmless
-TIMED_OUT = 504  # no answer by the deadline; promises nothing
+FAILED = 502  # a host may have executed the request
+REJECTED = 503  # no host has executed the request, so a retry is safe
+TIMED_OUT = 504  # no answer by the deadline; a host may have executed the request
 
 
 class Reply(NamedTuple):
-    """The final answer to a client; `answer` is the host's where `status` is SERVED."""
+    """The final answer to a client; `answer` is the host's answer if `status` is SERVED."""
 
     status: int
     answer: Answer | None = None
     retry_after_us: int = (
-        0  # how long a rejected client is asked to wait, in microseconds; 0: not told
+        0  # how long a rejected client should wait before a retry, in microseconds; 0: not sent
     )
--- a/quillroad/engine/request_table.py
+++ b/quillroad/engine/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that an engine has open: by number, by id, and how each of them ends."""
+"""The open requests of an engine, by number and by id, and how each is answered and removed."""
 
 from __future__ import annotations
 
@@ -9,45 +9,48 @@
 class RequestTable:
     """The open requests of one engine.
 
-    A request is open until its client has its answer, or has gone, and none of its attempts is in
-    flight. The engine is a subclass of it, so that a request's end costs no further call.
+    A request is open until its client was answered or has disconnected, and none of its attempts
+    is in flight. The engine is a subclass of this class to save a method call per finished request.
     """
 
     def __init__(self) -> None:
         self._open: dict[int, OpenRequest] = {}  # by number
-        self._unanswered_ids: set[str] = set()  # of requests that still wait for their answer
+        self._unanswered_ids: set[str] = set()  # request ids
 
     def is_open(self, request_id: str) -> bool:
-        """Whether a request of this id waits for its answer."""
+        """Return whether a request with this id is unanswered."""
         return request_id in self._unanswered_ids
 
     @property
     def unanswered(self) -> int:
-        """Requests that wait for their answer."""
+        """Number of unanswered requests."""
         return len(self._unanswered_ids)
 
     def _has_work(self) -> bool:
         return bool(self._open)
 
-    def _answer(self, opened: OpenRequest, reply: Reply) -> None:
-        """Give its client the one answer, unless it has one or has gone."""
-        send = opened.reply
-        self._settle(opened)
+    def _answer(self, open_request: OpenRequest, reply: Reply) -> None:
+        """Send the final answer to the client, unless it was answered or has disconnected."""
+        send = open_request.reply
+        self._clear_reply(open_request)
         if send is not None:
             send(reply)
 
-    def _settle(self, opened: OpenRequest) -> None:
-        """Its client waits no longer."""
-        opened.reply = None
-        self._unanswered_ids.discard(opened.request.id)
-        if opened.overdue_timer is not None:
-            opened.overdue_timer.cancel()
+    def _clear_reply(self, open_request: OpenRequest) -> None:
+        """Mark the request as answered or abandoned by its client."""
+        open_request.reply = None
+        self._unanswered_ids.discard(open_request.request.id)
+        if open_request.fallback_timer is not None:
+            open_request.fallback_timer.cancel()
 
-    def _forget(self, opened: OpenRequest) -> None:
-        """Let go of a request that has its answer and none of whose attempts is in flight."""
-        if opened.reply is not None:
+    def _remove_if_finished(self, open_request: OpenRequest) -> None:
+        """Remove an answered or abandoned request if no attempt is in flight.
+
+        Attempts that are still connecting are withdrawn first.
+        """
+        if open_request.reply is not None:
             return
-        if opened.attempts_in_flight:
-            opened.withdraw_connecting()
-        if not opened.attempts_in_flight:
-            self._open.pop(opened.number, None)
+        if open_request.attempts_in_flight:
+            open_request.withdraw_connecting_attempts()
+        if not open_request.attempts_in_flight:
+            self._open.pop(open_request.number, None)
--- a/quillroad/engine/requester.py
+++ b/quillroad/engine/requester.py
@@ -1,4 +1,4 @@
-"""Whoever waits for an answer, as the engine has to know it."""
+"""The interface of a client connection that the engine uses."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 class Requester(Protocol):
     """A client connection that waits for an answer."""
 
-    may_have_disconnected: bool  # nothing was read since reading paused: its end would go unseen
+    may_have_disconnected: bool  # nothing was read since reading paused, not even a disconnect
 
     def has_disconnected(self) -> bool:
-        """Whether the client has gone, as far as can be told without reading."""
+        """Return whether the client is known to have disconnected, without reading from it."""
--- a/tests/engine/test_endpoint_sync.py
+++ b/tests/engine/test_endpoint_sync.py
@@ -1,4 +1,4 @@
-"""How an endpoint update reaches the hosts that attempts go to."""
+"""Tests of how an endpoint update changes the hosts that attempts are sent to."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 ADDRESSES: dict[int, Address] = {1: ("127.0.0.1", 1), 2: ("127.0.0.1", 2)}
 
 
-class Hosts:
-    """Hosts as updates make them."""
+class HostTable:
+    """An upstream and the hosts that endpoint updates created in it, by endpoint id."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
@@ -38,63 +38,67 @@
 
 
 @on_loop
-async def test_a_full_update_takes_out_what_it_does_not_name() -> None:
-    hosts = Hosts()
-    hosts.update(Endpoint(1), Endpoint(2, zone=3))
-    first, second = hosts.by_id[1], hosts.by_id[2]
-    assert (second.name, second.address, second.zone) == ("s-2", ADDRESSES[2], 3)
-    hosts.update(Endpoint(2))
-    assert hosts.by_id == {2: second}
-    assert not first.ready and second.ready
+async def test_full_update_removes_unlisted_hosts() -> None:
+    host_table = HostTable()
+    host_table.update(Endpoint(1), Endpoint(2, zone=3))
+    host_1, host_2 = host_table.by_id[1], host_table.by_id[2]
+    assert (host_2.name, host_2.address, host_2.zone) == ("s-2", ADDRESSES[2], 3)
+    host_table.update(Endpoint(2))
+    assert host_table.by_id == {2: host_2}
+    assert not host_1.ready and host_2.ready
 
 
 @on_loop
-async def test_an_incremental_update_leaves_what_it_does_not_name() -> None:
-    hosts = Hosts()
-    hosts.update(Endpoint(1), Endpoint(2))
-    first = hosts.by_id[1]
-    hosts.update(Endpoint(2, EndpointStatus.REMOVED), kind=UpdateKind.INCREMENTAL)
-    assert hosts.by_id == {1: first}
-    assert first.ready
+async def test_incremental_update_keeps_unlisted_hosts() -> None:
+    host_table = HostTable()
+    host_table.update(Endpoint(1), Endpoint(2))
+    host_1 = host_table.by_id[1]
+    host_table.update(Endpoint(2, EndpointStatus.REMOVED), kind=UpdateKind.INCREMENTAL)
+    assert host_table.by_id == {1: host_1}
+    assert host_1.ready
 
 
 @on_loop
-async def test_a_host_that_has_moved_is_another_one() -> None:
-    """Its old address may be another service's by now: no connection to it may be used again."""
-    hosts = Hosts()
-    hosts.update(Endpoint(1))
-    before = hosts.by_id[1]
+async def test_moved_host_is_replaced() -> None:
+    """Another service may use the old address by now, so no connection to it may be reused."""
+    host_table = HostTable()
+    host_table.update(Endpoint(1))
+    old_host = host_table.by_id[1]
     moved: dict[int, Address] = {1: ("127.0.0.1", 9)}
-    hosts.update(Endpoint(1), addresses=moved)
-    assert hosts.by_id[1] is not before
-    assert hosts.by_id[1].address == moved[1]
-    assert not before.ready
+    host_table.update(Endpoint(1), addresses=moved)
+    assert host_table.by_id[1] is not old_host
+    assert host_table.by_id[1].address == moved[1]
+    assert not old_host.ready
 
 
 @on_loop
-async def test_a_draining_host_takes_no_attempts_until_it_is_ready_again() -> None:
-    hosts = Hosts()
-    hosts.update(Endpoint(1))
-    host = hosts.by_id[1]
-    hosts.update(Endpoint(1, EndpointStatus.DRAINING))
-    assert hosts.by_id == {1: host}
+async def test_draining_host_is_not_ready_until_it_is_listed_as_ready() -> None:
+    host_table = HostTable()
+    host_table.update(Endpoint(1))
+    host = host_table.by_id[1]
+    host_table.update(Endpoint(1, EndpointStatus.DRAINING))
+    assert host_table.by_id == {1: host}
     assert not host.ready
-    hosts.update(Endpoint(1))
+    host_table.update(Endpoint(1))
     assert host.ready
 
 
 @pytest.mark.parametrize(("started_us", "kept"), [(7, True), (8, False)])
 @on_loop
-async def test_a_restarted_host_loses_its_idle_connections(started_us: int, kept: bool) -> None:
-    """Connections to the process before hang for ever where its machine went down with it."""
-    fake = await FakeHost().start()
-    hosts = Hosts()
-    addresses = {1: fake.address}
-    hosts.update(Endpoint(1, started_us=7), addresses=addresses)
-    host = hosts.by_id[1]
-    ended: list[object] = []
-    hosts.upstream.start(host, b"GET / HTTP/1.1\r\n\r\n", 5.0, lambda *end: ended.append(end))
+async def test_restarted_host_loses_its_idle_connections(started_us: int, kept: bool) -> None:
+    """If the machine went down with the previous process, connections to that process would hang
+    forever.
+    """
+    fake_host = await FakeHost().start()
+    host_table = HostTable()
+    addresses = {1: fake_host.address}
+    host_table.update(Endpoint(1, started_us=7), addresses=addresses)
+    host = host_table.by_id[1]
+    outcomes: list[object] = []
+    host_table.upstream.start(
+        host, b"GET / HTTP/1.1\r\n\r\n", 5.0, lambda *outcome: outcomes.append(outcome)
+    )
     await until(lambda: bool(host.idle))
-    hosts.update(Endpoint(1, started_us=started_us), addresses=addresses)
+    host_table.update(Endpoint(1, started_us=started_us), addresses=addresses)
     assert [connection.is_closing() for connection in host.idle] == [not kept]
     assert host.started_us == started_us
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -1,6 +1,4 @@
-"""The engine with a balancer that the test speaks for: its last line of defence, and its
-bookkeeping.
-"""
+"""Tests of the engine with a scripted balancer: fallback answers and tracking of open requests."""
 
 from __future__ import annotations
 
@@ -36,7 +34,7 @@
 
 
 class ScriptedBalancer:
-    """Answers each event with what the test has laid ready for its type."""
+    """Returns the actions in `script` for the type of each event, and records the events."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -49,8 +47,8 @@
         return self.script.get(type(events[0]), ())
 
 
-class World:
-    """One engine with one host."""
+class EngineHarness:
+    """An engine with one host, a scripted balancer and the replies to clients."""
 
     def __init__(self, host: FakeHost) -> None:
         loop = asyncio.get_running_loop()
@@ -62,7 +60,7 @@
         self.engine.update_endpoints(update, {1: host.name}, {1: host.address})
         self.replies: list[Reply] = []
 
-    def ask(self, left_s: float = 5.0, **changes: Any) -> Any:
+    def submit(self, left_s: float = 5.0, **changes: Any) -> Any:
         now = monotonic()
         fields: dict[str, Any] = {
             "id": "r-1",
@@ -78,7 +76,7 @@
         }
         return self.engine.accept(ClientRequest(**(fields | changes)), self.replies.append)
 
-    def is_empty(self) -> bool:
+    def has_no_open_requests(self) -> bool:
         return self.engine.unanswered == 0 and not self.engine._open
 
 
@@ -90,104 +88,108 @@
     ],
 )
 @on_loop
-async def test_a_final_action_is_the_reply(action: Action, reply: Reply) -> None:
-    world = World(await FakeHost().start())
-    world.balancer.script[RequestArrived] = [action]
-    world.ask()
-    assert world.replies == [reply]
-    assert world.is_empty()
+async def test_final_action_is_sent_as_the_reply(action: Action, reply: Reply) -> None:
+    harness = EngineHarness(await FakeHost().start())
+    harness.balancer.script[RequestArrived] = [action]
+    harness.submit()
+    assert harness.replies == [reply]
+    assert harness.has_no_open_requests()
 
 
 @on_loop
-async def test_an_attempt_carries_the_time_that_is_left_and_brings_the_answer() -> None:
+async def test_attempt_sends_its_timeout_and_returns_the_answer() -> None:
     host = await FakeHost().start()
-    world = World(host)
-    world.balancer.script[RequestArrived] = [SendAttempt(1, 1, timeout_us=300_000)]
-    world.ask()
-    await until(lambda: bool(world.replies))
-    assert world.replies[0].status == SERVED
+    harness = EngineHarness(host)
+    harness.balancer.script[RequestArrived] = [SendAttempt(1, 1, timeout_us=300_000)]
+    harness.submit()
+    await until(lambda: bool(harness.replies))
+    assert harness.replies[0].status == SERVED
     assert host.seen[0].headers["request-timeout-ms"] == "300"
-    finished = world.balancer.events[-1]
+    finished = harness.balancer.events[-1]
     assert isinstance(finished, AttemptFinished)
     assert (finished.outcome, finished.answered) == (Outcome.SUCCESS, True)
-    assert world.is_empty()
+    assert harness.has_no_open_requests()
 
 
 @on_loop
-async def test_a_silent_balancer_leaves_no_client_without_an_answer() -> None:
-    """The balancer decides nothing: the engine times the request out, before its client gives
-    up.
+async def test_request_times_out_if_the_balancer_decides_nothing() -> None:
+    """If the balancer decides nothing, the engine answers with a timeout before the client's
+    deadline.
     """
-    world = World(await FakeHost().start())
-    opened = world.ask(left_s=0.2)
-    await until(lambda: bool(world.replies))
-    assert monotonic() < opened.request.deadline_at
-    assert world.replies == [Reply(TIMED_OUT)]
-    assert world.balancer.events[-1] == ClientDisconnected(opened.number)
-    assert world.is_empty()
+    harness = EngineHarness(await FakeHost().start())
+    open_request = harness.submit(left_s=0.2)
+    await until(lambda: bool(harness.replies))
+    assert monotonic() < open_request.request.deadline_at
+    assert harness.replies == [Reply(TIMED_OUT)]
+    assert harness.balancer.events[-1] == ClientDisconnected(open_request.number)
+    assert harness.has_no_open_requests()
 
 
 @on_loop
-async def test_an_attempt_to_an_unknown_host_is_told_as_not_sent() -> None:
-    world = World(await FakeHost().start())
-    world.balancer.script[RequestArrived] = [SendAttempt(1, 99)]
-    world.balancer.script[AttemptFinished] = [Fail(1)]
-    world.ask()
-    assert AttemptFinished(1, 0, Outcome.NOT_SENT, 0, False) in world.balancer.events
-    assert world.replies == [Reply(FAILED)]
-    assert world.is_empty()
+async def test_attempt_to_an_unknown_host_is_reported_as_not_sent() -> None:
+    harness = EngineHarness(await FakeHost().start())
+    harness.balancer.script[RequestArrived] = [SendAttempt(1, 99)]
+    harness.balancer.script[AttemptFinished] = [Fail(1)]
+    harness.submit()
+    assert AttemptFinished(1, 0, Outcome.NOT_SENT, 0, False) in harness.balancer.events
+    assert harness.replies == [Reply(FAILED)]
+    assert harness.has_no_open_requests()
 
 
 @on_loop
-async def test_a_cancelled_attempt_ends_once_and_its_request_stays_open() -> None:
+async def test_cancelled_attempt_finishes_once_and_request_stays_open() -> None:
     host = await FakeHost(behave=hang).start()
-    world = World(host)
-    world.balancer.script[RequestArrived] = [SendAttempt(1, 1)]
-    opened = world.ask()
+    harness = EngineHarness(host)
+    harness.balancer.script[RequestArrived] = [SendAttempt(1, 1)]
+    open_request = harness.submit()
     await host.came.get()
-    world.balancer.script[TimerFired] = [CancelAttempt(1, 0)]
-    world.engine.feed(TimerFired(5))
-    ends = [event for event in world.balancer.events if isinstance(event, AttemptFinished)]
-    assert [end.outcome for end in ends] == [Outcome.CANCELLED]
-    assert opened.attempts == [None] and world.engine.unanswered == 1
-    world.engine.depart(opened)
-    assert world.is_empty()
+    harness.balancer.script[TimerFired] = [CancelAttempt(1, 0)]
+    harness.engine.feed(TimerFired(5))
+    finished_events = [
+        event for event in harness.balancer.events if isinstance(event, AttemptFinished)
+    ]
+    assert [event.outcome for event in finished_events] == [Outcome.CANCELLED]
+    assert open_request.attempts == [None] and harness.engine.unanswered == 1
+    harness.engine.depart(open_request)
+    assert harness.has_no_open_requests()
 
 
 @on_loop
-async def test_a_timer_comes_back_as_its_event() -> None:
-    world = World(await FakeHost().start())
-    world.balancer.script[RequestArrived] = [SetTimer(1_000, 7), Fail(1)]
-    world.ask()
-    await until(lambda: TimerFired(7) in world.balancer.events)
+async def test_timer_is_reported_as_an_event() -> None:
+    harness = EngineHarness(await FakeHost().start())
+    harness.balancer.script[RequestArrived] = [SetTimer(1_000, 7), Fail(1)]
+    harness.submit()
+    await until(lambda: TimerFired(7) in harness.balancer.events)
 
 
 @on_loop
-async def test_an_answered_request_withdraws_attempts_that_are_still_connecting() -> None:
-    """Without this a request could be sent long after its client had its answer."""
+async def test_answered_request_withdraws_connecting_attempts() -> None:
+    """Without this a request could be sent long after its client was answered."""
     host = await FakeHost().start()
-    world = World(host)
-    world.balancer.script[RequestArrived] = [SendAttempt(1, 1), Fail(1)]
-    world.ask()
-    assert world.replies == [Reply(FAILED)]
+    harness = EngineHarness(host)
+    harness.balancer.script[RequestArrived] = [SendAttempt(1, 1), Fail(1)]
+    harness.submit()
+    assert harness.replies == [Reply(FAILED)]
     assert AttemptFinished(1, 0, Outcome.NOT_SENT, 1, True)[:3] in [
-        event[:3] for event in world.balancer.events if isinstance(event, AttemptFinished)
+        event[:3] for event in harness.balancer.events if isinstance(event, AttemptFinished)
     ]
-    assert world.is_empty()
-    await until(lambda: world.descriptors.used == 0)
+    assert harness.has_no_open_requests()
+    await until(lambda: harness.descriptors.used == 0)
     assert host.seen == []
 
 
 @on_loop
-async def test_a_departed_client_gets_no_answer() -> None:
-    """Its connection may carry another request by then, which would get this one's answer."""
+async def test_disconnected_client_gets_no_answer() -> None:
+    """By then the client's connection may carry another request, which would receive this
+    request's answer.
+    """
     host = await FakeHost(behave=hang).start()
-    world = World(host)
-    world.balancer.script[RequestArrived] = [SendAttempt(1, 1)]
-    world.balancer.script[ClientDisconnected] = [CancelAttempt(1, 0)]
-    opened = world.ask()
+    harness = EngineHarness(host)
+    harness.balancer.script[RequestArrived] = [SendAttempt(1, 1)]
+    harness.balancer.script[ClientDisconnected] = [CancelAttempt(1, 0)]
+    open_request = harness.submit()
     await host.came.get()
-    world.engine.depart(opened)
-    world.engine.depart(opened)
-    assert world.balancer.events.count(ClientDisconnected(1)) == 1
-    assert world.replies == [] and world.is_empty()
+    harness.engine.depart(open_request)
+    harness.engine.depart(open_request)
+    assert harness.balancer.events.count(ClientDisconnected(1)) == 1
+    assert harness.replies == [] and harness.has_no_open_requests()
