--- a/quillroad/engine/deadlines.py
+++ b/quillroad/engine/deadlines.py
@@ -19,7 +19,8 @@
 MAX_MARGIN_FRACTION = 0.25
 # Seconds since the event loop's last tick after which the kernel may hold an unread client
 # disconnect, so that the socket state is checked before an attempt starts. A client that left
-# counts as gone after 0.1 s; this value is lower, so that a late event loop is noticed before then.
+# counts as disconnected after 0.1 s; this value is lower, so that a late event loop is noticed
+# before then.
 CLIENT_CHECK_LAG_S = 0.075
 
 
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -126,9 +126,9 @@
         Before each attempt `client` is checked for a disconnect that may not have been read yet.
         """
         scale = margin_scale(max(0.0, request.deadline_at - monotonic()))
-        attempts_end_at = request.deadline_at - DECISION_MARGIN_S * scale
+        attempt_deadline = request.deadline_at - DECISION_MARGIN_S * scale
         open_request = OpenRequest(
-            next(self._request_numbers), request, reply, attempts_end_at, client
+            next(self._request_numbers), request, reply, attempt_deadline, client
         )
         self._open[open_request.number] = open_request
         self._unanswered_ids.add(request.id)
@@ -170,7 +170,7 @@
     def _on_fallback_timer(self, open_request: OpenRequest) -> None:
         """Time out a request that the balancer has not answered.
 
-        This answer does not say whether a host executed the request, so it is always correct.
+        This answer does not promise that a retry is safe, so it is always correct.
         """
         if self._loop_monitor.stalled():
             self._loop_monitor.defer(self._on_fallback_timer, open_request)
@@ -200,7 +200,7 @@
         apply_endpoint_update(self.hosts, self._upstream, update, names, addresses)
         self.feed(update)
 
-    # Events in, actions out.
+    # Handling of events and actions.
 
     def feed(self, event: Event) -> None:
         """Pass one event to the balancer and perform the resulting actions.
--- a/quillroad/engine/open_request.py
+++ b/quillroad/engine/open_request.py
@@ -14,8 +14,8 @@
 class OpenRequest:
     """A request that is unanswered or still has attempts in flight.
 
-    `number` identifies it in the balancer's events and actions. `attempts_end_at` is the time at
-    which its attempts time out, in seconds of the monotonic clock.
+    `number` identifies it in the balancer's events and actions. `attempt_deadline` is the time
+    at which its attempts time out, in seconds of the monotonic clock.
     """
 
     def __init__(
@@ -23,13 +23,13 @@
         number: int,
         request: ClientRequest,
         reply: Callable[[Reply], None],
-        attempts_end_at: float,
+        attempt_deadline: float,
         client: Requester | None,
     ) -> None:
         self.number = number
         self.request = request
         self.client = client
-        self.attempts_end_at = attempts_end_at
+        self.attempts_end_at = attempt_deadline
         self.reply: Callable[[Reply], None] | None = reply  # None: answered or client left
         self.attempts: list[Attempt | None] = []  # None: never sent, or finished
         self.attempts_in_flight = 0
--- a/quillroad/engine/reply.py
+++ b/quillroad/engine/reply.py
@@ -8,9 +8,9 @@
 
 # Values of `Reply.status`.
 SERVED = 200
-FAILED = 502  # a host may have executed the request
-REJECTED = 503  # no host has executed the request, so a retry is safe
-TIMED_OUT = 504  # no answer by the deadline; a host may have executed the request
+FAILED = 502  # no promise that a retry is safe: the request may have been executed
+REJECTED = 503  # promises that a retry is safe
+TIMED_OUT = 504  # no answer by the deadline; no promise that a retry is safe
 
 
 class Reply(NamedTuple):
@@ -18,6 +18,5 @@
 
     status: int
     answer: Answer | None = None
-    retry_after_us: int = (
-        0  # how long a rejected client should wait before a retry, in microseconds; 0: not sent
-    )
+    # How long a rejected client should wait before a retry, in microseconds; 0: not sent.
+    retry_after_us: int = 0
--- a/quillroad/upstream/__init__.py
+++ b/quillroad/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side towards the hosts: connections, attempts and what their ends mean."""
+"""The upstream side: connections to hosts, attempts, and how attempts end."""
--- a/quillroad/upstream/attempt.py
+++ b/quillroad/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a copy of a request on its way to one host, until its outcome is known."""
+"""One attempt: a request sent to one host, until its outcome is known."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from quillroad.http_answer import Answer
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
 from quillroad.upstream.host import Host
-from quillroad.upstream.outcome import RESULTS, AttemptEnd
+from quillroad.upstream.outcome import ATTEMPT_RESULTS, AttemptEnd
 
 if TYPE_CHECKING:
     from quillroad.upstream.connection import HostConnection
 
-# Told how an attempt ended: its outcome, the answer of a success, and the moment (seconds of the
-# monotonic clock) at which that came about.
+# Callback for the end of an attempt: its outcome, the answer if it succeeded, and the time at which
+# it ended, in seconds of the monotonic clock.
 Done = Callable[[Outcome, Answer | None, float], None]
 
 
 class Attempt:
-    """One copy of a request on its way to one host.
+    """One attempt to execute a request at one host.
 
-    `done` is called exactly once, and never before the caller of `Upstream.start` has the attempt.
-    Times are seconds of the monotonic clock; `timeout_s` counts from now, `send_by` is the last
-    moment at which a byte may go out, and `silence_s` is how long a silent host may take before
-    its idle connections are taken for dead, too.
+    `done` is called exactly once, and never before `Upstream.start` has returned the attempt.
+    Times are seconds of the monotonic clock. `timeout_s` counts from now, `send_by` is the latest
+    time at which the request may be sent, and `silence_threshold_s` is how long an attempt must
+    have waited for a silent host before the host's idle connections are considered dead as well.
     """
 
     def __init__(
@@ -38,85 +38,89 @@
         host: Host,
         timeout_s: float,
         done: Done,
-        silence_s: float,
+        silence_threshold_s: float,
         send_by: float = math.inf,
     ) -> None:
         self.host = host
         self.started_at = monotonic()
         self.send_by = send_by
-        self.connection: HostConnection | None = None  # while it carries this attempt
-        self.task: asyncio.Task[None] | None = None  # that brings up its connection
+        self.connection: HostConnection | None = None  # set while it carries this attempt
+        self.task: asyncio.Task[None] | None = None  # establishes its connection
         self._loop_monitor = loop_monitor
-        self._silence_s = silence_s
+        self._silence_threshold_s = silence_threshold_s
         self._done: Done | None = done
         self._timer = loop.call_at(self.started_at + max(0.0, timeout_s), self._expire)
 
     @property
     def is_over(self) -> bool:
-        """Whether its outcome is known."""
+        """Whether the outcome is known."""
         return self._done is None
 
     @property
     def connecting(self) -> bool:
-        """Whether no byte of it can have gone out, since its connection is not up."""
+        """Whether its connection is still being established, so no byte can have been sent."""
         return self in self.host.connecting
 
     def cancel(self) -> None:
-        """Stop waiting. The host reads the closed connection as giving up."""
-        self._give_up(AttemptEnd.CANCELLED, AttemptEnd.CANCELLED_CONNECTING)
+        """Cancel the attempt; the closed connection tells the host to stop work on the request."""
+        self._abort(AttemptEnd.CANCELLED, AttemptEnd.CANCELLED_CONNECTING)
 
     def withdraw(self) -> None:
-        """Call it off before a byte was sent.
+        """Withdraw the attempt before a byte was sent.
 
-        The host has left service, the client has gone, or there is no connection for it.
+        Called if the host drains or was removed, the client was answered or has disconnected, or no
+        connection can be opened.
         """
-        self._give_up(AttemptEnd.WITHDRAWN, AttemptEnd.WITHDRAWN)
+        self._abort(AttemptEnd.WITHDRAWN, AttemptEnd.WITHDRAWN)
 
     def _expire(self) -> None:
-        """Time it out; after a stall of this process only when what came has been read."""
+        """Time out the attempt; after an event loop stall, only once pending input was read."""
         if self._loop_monitor.stalled():
             self._loop_monitor.defer(self._time_out)
         else:
             self._time_out()
 
     def _time_out(self) -> None:
-        self._give_up(AttemptEnd.TIMED_OUT, AttemptEnd.TIMED_OUT_CONNECTING)
+        self._abort(AttemptEnd.TIMED_OUT, AttemptEnd.TIMED_OUT_CONNECTING)
 
-    def _give_up(self, end: AttemptEnd, end_connecting: AttemptEnd) -> None:
-        """End it from this side.
+    def _abort(self, end: AttemptEnd, end_while_connecting: AttemptEnd) -> None:
+        """End the attempt and close its connection.
 
-        Its connection is closed: an answer that still comes on it would be taken for that of the
-        next request.
+        If the connection were reused, a late answer would be taken for the answer to the next
+        request.
         """
         if self.is_over:
             return
         connection = self.connection
         task = self.task
-        self.end(end_connecting if self.connecting else end)
+        self.end(end_while_connecting if self.connecting else end)
         if connection is not None:
             connection.drop()
-            self._drop_idle_if_silent(end)
+            self._drop_idle_if_host_silent(end)
         elif task is not None:
             task.cancel()
 
-    def _drop_idle_if_silent(self, end: AttemptEnd) -> None:
-        """Close the host's idle connections where it was silent in all the attempt's time.
+    def _drop_idle_if_host_silent(self, end: AttemptEnd) -> None:
+        """Close the host's idle connections if it sent nothing since the attempt started.
 
-        The machine may have vanished, and then each request on a kept connection would hang as long
-        again; a new connection tells within the connect timeout. Only after a timeout or a long
-        wait: a hedged request that soon lost to a quicker one says nothing of the kind, and would
-        cost a busy host all its connections.
+        The machine may be down. Each request on a kept-alive connection would then hang until its
+        timeout, whereas a new connection fails within the connect timeout. The connections are only
+        closed after a timeout or a long wait: a hedge that is cancelled early because the other
+        attempt was faster does not indicate a failure, and would cost a busy host all its idle
+        connections.
         """
-        long_wait = end is AttemptEnd.TIMED_OUT or self.started_at < monotonic() - self._silence_s
-        if long_wait and self.host.last_heard_at < self.started_at:
+        waited_long = (
+            end is AttemptEnd.TIMED_OUT or self.started_at < monotonic() - self._silence_threshold_s
+        )
+        if waited_long and self.host.last_heard_at < self.started_at:
             self.host.drop_idle()
 
     def end(self, end: AttemptEnd) -> None:
-        """It ended with no answer that could be passed on, now."""
-        self.finish(RESULTS[end].outcome, None, monotonic())
+        """End the attempt now, without an answer to forward."""
+        self.finish(ATTEMPT_RESULTS[end].outcome, None, monotonic())
 
-    def finish(self, outcome: Outcome, answer: Answer | None, at: float) -> None:
-        """Tell its outcome; does nothing where that is known already."""
+    def finish(self, outcome: Outcome, answer: Answer | None, ended_at: float) -> None:
+        """Report the outcome to `done`; does nothing if the attempt is already over."""
         done = self._done
         if done is None:
             return
@@ -126,4 +130,4 @@
         if self.connection is not None:
             self.connection.attempt = None
             self.connection = None
-        done(outcome, answer, at)
+        done(outcome, answer, ended_at)
--- a/quillroad/upstream/connection.py
+++ b/quillroad/upstream/connection.py
@@ -1,7 +1,8 @@
 """One connection to a host: carries one request at a time, or is idle.
 
-An HTTP client library would resend on a broken kept-alive connection by itself and hide whether the
-last byte was written. Either could run a request twice, so the upstream side speaks HTTP itself.
+An HTTP client library would resend requests after a broken keep-alive connection on its own, and
+would hide whether the last byte was written. Either could execute a request twice, so the upstream
+side implements HTTP itself.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
     HostConnectionState,
 )
 from quillroad.upstream.host import Host
-from quillroad.upstream.outcome import RESULTS, AttemptEnd, outcome_of_answer
+from quillroad.upstream.outcome import ATTEMPT_RESULTS, AttemptEnd, outcome_of_answer
 from quillroad.upstream.response_parser import ResponseParser, ResponsePhase
 
-# An answer that does not tell its length is passed on as it comes if it is not complete this long,
-# in seconds, after its first bytes: a client must not wait for a slow stream's end, and short
-# answers, which can still be retried while they are held here, are nearly always complete by then.
+# Seconds after the latest received bytes until an answer of unknown length is streamed to the
+# client if it is not complete. A client must not wait for the end of a slow stream. Short answers,
+# which can still be retried while they are buffered, are nearly always complete by then.
 UNKNOWN_LENGTH_WAIT_S = 0.025
 
 
@@ -40,34 +41,34 @@
 
 
 class ConnectionOwner(ABC):
-    """What a connection needs of the pool that owns it.
+    """The interface of the connection pool that its connections use.
 
-    `connect_timeout_s` is the settings' own measure of a network that is stuck;
-    `longest_body_bytes` is what an answer's body may have; `requests_written` counts requests whose
-    last byte the kernel has taken.
+    `connect_timeout_s` is the connect timeout of the settings, which also bounds the wait for the
+    rest of a partial answer. `max_body_bytes` limits the body of an answer. `requests_written`
+    counts requests whose last byte was handed to the kernel.
     """
 
     loop_monitor: EventLoopMonitor
     connect_timeout_s: float
-    longest_body_bytes: int
+    max_body_bytes: int
     requests_written: int
     streaming: set[HostConnection]
 
     @abstractmethod
     def release(self, connection: HostConnection) -> None:
-        """The connection is idle and can carry another request."""
+        """Return an idle connection, which can carry another request, to the pool."""
 
     @abstractmethod
     def on_dropped(self, connection: HostConnection) -> None:
-        """The connection is about to close; its descriptor is in use until `forget`."""
+        """Note that a connection is closing; its descriptor is in use until `on_closed`."""
 
     @abstractmethod
-    def forget(self, connection: HostConnection) -> None:
-        """The connection has ended, and its descriptor is free. May be called again."""
+    def on_closed(self, connection: HostConnection) -> None:
+        """Note that a connection has closed and its descriptor is free. Idempotent."""
 
     @abstractmethod
-    def call_after(self, delay_s: float, act: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call after so many seconds; after a stall of this process when what came is read."""
+    def call_after(self, delay_s: float, callback: Callable[[], None]) -> asyncio.TimerHandle:
+        """Call `callback` after a delay; after an event loop stall, once pending input was read."""
 
 
 class HostConnection(asyncio.Protocol):
@@ -76,39 +77,40 @@
     def __init__(self, owner: ConnectionOwner, host: Host) -> None:
         self.host = host
         self.state = HostConnectionState.CONNECTING
-        self.attempt: Attempt | None = None  # that it carries
-        self.transport: asyncio.Transport | None = None  # None: not up yet, or lost
+        self.attempt: Attempt | None = None  # the attempt in flight on this connection
+        self.transport: asyncio.Transport | None = None  # None: not connected yet, or closed
         self.idle_since = 0.0  # seconds of the monotonic clock
         self._owner = owner
-        self._unsent = False  # bytes of the request are still in this process
-        self._stream_body: StreamedBody | None = None  # of the long answer that is coming in
-        self._response = ResponseParser(owner.longest_body_bytes)
+        self._has_unsent_bytes = False  # part of the request is still in the write buffer
+        self._stream_body: StreamedBody | None = None  # the body of the answer being streamed
+        self._response = ResponseParser(owner.max_body_bytes)
         self._poll = select.poll()
         self._partial_answer_timer: asyncio.TimerHandle | None = None
 
     # Opening, sending, closing.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Callback of the transport: the connection is up."""
+        """Callback of the transport: the connection is established."""
         self.state = TRANSITIONS[HostConnectionEvent.CONNECTED][self.state]
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
-        # With the marks at 0 `pause_writing` means "bytes are left in this process" and
-        # `resume_writing` "the kernel has the last byte". That tells a request that cannot have run
-        # from one that may have.
+        # The cast is needed because uvloop's transports do not inherit from asyncio.Transport.
+        self.transport = cast(asyncio.Transport, transport)
+        # With a high-water mark of 0, `pause_writing` means that the write buffer holds bytes, and
+        # `resume_writing` that the kernel has taken the last byte. This distinguishes a request
+        # that cannot have been executed from one that may have been.
         self.transport.set_write_buffer_limits(high=0)
         self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def pause_writing(self) -> None:
-        """Callback of the transport: bytes of the request are left in this process."""
-        self._unsent = True
+        """Callback of the transport: part of the request is still in the write buffer."""
+        self._has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """Callback of the transport: the kernel has the request's last byte."""
-        self._unsent = False
+        """Callback of the transport: the kernel has taken the last byte of the request."""
+        self._has_unsent_bytes = False
         self._owner.requests_written += 1
 
     def send(self, attempt: Attempt, request: bytes, body: bytes | bytearray) -> None:
-        """Send an attempt's request: its head, with a short body in it, and a long body."""
+        """Send the request of an attempt: its head with any short body, and then a long body."""
         assert self.transport is not None
         self.state = _AFTER_REQUEST_SENT[self.state]
         self._response.reset()
@@ -117,15 +119,15 @@
         self.transport.write(request)
         if body:
             self.transport.write(body)
-        if not self._unsent:
+        if not self._has_unsent_bytes:
             self._owner.requests_written += 1
 
     def is_closing(self) -> bool:
-        """Whether it has ended or is about to, by either side."""
+        """Return whether the connection is closed or closing, by either side."""
         return self.transport is None or self.transport.is_closing()
 
     def is_usable(self) -> bool:
-        """Whether an idle connection can take a request; closes it where it brings bytes."""
+        """Return whether an idle connection can send a request; close it if it has unread data."""
         if self.transport is None or self.transport.is_closing():
             return False
         if self.has_unread_data():
@@ -134,22 +136,23 @@
         return True
 
     def has_unread_data(self) -> bool:
-        """Whether bytes, or the end, have come that this process has not read yet.
+        """Return whether unread bytes, or an end of file, are waiting in the socket.
 
-        That is a close, or surplus of the answer before, which would be taken for the next one's.
+        On an idle connection this means that the host closed it, or sent surplus bytes after the
+        previous answer, which would be taken for the next answer.
         """
         return bool(self._poll.poll(0))
 
     def drop(self) -> None:
-        """Close, also with bytes unsent."""
+        """Close the connection at once and discard unsent bytes."""
         if self.transport is not None:
             self.state = TRANSITIONS[HostConnectionEvent.DROPPED][self.state]
             self._owner.on_dropped(self)
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Callback of the transport: the connection has ended."""
-        self._owner.forget(self)
+        """Callback of the transport: the connection was closed."""
+        self._owner.on_closed(self)
         self._stop_partial_answer_timer()
         self._response.close()
         if self._stream_body is not None:
@@ -157,58 +160,58 @@
         if self.attempt is not None:
             self.attempt.end(
                 AttemptEnd.LOST_BEFORE_LAST_BYTE
-                if self._unsent
+                if self._has_unsent_bytes
                 else AttemptEnd.LOST_AFTER_LAST_BYTE
             )
 
-    def on_lost(self) -> bool:
-        """Note that it has ended; False where that was known. Called by the owner's `forget`."""
+    def mark_closed(self) -> bool:
+        """Set the state to CLOSED; False if it already was. Called by the owner's `on_closed`."""
         self.transport = None
-        known = self.state is HostConnectionState.CLOSED
+        already_closed = self.state is HostConnectionState.CLOSED
         self.state = TRANSITIONS[HostConnectionEvent.LOST][self.state]
-        return not known
+        return not already_closed
 
     # Reading an answer.
 
     def data_received(self, data: bytes) -> None:
-        """Callback of the transport: bytes from the host."""
+        """Callback of the transport: the host sent bytes."""
         if self._stream_body is not None:
-            self._stream(self._stream_body, data)
+            self._forward_stream_data(self._stream_body, data)
             return
         attempt = self.attempt
         if attempt is None:
-            self.drop()  # nothing was asked for: the next answer could not be told from these bytes
+            self.drop()  # unrequested bytes would be taken for the next answer
             return
-        self.host.last_heard_at = at = monotonic()
+        self.host.last_heard_at = received_at = monotonic()
         if self._owner.loop_monitor.late() and self.transport is not None:
-            # The answer counts from when it came, not from when this process got round to reading
-            # it.
-            at -= data_age(self.transport.get_extra_info("socket"))
+            # Use the time at which the answer reached the kernel, not the time at which the late
+            # event loop read it.
+            received_at -= data_age(self.transport.get_extra_info("socket"))
         response = self._response
         response.feed(data)
         if response.phase is ResponsePhase.COMPLETE:
-            self._finish_answer(attempt, at)
+            self._on_answer_complete(attempt, received_at)
         elif response.error is not None:
-            self._fail_unreadable()
+            self._fail_unreadable_answer()
         elif response.is_long():
-            self._start_stream(attempt, at)
+            self._start_stream(attempt, received_at)
         elif response.is_partial():
-            self._wait_for_more(attempt, at)
+            self._limit_wait_for_rest(attempt, received_at)
 
-    def _wait_for_more(self, attempt: Attempt, at: float) -> None:
-        """Bound the wait for the rest of an answer of which a part has come.
+    def _limit_wait_for_rest(self, attempt: Attempt, received_at: float) -> None:
+        """Limit the wait for the rest of a partial answer; each received piece restarts the limit.
 
-        Hosts write an answer at once: a rest that does not follow within a connect timeout never
-        will, and without a bound its request would wait until its deadline.
+        Hosts write an answer at once, so a rest that does not arrive within the connect timeout is
+        not expected at all. Without the limit the request would wait until its deadline.
         """
         self._stop_partial_answer_timer()
-        if self._response.has_open_length():
+        if self._response.has_unknown_length():
             self._partial_answer_timer = self._owner.call_after(
-                UNKNOWN_LENGTH_WAIT_S, partial(self._start_stream, attempt, at)
+                UNKNOWN_LENGTH_WAIT_S, partial(self._start_stream, attempt, received_at)
             )
         else:
             self._partial_answer_timer = self._owner.call_after(
-                self._owner.connect_timeout_s, self._fail_unreadable
+                self._owner.connect_timeout_s, self._fail_unreadable_answer
             )
 
     def _stop_partial_answer_timer(self) -> None:
@@ -216,8 +219,8 @@
             self._partial_answer_timer.cancel()
             self._partial_answer_timer = None
 
-    def _finish_answer(self, attempt: Attempt, at: float) -> None:
-        """The answer is complete; it came at the monotonic time `at`."""
+    def _on_answer_complete(self, attempt: Attempt, received_at: float) -> None:
+        """Finish the attempt with a complete answer, received at monotonic time `received_at`."""
         if self._partial_answer_timer is not None:
             self._stop_partial_answer_timer()
         response = self._response
@@ -229,112 +232,119 @@
         attempt.connection = None
         self.state = _AFTER_ANSWER_COMPLETE[self.state]
         self._release_or_drop()
-        attempt.finish(outcome, answer, at)
+        attempt.finish(outcome, answer, received_at)
 
     def _release_or_drop(self) -> None:
-        """An answer is complete: keep the connection where it can carry another request."""
-        if self._response.keep_alive and self._response.error is None and not self._unsent:
+        """After a complete answer, return the connection to the pool, or close it."""
+        if (
+            self._response.keep_alive
+            and self._response.error is None
+            and not self._has_unsent_bytes
+        ):
             self._owner.release(self)
         else:
             self.drop()
 
-    def _fail_unreadable(self) -> None:
-        """The answer cannot be read, or does not end: nothing later on here can be trusted."""
+    def _fail_unreadable_answer(self) -> None:
+        """Fail the attempt and close the connection: its answer is invalid or was not completed."""
         if self._response.phase is ResponsePhase.COMPLETE:
-            return  # the rest came after all, while this waited for the event loop to catch up
+            return  # the rest arrived while this call was deferred during an event loop stall
         self._stop_partial_answer_timer()
         if self.attempt is not None:
             self.attempt.end(AttemptEnd.ANSWER_UNREADABLE)
         self.drop()
 
     def eof_received(self) -> bool:
-        """Callback of the transport: the host has ended its side, and the transport then closes.
+        """Callback of the transport: the host sent an end of file; the transport then closes.
 
-        An answer whose head said that it ends so is complete.
+        This completes an answer whose head declares that it ends when the connection closes.
         """
         if self._response.finish_at_close():
             if self._stream_body is not None:
                 self._end_stream(True)
             elif self.attempt is not None:
-                self._finish_answer(self.attempt, monotonic())
+                self._on_answer_complete(self.attempt, monotonic())
         return False
 
-    # A long answer: the attempt is over with its first bytes, and the rest passes through as it
-    # comes.
+    # Long answers: the attempt finishes with the first bytes, and the rest is streamed.
 
-    def _start_stream(self, attempt: Attempt, at: float) -> None:
+    def _start_stream(self, attempt: Attempt, received_at: float) -> None:
         self._stop_partial_answer_timer()
         response = self._response
         if attempt is not self.attempt or response.phase is ResponsePhase.COMPLETE:
-            return  # the rest came after all, while this waited for the event loop to catch up
+            return  # the rest arrived while this call was deferred during an event loop stall
         fix_mmap_threshold()
         self.state = TRANSITIONS[HostConnectionEvent.STREAM_STARTED][self.state]
         response.streamed = True
-        rest = StreamedBody(self)
-        self._stream_body = rest
+        streamed_body = StreamedBody(self)
+        self._stream_body = streamed_body
         self._owner.streaming.add(self)
         content_type = response.headers.get(b"content-type")
-        answer = Answer(response.take_body(), content_type, rest, response.body_length)
+        answer = Answer(response.take_body(), content_type, streamed_body, response.body_length)
         self.attempt = None
         attempt.connection = None
-        attempt.finish(RESULTS[AttemptEnd.ANSWER_200].outcome, answer, at)
-        if rest.on_end is None:  # nobody waits for it any more
+        attempt.finish(ATTEMPT_RESULTS[AttemptEnd.ANSWER_200].outcome, answer, received_at)
+        if streamed_body.on_end is None:  # the client was answered or has disconnected
             self.abandon()
 
-    def _stream(self, rest: StreamedBody, data: bytes) -> None:
-        """Pass on more of a long answer."""
+    def _forward_stream_data(self, streamed_body: StreamedBody, data: bytes) -> None:
+        """Forward received bytes of a streamed answer."""
         self.host.last_heard_at = monotonic()
         self._response.feed(data)
         body = self._response.take_body()
         if body:
-            rest.deliver(body)
+            streamed_body.deliver(body)
         if self._stream_body is None:
-            return  # given up by whoever took the bytes
+            return  # the receiver of the bytes abandoned the stream
         if self._response.phase is ResponsePhase.COMPLETE:
             self._end_stream(True)
         elif self._response.error is not None:
             self._end_stream(False)
 
     def _end_stream(self, complete: bool) -> None:
-        rest = self._stream_body
+        streamed_body = self._stream_body
         self._stream_body = None
         self._owner.streaming.discard(self)
         self.state = TRANSITIONS[HostConnectionEvent.STREAM_ENDED][self.state]
         if complete and not self.is_closing():
-            if rest is not None:
-                # Its last bytes filled the client's side: the next answer here would go unread.
-                rest.resume_reading()
+            if streamed_body is not None:
+                # The last bytes may have paused reading; the next answer would never be read.
+                streamed_body.resume_reading()
             self._release_or_drop()
         else:
             self.drop()
-        if rest is not None:
-            rest.finish(complete)
+        if streamed_body is not None:
+            streamed_body.finish(complete)
 
-    def end_stream_if_silent(self, oldest: float) -> None:
-        """End a long answer whose host has brought nothing since the monotonic time `oldest`.
+    def end_stream_if_silent(self, silent_since: float) -> None:
+        """End a streamed answer if the host sent nothing since monotonic time `silent_since`.
 
-        Unless it was held back from this side.
+        A stream whose reading is paused by this side is not ended.
         """
-        rest = self._stream_body
-        if rest is not None and not rest.paused and rest.last_progress_at < oldest:
+        streamed_body = self._stream_body
+        if (
+            streamed_body is not None
+            and not streamed_body.paused
+            and streamed_body.last_progress_at < silent_since
+        ):
             self._end_stream(False)
 
     def pause_reading(self) -> bool:
-        """Read nothing for now, as the taker of the body is full; False where it has ended."""
+        """Pause reading while the receiver of the body is full; False if already closed."""
         if self.transport is None:
             return False
         self.transport.pause_reading()
         return True
 
     def resume_reading(self) -> bool:
-        """Read again; False where it has ended."""
+        """Resume reading; False if the connection is already closed."""
         if self.transport is None:
             return False
         self.transport.resume_reading()
         return True
 
     def abandon(self) -> None:
-        """Close: nobody wants the rest of the streamed body."""
+        """Close the connection because the rest of the streamed body is no longer needed."""
         self._stream_body = None
         self._owner.streaming.discard(self)
         self.drop()
--- a/quillroad/upstream/connection_state.py
+++ b/quillroad/upstream/connection_state.py
@@ -1,4 +1,4 @@
-"""What a connection to a host can be doing, and the table of its transitions. No I/O."""
+"""The states of a connection to a host, and its state transition table. No I/O."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class HostConnectionState(IntEnum):
-    """What a connection is doing."""
+    """The state of a connection."""
 
     CONNECTING = 0
-    IDLE = 1  # open, carries no request
-    ACTIVE = 2  # carries an attempt whose answer is awaited
-    STREAMING = 3  # the attempt is over; the rest of its long answer passes through
-    CLOSING = 4  # given up by this side; its descriptor is in use until it is CLOSED
+    IDLE = 1  # open, no request in flight
+    ACTIVE = 2  # an attempt is in flight, its answer is awaited
+    STREAMING = 3  # the attempt is over, the rest of its long answer is streamed
+    CLOSING = 4  # closed by this side; its descriptor is in use until CLOSED
     CLOSED = 5
 
 
 class HostConnectionEvent(IntEnum):
-    """What can happen to a connection."""
+    """An event that changes the state of a connection."""
 
     CONNECTED = 0
     REQUEST_SENT = 1
@@ -28,16 +28,16 @@
     LOST = 6
 
 
-# By event, the state that follows each state in which the event is allowed; any other is an error
-# in this program and raises KeyError, so that no request is ever written to a connection that is
-# not idle.
+# Maps each event to the allowed transitions: current state -> next state. Any other combination is
+# a bug in this program and raises KeyError, so that a request is never written to a connection that
+# is not idle.
 #
-# A connection carries one request at a time: only an idle one takes a request, and it is idle again
-# when the answer is complete. A long answer is first ACTIVE, then STREAMING until its end. DROPPED,
-# by this side, is allowed in each state in which there is a transport, and LOST, told by the event
-# loop, in all. CLOSED is final; the event loop may still tell CONNECTED then (a connect that was
-# cancelled in the turn in which it came up), and the end of a stream is told after the loss that
-# ended it.
+# A connection carries one request at a time: only an idle connection takes a request, and it is
+# idle again when the answer is complete. A long answer is first ACTIVE, then STREAMING until it
+# ends. DROPPED (closed by this side) is allowed in each state that has a transport. LOST (reported
+# by the event loop) is allowed in every state. CLOSED is final, but two events can still follow it:
+# CONNECTED, if a connect was cancelled in the event loop turn in which it succeeded, and
+# STREAM_ENDED, because the stream is ended after the loss of its connection.
 TRANSITIONS: dict[HostConnectionEvent, dict[HostConnectionState, HostConnectionState]] = {
     HostConnectionEvent.CONNECTED: {
         HostConnectionState.CONNECTING: HostConnectionState.IDLE,
--- a/quillroad/upstream/host.py
+++ b/quillroad/upstream/host.py
@@ -1,4 +1,4 @@
-"""One host of the endpoint list, and this gateway's connections to it."""
+"""One host of the endpoint list, and the connections of this gateway to it."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 
 class Host:
-    """One host as the endpoint list has it.
+    """A host of the endpoint list, with its idle connections and connecting attempts.
 
-    `zone` is its index in the settings' list of zones (-1: not in it), `started_us` its start in
-    microseconds of Unix time (None: not told).
+    `zone` is the index of its zone in the settings (-1: not listed there). `started_us` is its
+    start time in microseconds of Unix time (None: unknown).
     """
 
     def __init__(self, name: str, address: Address) -> None:
         self.name = name
         self.address = address
-        self.ready = True  # takes new attempts: neither draining nor removed
+        self.ready = True  # accepts new attempts: neither draining nor removed
         self.zone = -1
         self.started_us: int | None = None
-        self.last_heard_at = 0.0  # when its last byte was read; seconds of the monotonic clock
-        self.idle: list[HostConnection] = []  # the most recently used last
-        self.connecting: set[Attempt] = set()  # whose connections are coming up
+        self.last_heard_at = 0.0  # when its last bytes were read; seconds of the monotonic clock
+        self.idle: list[HostConnection] = []  # ordered by last use, the most recent last
+        self.connecting: set[Attempt] = set()  # attempts whose connection is not established
 
     def drop_idle(self) -> None:
-        """Close all idle connections to it."""
+        """Close all idle connections to this host."""
         for connection in list(self.idle):
             connection.drop()
--- a/quillroad/upstream/pool.py
+++ b/quillroad/upstream/pool.py
@@ -1,6 +1,7 @@
-"""The pool: which connection an attempt gets, idle connections, descriptors, closing.
+"""The connection pool: assigns connections to attempts, and manages idle ones and descriptors.
 
-One attempt at a time uses a connection, and each ends with its exact `Outcome` (see `outcome.py`).
+A connection carries one attempt at a time, and each attempt ends with one `Outcome` (see
+`outcome.py`).
 """
 
 from __future__ import annotations
@@ -32,24 +33,25 @@
     "Upstream",
 ]
 
-# Seconds after an answer before its connection is used again. A faulty host may write a second
-# answer right behind the first; within this time it arrives at an idle connection, which is then
-# closed, instead of being given to the next client.
+# Seconds after an answer before its connection is reused. A faulty host may write a second answer
+# right after the first. Within this time the second answer arrives on an idle connection, which is
+# then closed; otherwise the answer would be given to the next client.
 SETTLE_S = 0.02
 # Fraction of the hosts' idle timeout after which this side closes an idle connection. If the host
-# closed it first, a request could cross that close on the wire and would be lost.
+# closed it first, a request could be sent at the same time and would be lost.
 IDLE_TIMEOUT_FRACTION = 0.5
-# Seconds without a byte of a long answer after which it is ended. Longer than a host that still
-# answers pauses between two writes, and short enough that a vanished host does not hold its client
-# for minutes.
+# Seconds without a byte after which a streamed answer is ended. Longer than the pauses between the
+# writes of a working host, and short enough that a client does not wait for minutes for a host that
+# is down.
 STREAM_SILENCE_S = 10.0
 
 
 class Upstream(ConnectionOwner):
-    """Starts attempts on pooled connections.
+    """The connection pool: starts attempts on idle or new connections.
 
-    `connect_timeout_s` bounds each connect, `idle_s` is the hosts' own idle timeout, both in
-    seconds; `longest_body_bytes` is the longest body of an answer that is passed on.
+    `connect_timeout_s` limits each connect and `host_idle_timeout_s` is the idle timeout of the
+    hosts, both in seconds. `max_body_bytes` is the maximum length of an answer's body that is
+    forwarded.
     """
 
     def __init__(
@@ -57,27 +59,28 @@
         loop: asyncio.AbstractEventLoop,
         descriptors: Descriptors,
         connect_timeout_s: float,
-        idle_s: float,
+        host_idle_timeout_s: float,
         loop_monitor: EventLoopMonitor,
-        longest_body_bytes: int = SHORT_BODY,
+        max_body_bytes: int = SHORT_BODY,
     ) -> None:
         self.loop_monitor = loop_monitor
         self.connect_timeout_s = connect_timeout_s
-        self.longest_body_bytes = longest_body_bytes
-        self.streaming: set[HostConnection] = set()  # that bring long answers
-        self.connects = 0  # begun since the start
-        self.failed_connects = 0  # since the start
-        self.requests_written = 0  # attempts whose last byte the kernel has taken, since the start
-        # Ends one client connection where those hold more than their part of the descriptors.
-        self.clients_yield: Callable[[], bool] = _no_client_yields
+        self.max_body_bytes = max_body_bytes
+        self.streaming: set[HostConnection] = set()  # connections that stream long answers
+        self.connects = 0  # connects started since the start of the process
+        self.failed_connects = 0  # since the start of the process
+        self.requests_written = 0  # requests whose last byte the kernel took, since the start
+        # Closes one client connection if clients hold more than their share of the descriptors;
+        # returns whether it did.
+        self.clients_yield: Callable[[], bool] = _no_client_closed
         self._loop = loop
         self._descriptors = descriptors
-        self._idle_timeout_s = idle_s * IDLE_TIMEOUT_FRACTION
-        self._tasks: set[asyncio.Task[None]] = set()  # connects under way
-        self._idle: dict[HostConnection, None] = {}  # all hosts' idle ones, the longest idle first
-        self._closing: set[HostConnection] = set()  # dropped, and not closed yet
+        self._idle_timeout_s = host_idle_timeout_s * IDLE_TIMEOUT_FRACTION
+        self._tasks: set[asyncio.Task[None]] = set()  # connects in progress
+        self._idle: dict[HostConnection, None] = {}  # of all hosts, longest idle first
+        self._closing: set[HostConnection] = set()  # dropped, but not yet closed
 
-    # Which connection an attempt gets.
+    # Starting attempts.
 
     def start(
         self,
@@ -88,18 +91,20 @@
         body: bytes | bytearray = b"",
         send_by: float = math.inf,
     ) -> Attempt:
-        """Begin an attempt, of a head (with a short body in it) and a long body.
+        """Start an attempt; `request` is the head with any short body, `body` a long body.
 
-        It gets an idle connection or a new one. On one that comes up after the monotonic time
-        `send_by` nothing is sent. Without a free descriptor the attempt is withdrawn.
+        The attempt uses an idle connection or opens a new one. If a new connection is established
+        after monotonic time `send_by`, nothing is sent. The attempt is withdrawn if no descriptor
+        is free or the host is not ready.
         """
         attempt = Attempt(
             self._loop, self.loop_monitor, host, timeout_s, done, self.connect_timeout_s, send_by
         )
-        # The most recently used one that has settled: it is the least likely to be closing by now.
-        settled = attempt.started_at - SETTLE_S
+        # Use the connection with the most recent use that was idle for SETTLE_S: it is the least
+        # likely to be closed by the host by now.
+        latest_idle_since = attempt.started_at - SETTLE_S
         for connection in reversed(host.idle.copy()):
-            if connection.idle_since > settled:
+            if connection.idle_since > latest_idle_since:
                 continue
             host.idle.remove(connection)
             self._idle.pop(connection, None)
@@ -119,7 +124,7 @@
         connection = HostConnection(self, attempt.host)
         attempt.task = self._loop.create_task(self._connect(attempt, connection, request, body))
         self._tasks.add(attempt.task)
-        attempt.task.add_done_callback(partial(self._connect_ended, connection))
+        attempt.task.add_done_callback(partial(self._on_connect_task_done, connection))
 
     async def _connect(
         self, attempt: Attempt, connection: HostConnection, request: bytes, body: bytes | bytearray
@@ -129,10 +134,12 @@
             async with asyncio.timeout(self.connect_timeout_s):
                 await self._loop.create_connection(lambda: connection, *host.address)
         except TimeoutError:
-            # After a stall of this process nobody knows whether the host would have been there in
+            # After an event loop stall it is unknown whether the host accepted the connection in
             # time.
             stalled = self.loop_monitor.stalled()
-            attempt.end(AttemptEnd.CONNECT_UNCLEAR if stalled else AttemptEnd.CONNECT_FAILED)
+            attempt.end(
+                AttemptEnd.CONNECT_TIMEOUT_IN_STALL if stalled else AttemptEnd.CONNECT_FAILED
+            )
             return
         except OSError:
             attempt.end(AttemptEnd.CONNECT_FAILED)
@@ -146,42 +153,44 @@
         else:
             connection.send(attempt, request, body)
 
-    def _connect_ended(self, connection: HostConnection, task: asyncio.Task[None]) -> None:
-        """Give back the descriptor of a connect that failed.
+    def _on_connect_task_done(self, connection: HostConnection, task: asyncio.Task[None]) -> None:
+        """Release the descriptor of a failed or cancelled connect.
 
-        In a callback of the task: one cancelled before its first step runs no line of its own, and
-        its descriptor would count for ever.
+        This is a done callback of the task because a task that is cancelled before its first step
+        never runs any of its code, and its descriptor would stay counted as used forever.
         """
         self._tasks.discard(task)
         if connection.transport is None:
             self.failed_connects += 1
-            self.forget(connection)
+            self.on_closed(connection)
         elif task.cancelled():
-            # Cancelled in the turn in which it came up: uvloop closes the socket and tells nobody.
+            # Cancelled in the event loop turn in which the connection was established: uvloop
+            # closes the socket without calling `connection_lost`.
             connection.drop()
-            self.forget(connection)
+            self.on_closed(connection)
 
     # Descriptors.
 
     def _has_descriptor(self) -> bool:
-        """Whether a connect may begin.
+        """Return whether a descriptor is available for a new connection.
 
-        It takes its descriptor a turn of the event loop later, when those that are closing are
-        free.
+        The connect opens its descriptor one turn of the event loop later, when the descriptors of
+        closing connections are free.
         """
         if self.descriptors_coming_free() <= 0:
             self.drop_oldest_idle()
-        # Clients that send nothing may hold what a request needs: one of theirs is closed for it.
+        # Silent clients may hold the descriptors that a request needs; one of their connections is
+        # closed in that case.
         return self.descriptors_coming_free() > 0 or self.clients_yield()
 
     def descriptors_coming_free(self) -> int:
-        """Descriptors that are free once all dropped connections have closed."""
+        """Return how many descriptors are free once all dropped connections have closed."""
         return self._descriptors.spare() + len(self._closing)
 
     def drop_oldest_idle(self) -> bool:
-        """Begin to free one descriptor for someone who needs it; False where no connection is idle.
+        """Close the longest idle connection to free its descriptor; False if none is idle.
 
-        It is free in the next turn of the event loop.
+        The descriptor is free in the next turn of the event loop.
         """
         for connection in self._idle:
             connection.drop()
@@ -190,17 +199,17 @@
             return True
         return False
 
-    # What connections tell.
+    # Called by connections.
 
     def release(self, connection: HostConnection) -> None:
         """Keep an idle connection for the next attempt.
 
-        Unless its host takes none, or there are more than there may be since their limit was
-        lowered.
+        It is closed instead if its host is not ready, or if more descriptors are in use than
+        allowed because the limit was lowered.
         """
         descriptors = self._descriptors
-        most = descriptors.limit + len(self._closing)
-        if not connection.host.ready or descriptors.used > most:
+        max_used = descriptors.limit + len(self._closing)
+        if not connection.host.ready or descriptors.used > max_used:
             connection.drop()
             return
         connection.idle_since = monotonic()
@@ -208,55 +217,55 @@
         self._idle[connection] = None
 
     def on_dropped(self, connection: HostConnection) -> None:
-        """Note that a connection is about to close; its descriptor is in use until `forget`."""
+        """Note that a connection is closing; its descriptor is in use until `on_closed`."""
         if connection.state is not HostConnectionState.CLOSED:
             self._closing.add(connection)
 
-    def forget(self, connection: HostConnection) -> None:
-        """Note that a connection has ended: its descriptor is free. May be called again."""
+    def on_closed(self, connection: HostConnection) -> None:
+        """Note that a connection has closed and its descriptor is free. Idempotent."""
         self._closing.discard(connection)
-        if connection.on_lost():
+        if connection.mark_closed():
             self._descriptors.used -= 1
         if self._idle.pop(connection, connection) is None:
             connection.host.idle.remove(connection)
 
-    def call_after(self, delay_s: float, act: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call after so many seconds; after a stall of this process when what came is read."""
-        return self._loop.call_at(monotonic() + delay_s, self._unless_stalled, act)
+    def call_after(self, delay_s: float, callback: Callable[[], None]) -> asyncio.TimerHandle:
+        """Call `callback` after a delay; after an event loop stall, once pending input was read."""
+        return self._loop.call_at(monotonic() + delay_s, self._call_or_defer, callback)
 
-    def _unless_stalled(self, act: Callable[[], None]) -> None:
+    def _call_or_defer(self, callback: Callable[[], None]) -> None:
         if self.loop_monitor.stalled():
-            self.loop_monitor.defer(act)
+            self.loop_monitor.defer(callback)
         else:
-            act()
+            callback()
 
     # Idle connections.
 
     @property
     def idle_connections(self) -> int:
-        """Connections that carry no request."""
+        """Number of connections without a request in flight."""
         return len(self._idle)
 
     def retire(self, host: Host) -> None:
-        """The host drains or is gone: attempts with no byte sent yet are withdrawn."""
+        """Stop using a host: withdraw its unsent attempts and close its idle connections."""
         host.ready = False
         for attempt in list(host.connecting):
             attempt.withdraw()
         host.drop_idle()
 
     def close_expired(self) -> None:
-        """Close what has been idle for long, and end long answers that bring nothing any more.
+        """Close connections that were idle for too long, and end streams whose host is silent.
 
-        To be called several times a second.
+        Must be called several times per second.
         """
         for connection in list(self.streaming):
             connection.end_stream_if_silent(monotonic() - STREAM_SILENCE_S)
-        oldest = monotonic() - self._idle_timeout_s
+        idle_cutoff = monotonic() - self._idle_timeout_s
         for connection in list(self._idle):
-            if connection.idle_since > oldest:
+            if connection.idle_since > idle_cutoff:
                 break
             connection.drop()
 
 
-def _no_client_yields() -> bool:
+def _no_client_closed() -> bool:
     return False
--- a/quillroad/upstream/response_parser.py
+++ b/quillroad/upstream/response_parser.py
@@ -1,7 +1,7 @@
-"""Turns the bytes of one connection to a host into checked answers. No I/O.
+"""Parses and validates the answers received on one connection to a host. No I/O.
 
-Hosts are not trusted to keep to HTTP: the head, the body, the interim answers and the framing of
-each answer have limits, and whatever breaks one ends as a typed `ResponseError`.
+Hosts are not trusted to follow HTTP: the head, the body, the number of interim answers and the
+framing overhead of each answer are limited, and a violation is reported as a typed `ResponseError`.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from quillroad.http_answer import HEAD_LIMIT_BYTES
 from quillroad.upstream.outcome import STATUS_OK
 
-# Interim (1xx) answers ahead of the final one. Hosts send none or one; without a bound a host could
-# keep an attempt busy for ever without ever answering.
+# Maximum number of interim (1xx) answers before the final answer. Hosts send none or one; without a
+# limit a host could keep an attempt busy forever without answering.
 MAX_INTERIM_ANSWERS = 8
 
 
 class ResponseError(Exception):
-    """An answer that breaks HTTP or one of the limits. Nothing later can be trusted."""
+    """An answer violates HTTP or a limit; later bytes of the connection cannot be trusted."""
 
 
 class MalformedResponseError(ResponseError):
-    """What came is not HTTP/1.1."""
+    """The received bytes are not valid HTTP/1.1."""
 
 
 class HeadTooLongError(ResponseError):
@@ -33,67 +33,67 @@
 
 
 class BodyTooLongError(ResponseError):
-    """The body is longer than an answer of its status may have."""
+    """The body is longer than the limit for the status of its answer."""
 
 
 class TooManyInterimAnswersError(ResponseError):
-    """More than `MAX_INTERIM_ANSWERS` interim answers ahead of the final one."""
+    """More than `MAX_INTERIM_ANSWERS` interim answers precede the final answer."""
 
 
 class FramingTooLongError(ResponseError):
-    """Far more bytes than the content accounts for, as in endless chunk extensions."""
+    """The framing is much longer than the content, for example endless chunk extensions."""
 
 
 class SurplusDataError(ResponseError):
-    """Bytes behind a complete answer."""
+    """More bytes follow a complete answer."""
 
 
 class ResponsePhase(IntEnum):
     """How far the answer to the current request has been read."""
 
-    AWAITING = 0  # nothing yet, or interim answers only
+    AWAITING = 0  # nothing received, or interim answers only
     HEAD = 1
     BODY = 2
     COMPLETE = 3
 
 
 class ResponseParser:
-    """Reads the answer to one request at a time; `reset` prepares for the next request's.
+    """Parses the answer to one request at a time; `reset` prepares for the next answer.
 
-    `feed` never raises: what is wrong with the answer stands in `error`. An answer that is complete
-    stays valid also where an error follows it, but then its connection must not be used again.
+    `feed` never raises; a violation is stored in `error`. A complete answer stays valid if an error
+    follows it, but its connection must then not be reused.
     """
 
-    def __init__(self, longest_body_bytes: int) -> None:
-        self._longest_body_bytes = longest_body_bytes
+    def __init__(self, max_body_bytes: int) -> None:
+        self._max_body_bytes = max_body_bytes
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self.reset()
 
     def reset(self) -> None:
-        """Forget the answer before: the next bytes belong to a new request's."""
+        """Discard the previous answer; the next bytes belong to the answer to a new request."""
         self.phase = ResponsePhase.AWAITING
         self.error: ResponseError | None = None
         self.status = 0
         self.headers: dict[bytes, bytes] = {}  # names in lower case
-        self.body = bytearray()  # what has come of it and was not taken
-        self.body_length = -1  # of the complete body in bytes, as the head tells; -1: it does not
+        self.body = bytearray()  # received bytes that `take_body` has not returned
+        self.body_length = -1  # declared length of the body in bytes; -1: unknown
         self.keep_alive = False
-        self.streamed = False  # the caller takes the body as it comes, so it does not pile up here
-        self._size_bytes = 0  # of the head, or of what has come of the body
+        self.streamed = False  # the caller takes the body as it arrives; it is not buffered here
+        self._size_bytes = 0  # received bytes of the head or, after it, of the body
         self._body_limit_bytes = SHORT_BODY
-        self._received_bytes = 0  # of the answer and the interim ones ahead of it, with all framing
+        self._received_bytes = 0  # including interim answers and all framing
         self._interim_answers = 0
 
     def close(self) -> None:
         """Release the underlying parser.
 
-        It refers back to this object; without this the two would stay in memory until the garbage
-        collector finds the cycle.
+        It holds a reference to this object; without this call both would stay in memory until the
+        garbage collector finds the reference cycle.
         """
         self._parser = None
 
     def feed(self, data: bytes) -> None:
-        """Read more bytes; afterwards `phase` and `error` tell where the answer stands."""
+        """Parse more bytes and update `phase` and `error`."""
         if self._parser is None:
             return
         self._received_bytes += len(data)
@@ -106,33 +106,33 @@
             self._check_framing()
 
     def _check_framing(self) -> None:
-        """Count bytes that reach no callback (chunk extensions), too.
+        """Limit the received bytes, including those that reach no callback (chunk extensions).
 
-        Without this a host could send them for ever, each time just before its attempt is taken for
-        stuck.
+        Without this a host could send chunk extensions forever, each time just before the wait for
+        the rest of the answer times out.
         """
         if self.streamed or self.phase is ResponsePhase.COMPLETE:
             return
-        most = HEAD_LIMIT_BYTES
+        max_received_bytes = HEAD_LIMIT_BYTES
         if self.phase is ResponsePhase.BODY:
-            most = FRAMED * (HEAD_LIMIT_BYTES + self._size_bytes)
-        if self._received_bytes > most and self.error is None:
+            max_received_bytes = FRAMED * (HEAD_LIMIT_BYTES + self._size_bytes)
+        if self._received_bytes > max_received_bytes and self.error is None:
             self.error = FramingTooLongError()
 
     def is_partial(self) -> bool:
-        """Whether an answer has begun and is not complete."""
+        """Return whether an answer has begun and is not complete."""
         return self.phase is ResponsePhase.HEAD or self.phase is ResponsePhase.BODY
 
     def is_long(self) -> bool:
-        """Whether the body, as told or as come so far, is too long to be held in memory."""
+        """Return whether the body, as declared or received, is too long to be buffered."""
         return (
             self.status == STATUS_OK
             and self.phase is ResponsePhase.BODY
             and max(self._size_bytes, self.body_length) > SHORT_BODY
         )
 
-    def has_open_length(self) -> bool:
-        """Whether some of a body has come that may be passed on and is of unknown length."""
+    def has_unknown_length(self) -> bool:
+        """Return whether part of a body of unknown length was received and may be streamed."""
         return (
             self.status == STATUS_OK
             and self._size_bytes > 0 > self.body_length
@@ -140,32 +140,32 @@
         )
 
     def finish_at_close(self) -> bool:
-        """The host has ended its side. True where that completes the answer (RFC 9112, 6.3).
+        """Handle the end of file; return whether it completes the answer (RFC 9112, 6.3).
 
-        Only where the head says so (`Connection: close`, or HTTP/1.0): of an answer whose head was
-        cut short, what came of the body must not pass for all of it.
+        It does so only if the head declares it (`Connection: close`, or HTTP/1.0). Otherwise the
+        answer may have been cut short, and a partial body must not be taken for the whole body.
         """
         if self._parser is None or self.phase is not ResponsePhase.BODY or self.body_length >= 0:
             return False
         if self.status != STATUS_OK or b"transfer-encoding" in self.headers:
             return False
-        says_close = self.headers.get(b"connection", b"").lower() == b"close"
-        if not says_close and self._parser.get_http_version() != "1.0":
+        has_close_header = self.headers.get(b"connection", b"").lower() == b"close"
+        if not has_close_header and self._parser.get_http_version() != "1.0":
             return False
         self.phase = ResponsePhase.COMPLETE
         self.keep_alive = False
         return True
 
     def take_body(self) -> bytes:
-        """What has come of the body since it was last taken."""
+        """Return the bytes of the body received since the last call, and remove them."""
         body = bytes(self.body)
         self.body.clear()
         return body
 
-    # Callbacks of the underlying parser, which stops at an error that one of them raises.
+    # Callbacks of the underlying parser, which stops if one of them raises.
 
     def on_message_begin(self) -> None:
-        """An answer starts."""
+        """Handle the start of an answer."""
         if self.phase is ResponsePhase.COMPLETE:
             if self.error is None:
                 self.error = SurplusDataError()
@@ -173,7 +173,7 @@
             self.phase = ResponsePhase.HEAD
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header; also a trailer, which is left out."""
+        """Store a header; trailers, which arrive here too, are ignored."""
         if self.phase is not ResponsePhase.HEAD:
             return
         self._size_bytes += len(name) + len(value)
@@ -183,7 +183,7 @@
         self.headers[name.lower()] = value.strip()
 
     def on_headers_complete(self) -> None:
-        """The head is complete: a body that is told to be too long is not waited for."""
+        """Handle the end of the head; fail at once if the declared body is too long."""
         if self.phase is ResponsePhase.COMPLETE or self._parser is None:
             return
         self.phase = ResponsePhase.BODY
@@ -192,14 +192,14 @@
         length = self.headers.get(b"content-length")
         if length is not None and b"transfer-encoding" not in self.headers:
             self.body_length = int(length)
-        if self.status == STATUS_OK:  # only an answer that is passed on may be long
-            self._body_limit_bytes = self._longest_body_bytes
+        if self.status == STATUS_OK:  # only answers that are forwarded may have a long body
+            self._body_limit_bytes = self._max_body_bytes
         if self.body_length > self._body_limit_bytes:
             self.error = BodyTooLongError()
             raise self.error
 
     def on_body(self, body: bytes) -> None:
-        """More of the body."""
+        """Add received bytes to the body."""
         if self.phase is ResponsePhase.COMPLETE:
             return
         self._size_bytes += len(body)
@@ -209,7 +209,7 @@
         self.body += body
 
     def on_message_complete(self) -> None:
-        """The answer is complete, or an interim one ahead of it."""
+        """Handle the end of the answer, or of an interim answer before it."""
         if self.phase is ResponsePhase.COMPLETE or self._parser is None:
             return
         if 100 <= self.status < STATUS_OK:
@@ -219,7 +219,7 @@
             self.keep_alive = self._parser.should_keep_alive()
 
     def _finish_interim_answer(self) -> None:
-        """The final answer follows, within the same limits."""
+        """Prepare for the final answer; bytes of interim answers count towards its limits."""
         received_bytes = self._received_bytes
         interim_answers = self._interim_answers + 1
         self.reset()
--- a/tests/engine/test_deadlines.py
+++ b/tests/engine/test_deadlines.py
@@ -25,7 +25,7 @@
 
 
 def test_decision_margin_is_longer_than_fallback_margin() -> None:
-    """The balancer must answer first: its answer may promise that the request was not executed,
-    the engine's fallback answer never does.
+    """The balancer must answer first: its answer may promise that a retry is safe, the fallback
+    answer of the engine never does.
     """
     assert 0.0 < FALLBACK_MARGIN_S < DECISION_MARGIN_S
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -148,7 +148,7 @@
     finished_events = [
         event for event in harness.balancer.events if isinstance(event, AttemptFinished)
     ]
-    assert [event.outcome for event in finished_events] == [Outcome.CANCELLED]
+    assert [attempt_end.outcome for attempt_end in finished_events] == [Outcome.CANCELLED]
     assert open_request.attempts == [None] and harness.engine.unanswered == 1
     harness.engine.depart(open_request)
     assert harness.has_no_open_requests()
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -1,4 +1,4 @@
-"""How an attempt is given up: timed out, cancelled, withdrawn, too late."""
+"""Tests of attempts that end without an answer: timed out, cancelled, withdrawn, too late."""
 
 from __future__ import annotations
 
@@ -19,88 +19,91 @@
     serve_ok,
     until,
 )
-from tests.upstream.helpers import LONG_S, REQUEST, Bench
+from tests.upstream.helpers import LONG_TIMEOUT_S, REQUEST, UpstreamHarness
 
 
 @on_loop
 async def test_timeout_at_a_silent_host_closes_its_idle_connections() -> None:
-    """A machine that vanished leaves its connections open: each of those kept would hang as long
-    again.
+    """A machine that went down leaves its connections open. Each further request on one of them
+    would hang until its timeout.
     """
     host = await FakeHost(behave=hang).start()
-    bench = Bench(host.address)
+    harness = UpstreamHarness(host.address)
     for number in range(2):
-        bench.start()
+        harness.start()
         await until(lambda number=number: len(host.seen) == number + 1)  # type: ignore[misc]
     host.writers[0].write(answer())
-    await until(lambda: len(bench.results) == 1)
-    bench.host.last_heard_at -= 1.0
-    attempt = bench.start(timeout_s=0.05)
+    await until(lambda: len(harness.results) == 1)
+    harness.host.last_heard_at -= 1.0
+    attempt = harness.start(timeout_s=0.05)
     await until(lambda: attempt.is_over)
-    assert not bench.host.idle or all(c.is_closing() for c in bench.host.idle)
+    assert not harness.host.idle or all(c.is_closing() for c in harness.host.idle)
 
 
 @on_loop
 async def test_timed_out_attempt_closes_its_connection() -> None:
-    """The late answer would otherwise meet the next request on that connection."""
+    """Otherwise the late answer would be taken for the answer to the next request."""
     host = await FakeHost(behave=hang).start()
-    bench = Bench(host.address)
-    assert (await bench.run(timeout_s=0.05))[0] is Outcome.TIMEOUT
+    harness = UpstreamHarness(host.address)
+    assert (await harness.run(timeout_s=0.05))[0] is Outcome.TIMEOUT
     assert await host.closed.get() == 0
-    assert not bench.host.idle
+    assert not harness.host.idle
 
 
 @on_loop
 async def test_cancelled_attempt_closes_its_connection() -> None:
-    """A hedged request lost to the other attempt and is cancelled, twice even: it ends once, and
-    the next request gets a new connection."""
+    """An attempt that is cancelled twice, because another attempt answered first, ends once, and
+    the next request gets a new connection.
+    """
     host = await FakeHost(behave=hang).start()
-    bench = Bench(host.address)
-    attempt = bench.start()
+    harness = UpstreamHarness(host.address)
+    attempt = harness.start()
     await host.came.get()
     attempt.cancel()
     attempt.cancel()
-    assert [outcome for outcome, _ in bench.results] == [Outcome.CANCELLED]
+    assert [outcome for outcome, _ in harness.results] == [Outcome.CANCELLED]
     assert await host.closed.get() == 0
     host.behave = serve_ok
-    assert (await bench.run())[0] is Outcome.SUCCESS
+    assert (await harness.run())[0] is Outcome.SUCCESS
     assert len(host.writers) == 2
 
 
 @pytest.mark.parametrize("act", [lambda b, a: b.upstream.retire(b.host), lambda b, a: a.cancel()])
-@pytest.mark.parametrize("turns", [0, 3])
+@pytest.mark.parametrize("loop_turns", [0, 3])
 @on_loop
 async def test_connecting_attempt_is_withdrawn_unsent(
-    act: Callable[[Bench, Attempt], None], turns: int
+    act: Callable[[UpstreamHarness, Attempt], None], loop_turns: int
 ) -> None:
-    """Rule 3: a drain counts for what has not sent its first byte; the module may place it
-    again. Its descriptor comes back also where the connect had not taken its first step.
+    """A draining host must not receive attempts whose first byte was not sent; the balancer may
+    send them to another host. The descriptor is released even if the connect task never ran.
     """
-    dead = NeverUp()
-    bench = Bench(dead.address)
-    attempt = bench.start()
-    for _ in range(turns):
+    unreachable_host = NeverUp()
+    harness = UpstreamHarness(unreachable_host.address)
+    attempt = harness.start()
+    for _ in range(loop_turns):
         await asyncio.sleep(0)
-    assert bench.host.connecting
-    act(bench, attempt)
-    assert [outcome for outcome, _ in bench.results] == [Outcome.NOT_SENT]
-    await until(lambda: bench.descriptors.used == 0)
-    dead.close()
+    assert harness.host.connecting
+    act(harness, attempt)
+    assert [outcome for outcome, _ in harness.results] == [Outcome.NOT_SENT]
+    await until(lambda: harness.descriptors.used == 0)
+    unreachable_host.close()
 
 
 @on_loop
-async def test_nothing_is_sent_on_a_connection_that_comes_up_too_late() -> None:
-    """Behind the window in which repeats of a key are dropped, or the own turn at a cold host."""
+async def test_nothing_is_sent_on_a_connection_established_too_late() -> None:
+    """A request sent after its `send_by` time could be executed twice, because the deduplication
+    window of its key is over, or could reach a warming-up host outside its slot.
+    """
     host = await FakeHost().start()
-    bench = Bench(host.address)
-    bench.upstream.start(
-        bench.host,
+    harness = UpstreamHarness(host.address)
+    harness.upstream.start(
+        harness.host,
         REQUEST,
-        LONG_S,
-        lambda outcome, got, _: bench.results.append((outcome, got)),
+        LONG_TIMEOUT_S,
+        lambda outcome, received_answer, _: harness.results.append((outcome, received_answer)),
         send_by=monotonic(),
     )
-    await until(lambda: bool(bench.results))
-    assert bench.results == [(Outcome.NOT_SENT, None)]
+    await until(lambda: bool(harness.results))
+    assert harness.results == [(Outcome.NOT_SENT, None)]
     await host.closed.get()
     assert host.seen == []
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a host: its states, and what it does with what comes."""
+"""Tests of how one connection to a host handles answers and unexpected data."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     on_loop,
     say,
 )
-from tests.upstream.helpers import CHUNKED, Bench
+from tests.upstream.helpers import CHUNKED, UpstreamHarness
 
 
 @pytest.mark.parametrize(
@@ -26,23 +26,23 @@
     ],
 )
 @on_loop
-async def test_an_answer_that_stops_half_way_is_not_waited_for(start: bytes) -> None:
-    """Hosts write an answer at once. A rest that does not come would hold its request to its
-    deadline.
+async def test_incomplete_answer_fails_after_the_connect_timeout(start: bytes) -> None:
+    """Hosts write an answer at once. If the rest never arrives, the request would otherwise wait
+    until its deadline.
     """
     host = await FakeHost(behave=say(start)).start()
-    bench = Bench(host.address, connect_s=0.1)
-    assert (await bench.run())[0] is Outcome.ERROR
+    harness = UpstreamHarness(host.address, connect_timeout_s=0.1)
+    assert (await harness.run())[0] is Outcome.ERROR
     assert await host.closed.get() == 0
 
 
 @pytest.mark.parametrize("extra", [answer(b"again"), b"noise", b"HTTP/1.1 200 OK\r\n"])
 @on_loop
 async def test_connection_with_surplus_data_is_not_reused(extra: bytes) -> None:
-    """A second answer that lies in wait would be given to the next client."""
+    """A second answer after the first would be given to the next client."""
     host = await FakeHost(behave=say(answer(b"mine") + extra)).start()
-    bench = Bench(host.address)
-    outcome, reply = await bench.run()
+    harness = UpstreamHarness(host.address)
+    outcome, reply = await harness.run()
     assert outcome is Outcome.SUCCESS
     assert reply is not None
     assert reply.body == b"mine"
@@ -51,34 +51,33 @@
 
 @on_loop
 async def test_unrequested_data_closes_an_idle_connection() -> None:
-    """A host sends an answer that nobody asked for: the next request's could not be told from
-    it."""
+    """An unrequested answer of a host would be taken for the answer to the next request."""
     host = await FakeHost().start()
-    bench = Bench(host.address)
-    await bench.run()
+    harness = UpstreamHarness(host.address)
+    await harness.run()
     host.writers[0].write(answer(b"not asked for"))
     assert await host.closed.get() == 0
 
 
 @on_loop
 async def test_answer_with_connection_close_is_not_kept() -> None:
-    """The host says `Connection: close`: another request on that connection would be lost."""
+    """After `Connection: close`, another request on that connection would be lost."""
     host = await FakeHost(behave=say(answer(b"", "200 OK", "Connection: close"))).start()
-    bench = Bench(host.address)
-    assert (await bench.run())[0] is Outcome.SUCCESS
+    harness = UpstreamHarness(host.address)
+    assert (await harness.run())[0] is Outcome.SUCCESS
     assert await host.closed.get() == 0
 
 
 @on_loop
 async def test_answer_in_pieces_is_complete() -> None:
-    """A slow network brings an answer byte by byte: it is put together, with nothing lost."""
+    """An answer that arrives byte by byte on a slow network is assembled completely."""
 
-    async def dribble(message: Message, writer: asyncio.StreamWriter) -> None:
+    async def send_byte_by_byte(message: Message, writer: asyncio.StreamWriter) -> None:
         for byte in answer(b"in pieces"):
             writer.write(bytes((byte,)))
             await writer.drain()
             await asyncio.sleep(0)
 
-    bench = Bench((await FakeHost(behave=dribble).start()).address)
-    outcome, reply = await bench.run()
+    harness = UpstreamHarness((await FakeHost(behave=send_byte_by_byte).start()).address)
+    outcome, reply = await harness.run()
     assert (outcome, reply and reply.body) == (Outcome.SUCCESS, b"in pieces")
--- a/tests/upstream/test_connection_state.py
+++ b/tests/upstream/test_connection_state.py
@@ -1,4 +1,4 @@
-"""Walks the table of a connection's states: each event in each state, on a connection itself."""
+"""Tests of the state transition table: each event in each state, on a real `HostConnection`."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
     HostConnectionState,
 )
 from tests.net import answer, on_loop
-from tests.upstream.helpers import LONG_S, REQUEST, Bench
+from tests.upstream.helpers import LONG_TIMEOUT_S, REQUEST, UpstreamHarness
 
 LONG_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (SHORT_BODY + 1)
-ALL = [(event, state) for event in HostConnectionEvent for state in HostConnectionState]
-ALLOWED = [pair for pair in ALL if pair[1] in TRANSITIONS[pair[0]]]
+ALL_PAIRS = [(event, state) for event in HostConnectionEvent for state in HostConnectionState]
+ALLOWED_PAIRS = [pair for pair in ALL_PAIRS if pair[1] in TRANSITIONS[pair[0]]]
 
 
 class FakeTransport:
-    """A transport that is closed by `abort` and tells nobody."""
+    """A transport that `abort` closes without calling `connection_lost`."""
 
     def __init__(self) -> None:
         self.written = b""
         self.aborted = False
-        self._socket, self._other = socket.socketpair()
+        self._socket, self._peer_socket = socket.socketpair()
 
     def set_write_buffer_limits(self, high: int) -> None:
         assert high == 0
@@ -57,19 +57,19 @@
 
     def close(self) -> None:
         self._socket.close()
-        self._other.close()
+        self._peer_socket.close()
 
 
-class Walk:
-    """One connection of a pool on a fake transport, and what can happen to it."""
+class ConnectionDriver:
+    """Drives one connection of a pool on a fake transport through its events."""
 
     def __init__(self) -> None:
-        self.bench = Bench(("127.0.0.1", 1), longest_body_bytes=SHORT_BODY * 4)
-        self.connection = HostConnection(self.bench.upstream, self.bench.host)
-        self.bench.descriptors.used += 1
+        self.harness = UpstreamHarness(("127.0.0.1", 1), max_body_bytes=SHORT_BODY * 4)
+        self.connection = HostConnection(self.harness.upstream, self.harness.host)
+        self.harness.descriptors.used += 1
         self.transport = FakeTransport()
         self.outcomes: list[Outcome] = []
-        self.ends: list[bool] = []
+        self.stream_ends: list[bool] = []
         self.events: dict[HostConnectionEvent, Callable[[], Any]] = {
             HostConnectionEvent.CONNECTED: self.connect,
             HostConnectionEvent.REQUEST_SENT: self.send,
@@ -86,18 +86,25 @@
         self.connection.connection_made(cast(asyncio.Transport, self.transport))
 
     def send(self) -> None:
-        upstream = self.bench.upstream
+        upstream = self.harness.upstream
         loop = asyncio.get_running_loop()
-        attempt = Attempt(loop, upstream.loop_monitor, self.bench.host, LONG_S, self.done, LONG_S)
+        attempt = Attempt(
+            loop,
+            upstream.loop_monitor,
+            self.harness.host,
+            LONG_TIMEOUT_S,
+            self.done,
+            LONG_TIMEOUT_S,
+        )
         self.connection.send(attempt, REQUEST, b"")
 
-    def done(self, outcome: Outcome, got: Answer | None, _: float) -> None:
+    def done(self, outcome: Outcome, received_answer: Answer | None, _: float) -> None:
         self.outcomes.append(outcome)
-        if got is not None and got.stream is not None:
-            got.stream.on_end = self.ends.append
+        if received_answer is not None and received_answer.stream is not None:
+            received_answer.stream.on_end = self.stream_ends.append
 
-    def reach(self, state: HostConnectionState) -> None:
-        """Bring it to a state by events alone."""
+    def drive_to(self, state: HostConnectionState) -> None:
+        """Bring the connection to a state through events only."""
         path = {
             HostConnectionState.CONNECTING: [],
             HostConnectionState.IDLE: [HostConnectionEvent.CONNECTED],
@@ -124,101 +131,101 @@
         assert self.connection.state is state
 
 
-def test_each_event_has_its_row_and_each_state_is_reached() -> None:
+def test_table_covers_all_events_and_reaches_all_states() -> None:
     assert set(TRANSITIONS) == set(HostConnectionEvent)
     reached = {state for row in TRANSITIONS.values() for state in row.values()}
     assert reached == set(HostConnectionState) - {HostConnectionState.CONNECTING}
-    for row in TRANSITIONS.values():  # what is closed stays so
+    for row in TRANSITIONS.values():  # CLOSED is final
         closed = HostConnectionState.CLOSED
         assert row.get(closed, closed) is closed
 
 
-@pytest.mark.parametrize(("event", "state"), ALLOWED, ids=lambda value: value.name)
+@pytest.mark.parametrize(("event", "state"), ALLOWED_PAIRS, ids=lambda value: value.name)
 @on_loop
-async def test_an_allowed_event_leads_to_the_state_in_the_table(
+async def test_allowed_event_leads_to_the_state_in_the_table(
     event: HostConnectionEvent, state: HostConnectionState
 ) -> None:
-    walk = Walk()
-    walk.reach(state)
+    driver = ConnectionDriver()
+    driver.drive_to(state)
     if state is HostConnectionState.CLOSED and event is HostConnectionEvent.STREAM_ENDED:
-        # The loss itself ends a stream, when the connection is closed already.
-        walk = Walk()
-        walk.reach(HostConnectionState.STREAMING)
-        walk.connection.connection_lost(None)
-        assert walk.ends == [False]
+        # The loss of the connection ends the stream after the state has become CLOSED.
+        driver = ConnectionDriver()
+        driver.drive_to(HostConnectionState.STREAMING)
+        driver.connection.connection_lost(None)
+        assert driver.stream_ends == [False]
     elif state is HostConnectionState.CLOSED and event is HostConnectionEvent.DROPPED:
-        walk.connect()  # a transport that came up after the connection was forgotten
-        walk.connection.drop()
-        assert walk.transport.aborted
+        driver.connect()  # a transport connected after the connection was closed
+        driver.connection.drop()
+        assert driver.transport.aborted
     else:
-        walk.events[event]()
-    assert walk.connection.state is TRANSITIONS[event][state]
-    walk.transport.close()
+        driver.events[event]()
+    assert driver.connection.state is TRANSITIONS[event][state]
+    driver.transport.close()
 
 
 @pytest.mark.parametrize("state", list(HostConnectionState), ids=lambda value: value.name)
 @on_loop
 async def test_only_an_idle_connection_takes_a_request(state: HostConnectionState) -> None:
-    """A request written to a connection that carries another would get the other's answer."""
-    walk = Walk()
-    walk.reach(state)
-    before = walk.transport.written
+    """A request written to a connection in use would get the answer to the other request."""
+    driver = ConnectionDriver()
+    driver.drive_to(state)
+    before = driver.transport.written
     if state is HostConnectionState.IDLE:
-        walk.send()
-        assert walk.transport.written == before + REQUEST
+        driver.send()
+        assert driver.transport.written == before + REQUEST
     else:
         with pytest.raises((KeyError, AssertionError)):
-            walk.send()
-        assert walk.transport.written == before
-    walk.transport.close()
+            driver.send()
+        assert driver.transport.written == before
+    driver.transport.close()
 
 
 @pytest.mark.parametrize("state", list(HostConnectionState), ids=lambda value: value.name)
 @on_loop
-async def test_the_descriptor_of_a_connection_is_given_back_once(
+async def test_descriptor_of_a_connection_is_released_once(
     state: HostConnectionState,
 ) -> None:
-    """A descriptor given back twice would let the process run into its limit, where accepts
-    fail.
+    """If a descriptor were counted as released twice, the process could exceed its descriptor
+    limit, where accepting clients fails.
     """
-    walk = Walk()
-    walk.reach(state)
+    driver = ConnectionDriver()
+    driver.drive_to(state)
     for _ in range(2):
-        walk.connection.connection_lost(None)
-    assert walk.bench.descriptors.used == 0
-    assert walk.bench.host.idle == []
-    walk.transport.close()
+        driver.connection.connection_lost(None)
+    assert driver.harness.descriptors.used == 0
+    assert driver.harness.host.idle == []
+    driver.transport.close()
 
 
 @pytest.mark.parametrize(
-    ("state", "outcomes", "ends"),
+    ("state", "outcomes", "stream_ends"),
     [
         (HostConnectionState.ACTIVE, [Outcome.RESET], []),
         (HostConnectionState.STREAMING, [Outcome.SUCCESS], [False]),
     ],
 )
 @on_loop
-async def test_a_lost_connection_ends_what_it_carried(
-    state: HostConnectionState, outcomes: list[Outcome], ends: list[bool]
+async def test_lost_connection_ends_its_attempt_or_stream(
+    state: HostConnectionState, outcomes: list[Outcome], stream_ends: list[bool]
 ) -> None:
-    """Each attempt ends once, and whoever takes a streamed body is told that it is not complete."""
-    walk = Walk()
-    walk.reach(state)
-    walk.connection.connection_lost(None)
-    assert (walk.outcomes, walk.ends) == (outcomes, ends)
-    walk.transport.close()
+    """Each attempt ends once, and the receiver of a streamed body learns that it is incomplete."""
+    driver = ConnectionDriver()
+    driver.drive_to(state)
+    driver.connection.connection_lost(None)
+    assert (driver.outcomes, driver.stream_ends) == (outcomes, stream_ends)
+    driver.transport.close()
 
 
 @on_loop
-async def test_a_connection_takes_another_request_after_a_streamed_answer() -> None:
-    walk = Walk()
-    walk.reach(HostConnectionState.STREAMING)
-    walk.events[HostConnectionEvent.STREAM_ENDED]()
-    assert (walk.outcomes, walk.ends) == ([Outcome.SUCCESS], [True])
-    assert walk.bench.host.idle == [walk.connection]
-    assert walk.bench.upstream.streaming == set()
-    states = [walk.connection.state]
-    walk.send()
-    states.append(walk.connection.state)
+async def test_connection_is_reused_after_a_streamed_answer() -> None:
+    driver = ConnectionDriver()
+    driver.drive_to(HostConnectionState.STREAMING)
+    driver.events[HostConnectionEvent.STREAM_ENDED]()
+    assert (driver.outcomes, driver.stream_ends) == ([Outcome.SUCCESS], [True])
+    assert driver.harness.host.idle == [driver.connection]
+    assert driver.harness.upstream.streaming == set()
+    states = [driver.connection.state]
+    driver.send()
+    states.append(driver.connection.state)
     assert states == [HostConnectionState.IDLE, HostConnectionState.ACTIVE]
-    walk.transport.close()
+    driver.transport.close()
--- a/tests/upstream/test_outcome.py
+++ b/tests/upstream/test_outcome.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt counts as: the table, and each row of it on real sockets."""
+"""Tests of the outcome of each end of an attempt: the table, and its rows on real sockets."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from quillroad.balancing.events import NEVER_RAN, Outcome
-from quillroad.upstream.outcome import RESULTS, AttemptEnd, outcome_of_answer
+from quillroad.upstream.outcome import ATTEMPT_RESULTS, AttemptEnd, outcome_of_answer
 from tests.net import (
     Behaviour,
     FakeHost,
@@ -19,7 +19,7 @@
     say,
     until,
 )
-from tests.upstream.helpers import CHUNKED, Bench
+from tests.upstream.helpers import CHUNKED, UpstreamHarness
 
 
 @pytest.mark.parametrize(
@@ -39,12 +39,12 @@
         (say(b"", end=True), Outcome.RESET, None),
         (say(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", end=True), Outcome.RESET, None),
         (say(CHUNKED + b"5\r\nhalf", end=True), Outcome.RESET, None),
-        # With no length told an end cannot be told from a break.
+        # Without a declared length, a complete answer and a lost connection look the same.
         (say(b"HTTP/1.1 200 OK\r\n\r\nwhole?", end=True), Outcome.RESET, None),
         (say(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, None),
         (say(answer(b"x" * 70_000)), Outcome.ERROR, None),
         (say(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000 + b"\r\n\r\n"), Outcome.ERROR, None),
-        # None of these ends, and the connection stays open.
+        # These answers are never completed, and the connection stays open.
         (say(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000), Outcome.ERROR, None),
         (say(b"HTTP/1.1 100 Continue\r\n\r\n" * 20), Outcome.ERROR, None),
         (say(CHUNKED + b"1;" + b"e" * 300_000), Outcome.ERROR, None),
@@ -61,72 +61,72 @@
 async def test_answer_determines_the_outcome(
     behave: Behaviour, outcome: Outcome, body: bytes | None
 ) -> None:
-    """Guards rule 2 (what may have run must not look unseen) and rule 1 (half an answer is
-    none).
+    """A request that may have been executed must not be reported as not started, and an incomplete
+    answer must not be reported as a success.
     """
-    bench = Bench((await FakeHost(behave=behave).start()).address)
-    got, reply = await bench.run()
-    assert got is outcome
+    harness = UpstreamHarness((await FakeHost(behave=behave).start()).address)
+    actual_outcome, reply = await harness.run()
+    assert actual_outcome is outcome
     assert (reply.body if reply else None) == body
-    await until(lambda: bench.descriptors.used == len(bench.host.idle))
+    await until(lambda: harness.descriptors.used == len(harness.host.idle))
 
 
 @on_loop
 async def test_refused_connect_is_connect_failed() -> None:
-    """The host's process is down and its machine refuses the connect: nothing can have run."""
+    """The host process is down and its machine refuses the connection: nothing was executed."""
     host = await FakeHost().start()
     host._server.close()
     await host._server.wait_closed()
-    bench = Bench(host.address)
-    assert (await bench.run())[0] is Outcome.CONNECT_FAILED
-    await until(lambda: bench.descriptors.used == 0)
+    harness = UpstreamHarness(host.address)
+    assert (await harness.run())[0] is Outcome.CONNECT_FAILED
+    await until(lambda: harness.descriptors.used == 0)
 
 
 @on_loop
 async def test_connect_timeout_is_connect_failed() -> None:
-    """The host's backlog is full, so the connect is never accepted: nothing can have run."""
-    dead = NeverUp()
-    bench = Bench(dead.address, connect_s=0.1)
-    assert (await bench.run())[0] is Outcome.CONNECT_FAILED
-    await until(lambda: bench.descriptors.used == 0)
-    dead.close()
+    """The accept backlog of the host is full, so it never accepts: nothing was executed."""
+    unreachable_host = NeverUp()
+    harness = UpstreamHarness(unreachable_host.address, connect_timeout_s=0.1)
+    assert (await harness.run())[0] is Outcome.CONNECT_FAILED
+    await until(lambda: harness.descriptors.used == 0)
+    unreachable_host.close()
 
 
 @on_loop
 async def test_attempt_timeout_while_connecting_is_connect_failed() -> None:
-    """The attempt's own time is over before the connect's: nothing can have run."""
-    dead = NeverUp()
-    bench = Bench(dead.address)
-    assert (await bench.run(timeout_s=0.05))[0] is Outcome.CONNECT_FAILED
-    await until(lambda: bench.descriptors.used == 0)
-    dead.close()
+    """The attempt times out before the connect does: nothing was executed."""
+    unreachable_host = NeverUp()
+    harness = UpstreamHarness(unreachable_host.address)
+    assert (await harness.run(timeout_s=0.05))[0] is Outcome.CONNECT_FAILED
+    await until(lambda: harness.descriptors.used == 0)
+    unreachable_host.close()
 
 
 @on_loop
 async def test_reset_before_the_last_byte_is_connect_failed() -> None:
-    """The host resets while most of the request is still in this process: it cannot have begun
-    it.
+    """The host resets the connection while most of the request is unsent, so it cannot have
+    started the request.
     """
 
-    async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def reset_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(10)
         reset(writer)
 
-    server = await asyncio.start_server(cut, "127.0.0.1", 0)
-    bench = Bench(server.sockets[0].getsockname())
+    server = await asyncio.start_server(reset_early, "127.0.0.1", 0)
+    harness = UpstreamHarness(server.sockets[0].getsockname())
     request = b"POST / HTTP/1.1\r\n\r\n" + b"x" * 32 * 1024 * 1024
-    assert (await bench.run(request))[0] is Outcome.CONNECT_FAILED
+    assert (await harness.run(request))[0] is Outcome.CONNECT_FAILED
     server.close()
 
 
-def test_each_end_of_an_attempt_has_its_row() -> None:
-    assert set(RESULTS) == set(AttemptEnd)
+def test_each_attempt_end_has_a_result() -> None:
+    assert set(ATTEMPT_RESULTS) == set(AttemptEnd)
 
 
 @pytest.mark.parametrize("end", list(AttemptEnd))
-def test_what_may_have_run_is_never_taken_for_unstarted(end: AttemptEnd) -> None:
-    """A request that may have run and is repeated as if it had not can have its effect twice."""
-    result = RESULTS[end]
+def test_outcome_is_never_ran_only_if_request_cannot_have_run(end: AttemptEnd) -> None:
+    """If a request may have run and is retried as if it had not, it can take effect twice."""
+    result = ATTEMPT_RESULTS[end]
     assert result.may_have_run is (result.outcome not in NEVER_RAN)
 
 
@@ -144,11 +144,11 @@
         (201, None, AttemptEnd.ANSWER_OTHER),
     ],
 )
-def test_only_the_hosts_word_makes_a_status_rejected(
+def test_only_503_and_504_with_not_started_header_are_rejected(
     status: int, promise: bytes | None, end: AttemptEnd
 ) -> None:
-    """A 503 of a proxy, behind which the request runs on, must not pass for one that never
-    began.
+    """A 503 may come from a proxy behind which the request is still running; it must not count as
+    a request that was never started.
     """
     headers = {} if promise is None else {b"not-started": promise}
-    assert outcome_of_answer(status, headers) is RESULTS[end].outcome
+    assert outcome_of_answer(status, headers) is ATTEMPT_RESULTS[end].outcome
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""Which connection an attempt gets, idle connections and descriptors, on real sockets."""
+"""Tests of connection reuse, idle connections and descriptor limits, on real sockets."""
 
 from __future__ import annotations
 
@@ -16,147 +16,149 @@
     serve_ok,
     until,
 )
-from tests.upstream.helpers import Bench
+from tests.upstream.helpers import UpstreamHarness
 
 
 @on_loop
 async def test_most_recently_used_connection_is_reused(monkeypatch: pytest.MonkeyPatch) -> None:
-    """New connections cost the host work; the least used ones are let go idle."""
+    """New connections cost the host work; connections that are not needed should expire idle."""
     monkeypatch.setattr(pool, "SETTLE_S", -1.0)
     host = await FakeHost(behave=hang).start()
-    bench = Bench(host.address)
+    harness = UpstreamHarness(host.address)
     for number in range(2):
-        bench.start()
+        harness.start()
         await until(lambda number=number: len(host.seen) == number + 1)  # type: ignore[misc]
     for number in (0, 1):
         host.writers[number].write(answer())
-        await until(lambda number=number: len(bench.results) == number + 1)  # type: ignore[misc]
-    latest = bench.host.idle[-1]
+        await until(lambda number=number: len(harness.results) == number + 1)  # type: ignore[misc]
+    latest = harness.host.idle[-1]
     host.behave = serve_ok
-    assert (await bench.run())[0] is Outcome.SUCCESS
-    assert bench.host.idle[-1] is latest
+    assert (await harness.run())[0] is Outcome.SUCCESS
+    assert harness.host.idle[-1] is latest
     assert len(host.writers) == 2
 
 
 @on_loop
-async def test_idle_connection_closed_by_the_host_is_forgotten() -> None:
-    """The host closes an idle connection: it frees its descriptor, and the next request gets
-    another."""
+async def test_idle_connection_closed_by_the_host_is_removed() -> None:
+    """When the host closes an idle connection, its descriptor is released and the next request
+    gets a new connection.
+    """
     host = await FakeHost().start()
-    bench = Bench(host.address)
-    await bench.run()
+    harness = UpstreamHarness(host.address)
+    await harness.run()
     host.writers[0].close()
-    await until(lambda: not bench.host.idle)
-    assert bench.descriptors.used == 0
-    assert (await bench.run())[0] is Outcome.SUCCESS
+    await until(lambda: not harness.host.idle)
+    assert harness.descriptors.used == 0
+    assert (await harness.run())[0] is Outcome.SUCCESS
     assert len(host.writers) == 2
 
 
 @on_loop
 async def test_idle_connections_are_closed_before_the_hosts_timeout() -> None:
-    """A request that crosses the host's close of an idle connection would be lost."""
+    """A request that is sent while the host closes the idle connection would be lost."""
     host = await FakeHost().start()
-    bench = Bench(host.address)
-    await bench.run()
-    bench.upstream.close_expired()
-    assert not bench.host.idle[0].is_closing()
-    bench.host.idle[0].idle_since -= 8.0  # of the 15 s that hosts wait
-    bench.upstream.close_expired()
+    harness = UpstreamHarness(host.address)
+    await harness.run()
+    harness.upstream.close_expired()
+    assert not harness.host.idle[0].is_closing()
+    harness.host.idle[0].idle_since -= 8.0  # hosts close idle connections after 15 s
+    harness.upstream.close_expired()
     assert await host.closed.get() == 0
-    await until(lambda: not bench.host.idle)
+    await until(lambda: not harness.host.idle)
 
 
 @on_loop
 async def test_late_second_answer_is_not_given_to_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It lies in the kernel when the connection is wanted again: written to, that connection
-    would give it to another client. With no time to settle, only the look at the socket guards
-    against that.
+    """A second answer is unread in the kernel when the next request needs the connection; if the
+    connection were reused, another client would get that answer. With no reuse delay, only the
+    check for unread data guards against it.
     """
     monkeypatch.setattr(pool, "SETTLE_S", -1.0)
     host = await FakeHost(behave=say(answer(b"first"))).start()
-    bench = Bench(host.address)
-    await bench.run()
-    waiting = bench.host.idle[0]
-    host.writers[0].write(answer(b"copy"))  # leaves at once; this loop has not read it yet
-    while not waiting.has_unread_data():
+    harness = UpstreamHarness(host.address)
+    await harness.run()
+    idle_connection = harness.host.idle[0]
+    host.writers[0].write(answer(b"copy"))  # sent at once; this event loop has not read it yet
+    while not idle_connection.has_unread_data():
         pass
     host.behave = say(answer(b"second"))
-    outcome, reply = await bench.run()
+    outcome, reply = await harness.run()
     assert (outcome, reply and reply.body) == (Outcome.SUCCESS, b"second")
     assert len(host.writers) == 2
 
 
 @on_loop
-async def test_connection_settles_before_reuse(
+async def test_connection_is_not_reused_before_the_reuse_delay(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What comes a moment behind an answer must find the connection idle, not in use by another
-    request.
+    """Surplus data that arrives shortly after an answer must reach an idle connection, not one
+    that carries the next request.
     """
     monkeypatch.setattr(pool, "SETTLE_S", 1000.0)
     host = await FakeHost().start()
-    bench = Bench(host.address)
+    harness = UpstreamHarness(host.address)
     for number in (1, 2):
-        assert (await bench.run())[0] is Outcome.SUCCESS
+        assert (await harness.run())[0] is Outcome.SUCCESS
         assert len(host.writers) == number
-    bench.host.idle[0].idle_since -= 1001.0
-    assert (await bench.run())[0] is Outcome.SUCCESS
+    harness.host.idle[0].idle_since -= 1001.0
+    assert (await harness.run())[0] is Outcome.SUCCESS
     assert len(host.writers) == 2
 
 
 @on_loop
 async def test_retired_host_loses_its_idle_connections() -> None:
-    """A host drains: its idle connections are closed, and nothing is sent to it any more."""
+    """When a host drains, its idle connections are closed and no more requests are sent to it."""
     host = await FakeHost().start()
-    bench = Bench(host.address)
-    await bench.run()
-    bench.upstream.retire(bench.host)
+    harness = UpstreamHarness(host.address)
+    await harness.run()
+    harness.upstream.retire(harness.host)
     assert await host.closed.get() == 0
-    assert (await bench.run())[0] is Outcome.NOT_SENT
-    await until(lambda: bench.descriptors.used == 0)
-    assert (len(host.seen), len(host.writers)) == (
-        1,
-        1,
-    )  # not even a connection: it would cost the host work
+    assert (await harness.run())[0] is Outcome.NOT_SENT
+    await until(lambda: harness.descriptors.used == 0)
+    # No new connection was opened either: it would cost the host work.
+    assert (len(host.seen), len(host.writers)) == (1, 1)
 
 
 @on_loop
-async def test_without_a_descriptor_nothing_is_sent() -> None:
-    """Running into the process's limit would fail at an accept, where nobody can be answered."""
+async def test_attempt_without_a_free_descriptor_is_not_sent() -> None:
+    """At the descriptor limit of the process, accepting clients would fail, and those
+    clients could not be answered.
+    """
     host = await FakeHost(behave=hang).start()
-    bench = Bench(host.address, sockets=1)
-    first = bench.start()
+    harness = UpstreamHarness(host.address, descriptor_count=1)
+    first = harness.start()
     await host.came.get()
-    assert (await bench.run())[0] is Outcome.NOT_SENT
+    assert (await harness.run())[0] is Outcome.NOT_SENT
     first.cancel()
-    await until(lambda: bench.descriptors.used == 0)
+    await until(lambda: harness.descriptors.used == 0)
 
 
 @on_loop
 async def test_idle_connection_is_closed_for_another_host() -> None:
-    """The only descriptor is held by an idle connection to one host; a request for another needs
-    it."""
-    one, other = await FakeHost().start(), await FakeHost().start()
-    bench = Bench(one.address, sockets=1)
-    await bench.run()
-    bench.host = Host("s-2", other.address)
-    assert (await bench.run())[0] is Outcome.SUCCESS
-    assert await one.closed.get() == 0
+    """The only descriptor is used by an idle connection to one host when a request for another
+    host needs it.
+    """
+    host_1, host_2 = await FakeHost().start(), await FakeHost().start()
+    harness = UpstreamHarness(host_1.address, descriptor_count=1)
+    await harness.run()
+    harness.host = Host("s-2", host_2.address)
+    assert (await harness.run())[0] is Outcome.SUCCESS
+    assert await host_1.closed.get() == 0
 
 
 @on_loop
 async def test_connections_beyond_a_lowered_limit_are_not_kept() -> None:
-    """Another process of the gateway was given descriptors while each connection was at work."""
+    """The limit drops, in favour of a sibling process, while each connection carries a request."""
     host = await FakeHost(behave=hang).start()
-    bench = Bench(host.address, sockets=4)
+    harness = UpstreamHarness(host.address, descriptor_count=4)
     for _ in range(4):
-        bench.start()
+        harness.start()
         await host.came.get()
-    bench.descriptors.limit = 2
+    harness.descriptors.limit = 2
     for writer in host.writers:
         writer.write(answer())
-    await until(lambda: len(bench.results) == 4 and bench.descriptors.used <= 2)
-    assert [outcome for outcome, _ in bench.results] == [Outcome.SUCCESS] * 4
-    assert len(bench.host.idle) == bench.descriptors.used == 2
+    await until(lambda: len(harness.results) == 4 and harness.descriptors.used <= 2)
+    assert [outcome for outcome, _ in harness.results] == [Outcome.SUCCESS] * 4
+    assert len(harness.host.idle) == harness.descriptors.used == 2
