--- a/quillroad/downstream/__init__.py
+++ b/quillroad/downstream/__init__.py
@@ -1,4 +1,4 @@
-"""The client side.
+"""The client (downstream) side of the gateway.
 
-Listener, connections, request parser, responses, and which connections there may be.
+Listener, client connections, request parser, responses and the limit on client connections.
 """
--- a/quillroad/downstream/connection.py
+++ b/quillroad/downstream/connection.py
@@ -1,8 +1,8 @@
-"""One client connection: what it reads, and one request after another.
+"""One client connection: reads input and serves its requests one at a time.
 
-Clients are not trusted: heads, bodies, half requests, idle and unread connections are all bounded,
-and what cannot be read costs the connection that sent it and nothing else. The states are explained
-in `state.py`.
+Clients are not trusted: the size of heads and bodies and the time that a partial request, an idle
+connection or an unread response may take are bounded. Input that cannot be parsed closes only the
+connection that sent it. `state.py` explains the states.
 """
 
 from __future__ import annotations
@@ -40,34 +40,35 @@
 
 log = logging.getLogger("quillroad.downstream")
 
-# Bytes that waited so long in the kernel: their client may have left since, and gives up within 0.1
-# s.
-AGED_S = 0.05
+# Age of received data from which a disconnect of the client is checked for: a client may give up
+# within 0.1 s.
+DISCONNECT_CHECK_AGE_S = 0.05
 
 
 class ClientConnection(MigratableConnection):
-    """One client connection: one request at a time, those sent ahead in order."""
+    """One client connection; serves pipelined requests one at a time and in order."""
 
     def __init__(self, server: Server, sock: socket.socket) -> None:
         super().__init__(server, sock)
         self._advancing = False
-        self._read_before = False
-        # Of the request that is queued or served.
-        self._waiting: QueuedRequest | None = None  # its place in the queue for the core
-        self._began_at = 0.0  # when the core got round to it
+        self._has_read = False
+        # State of the request that is queued or served:
+        self._queue_entry: QueuedRequest | None = None  # its entry in the admission queue
+        self._began_at = 0.0  # when processing began, in monotonic time (s)
 
-    # Callbacks of the transport.
+    # asyncio.Protocol callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The transport is up."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
-        # With the marks at 0 `output_pending` stands for "bytes of an answer left in this process".
+        """Store the transport and configure its write buffer."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's class is no subclass
+        # With a high-water mark of 0, `output_pending` is true whenever response bytes are buffered
+        # in this process.
         self._transport.set_write_buffer_limits(high=0)
         if self._server.connection_limit.state(self) is None:
-            self._transport.abort()  # it was ended for another while it came up
+            self._transport.abort()  # closed for another connection during setup
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The transport is gone: everything that was under way for the client ends."""
+        """Release everything that the connection holds and cancel its request."""
         self._transport = None
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.DISCONNECT]
         self._reserved += self._parser.close()
@@ -78,30 +79,30 @@
             self._server.streams -= 1
             stream.abandon()
         self._server.mark_closed(self)
-        if self._waiting is not None:
-            self._server.admission.leave(self._waiting)
-            self._waiting = None
-        if self._opened is not None:
-            opened = self._opened
-            self._opened = None
+        if self._queue_entry is not None:
+            self._server.admission.leave(self._queue_entry)
+            self._queue_entry = None
+        if self._open_request is not None:
+            opened = self._open_request
+            self._open_request = None
             self._server.engine.depart(opened)
 
     def resume_writing(self) -> None:
-        """All of the answer has left this process."""
+        """Continue after the write buffer has become empty."""
         self.output_pending = False
         if self._stream is not None:
             self._stream.resume_reading()
             return
         parser = self._parser
         if parser.state is ReadState.ENDED and not parser.backlog and self._answering in NOT_BEGUN:
-            self._server.mark_leaving(self)  # its last answer has left
+            self._server.mark_leaving(self)  # its last response was written
             return
         self._advance()
         if self.idle():
             self._server.mark_resting(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the client."""
+        """Parse bytes from the client, or queue or reject their request without parsing."""
         parser = self._parser
         if parser.state is ReadState.ENDED:
             self._discard(len(data))
@@ -112,62 +113,68 @@
         else:
             parser.unparsed = data
             parser.read_at = monotonic()
-            # They may have lain in the kernel, before the accept or while the loop was busy.
-            waited = not self._read_before or self._server.loop_monitor.late()
-            if waited and self._settle_age():
+            # The data may have waited in the kernel before the accept or while the loop was busy.
+            waited = not self._has_read or self._server.loop_monitor.late()
+            if waited and self._backdate_read_time():
                 return
-            if self._server.pressed() and self.idle(unparsed=False) and self._preview(data):
+            if (
+                self._server.pressed()
+                and self.idle(unparsed=False)
+                and self._queue_or_reject_unparsed(data)
+            ):
                 return
         if self._answering is AnswerState.QUEUED:
-            # It asks for more while it waits for its turn: that can wait in the kernel.
+            # Further input waits in the kernel until the queued request has begun.
             self._pause_reading(True)
         else:
             self._advance()
 
     def eof_received(self) -> bool:
-        """The client has closed: the transport closes too, and an open request departs."""
+        """Let the transport close after the client closed, which cancels an open request."""
         return False
 
-    def _settle_age(self) -> bool:
-        """Let deadlines count from when the bytes came in.
+    def _backdate_read_time(self) -> bool:
+        """Set `read_at` to the time at which the kernel received the data.
 
-        True where they are not to be looked at now.
+        Deadlines count from that time. Return True if the data must not be processed in this
+        iteration of the event loop.
         """
-        self._read_before = True
+        self._has_read = True
         age_s = data_age(self._sock)
         self._parser.read_at -= age_s
-        if age_s < AGED_S:
+        if age_s < DISCONNECT_CHECK_AGE_S:
             return False
         if has_ended(self._sock):
-            # Its client sent and left before anybody read: what follows would be work for nobody.
+            # The client disconnected before its request was read: no answer can reach it.
             self.abort()
             return True
         if not self._server.pressed():
-            # The loop stood still, and with few requests open the event loop monitor did not tell.
-            # An endpoint list that came meanwhile is read in the next turn: without this a request
-            # would go to a host whose drain is in that list already.
+            # The loop was blocked, which the event loop monitor does not detect with few open
+            # requests. An endpoint list that arrived meanwhile is read in the next iteration of the
+            # loop: without this delay a request could go to a host that this list reports as
+            # draining.
             self._server.loop.call_soon(self._advance)
             return True
         return False
 
-    def _preview(self, data: bytes) -> bool:
-        """Queue or reject a request read off its bytes, so that a rejected one costs no parser.
+    def _queue_or_reject_unparsed(self, data: bytes) -> bool:
+        """Queue or reject a request without the full parser, so that rejections are cheap.
 
-        False where it cannot be told from the bytes.
+        Return False if the fast-path parse does not recognise the request or its route.
         """
-        seen = preview_request(data)
+        preview = preview_request(data)
         validator = self._server.validator
-        route = None if seen is None else validator.route(seen.route_name)
-        if seen is None or route is None:
+        route = None if preview is None else validator.route(preview.route_name)
+        if preview is None or route is None:
             return False
-        wait_s = validator.wait_s(route, seen.wait_ms)
-        if not self._queue(self._parser.read_at, wait_s, route, validator.tenant(seen.tenant)):
+        wait_s = validator.wait_s(route, preview.wait_ms)
+        if not self._queue(self._parser.read_at, wait_s, route, validator.tenant(preview.tenant)):
             self._parser.unparsed = b""
             self._reject_unparsed(route)
         return True
 
     def _reject_unparsed(self, route: int) -> None:
-        """Reject a request that no parser has seen."""
+        """Reject a request that was not passed to the parser."""
         if self._server.on_end is not None:
             self._server.on_end(route, 503)
         self.last_change = monotonic()
@@ -180,10 +187,10 @@
         elif not self.output_pending:
             self._server.mark_resting(self)
 
-    # One request after another.
+    # Requests, one at a time.
 
     def _feed(self) -> None:
-        """Parse what was read, no further ahead than a client needs."""
+        """Parse received bytes, and pause reading while the backlog of parsed requests is full."""
         parser = self._parser
         begun = parser.begun
         parser.feed()
@@ -199,18 +206,18 @@
         if paused != self.reading_paused:
             self._pause_reading(paused)
 
-    def _queue(self, since: float, wait_s: float, route: int, tenant: int) -> bool:
-        """Wait for the core's turn; False if there will be none in time."""
-        self._waiting = self._server.scheduler.queue(self, since, wait_s, route, tenant)
-        if self._waiting is None:
+    def _queue(self, arrived_at: float, wait_s: float, route: int, tenant: int) -> bool:
+        """Put the request in the admission queue; return False if it is rejected."""
+        self._queue_entry = self._server.scheduler.queue(self, arrived_at, wait_s, route, tenant)
+        if self._queue_entry is None:
             return False
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.QUEUE]
         return True
 
     def _advance(self) -> None:
-        """Queue the next request, once the answer before it is on its way and was read.
+        """Queue the next request once the previous response has left this process.
 
-        One at a time: the other connections have their turns in between.
+        Only one request is queued at a time, so that other connections are served in between.
         """
         if self._advancing:
             return
@@ -234,10 +241,10 @@
             self._advancing = False
 
     def begin(self) -> None:
-        """The core has time for the request that was queued."""
+        """Begin the queued request; called by the scheduler."""
         if self._transport is None:
             return
-        self._waiting = None
+        self._queue_entry = None
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.DISPATCH]
         if self._parser.unparsed:
             self._advancing = True
@@ -249,9 +256,9 @@
             self._serve(self._parser.backlog.popleft())
 
     def _serve(self, pending: PendingRequest, rejected: bool = False) -> None:
-        """Begin a request, which is owed its answer from here on."""
+        """Begin a request; from here on exactly one answer to it is due."""
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.SERVE]
-        self._keep = pending.keep
+        self._keep_alive = pending.keep_alive
         self._version = pending.version
         self._reserved = pending.reserved
         self._route = pending.route
@@ -264,46 +271,46 @@
             return
         engine = self._server.engine
         if engine.is_open(request.id):
-            log.info("400: the id of an open request")
+            log.info("400: Request-Id of a request that is still open")
             self.answer(Reply(400))
             return
-        since = request.received_at
+        arrived_at = request.received_at
         self._began_at = monotonic()
-        # It lay in the kernel, or waited for the answers before it, until nothing could come in
-        # time.
+        # The request may have waited in the kernel or behind earlier responses for so long that no
+        # answer can arrive before its deadline.
         if self._server.admission.is_hopeless(
-            self._began_at, since, request.deadline_at - since, request.route
+            self._began_at, arrived_at, request.deadline_at - arrived_at, request.route
         ):
             self._reject()
             return
         try:
-            opened = engine.accept(request, partial(self._final, request.route), self)
-        except Exception:  # one request's fault must not cost the others theirs
-            log.exception("request %s failed", request.id)
+            opened = engine.accept(request, partial(self._request_finished, request.route), self)
+        except Exception:  # a failed request must not affect the others
+            log.exception("request %s: the engine raised an exception", request.id)
             if self._answering is AnswerState.SERVING:
                 self.answer(Reply(500))
             return
-        if self._answering is AnswerState.SERVING:  # not answered already
-            self._opened = opened
+        if self._answering is AnswerState.SERVING:  # otherwise `accept` has already answered it
+            self._open_request = opened
 
     def _reject(self) -> None:
         self.answer(Reply(503, None, self._server.retry_after_us))
 
     def _answer_error(self, pending: PendingRequest) -> None:
-        """Answer what never became a request, or the health check."""
+        """Answer a request that failed to parse or validate, or the health check."""
         if pending.status >= 400 and pending.status != 503:
-            log.info("%d: %s", pending.status, pending.why)
+            log.info("%d: %s", pending.status, pending.reason)
         retry_after_us = self._server.retry_after_us if pending.route >= 0 else 0
         self.answer(Reply(pending.status, None, retry_after_us))
 
-    def _final(self, route: int, reply: Reply) -> None:
-        """The end of a request that was taken on."""
+    def _request_finished(self, route: int, reply: Reply) -> None:
+        """Answer a request that the engine accepted."""
         if reply.answer is not None:
             self._server.admission.host_answered(route, monotonic() - self._began_at)
         self.answer(reply)
 
     def enforce_time_limits(self, now: float) -> None:
-        """End what takes too long: clients that come and say nothing would hold all descriptors."""
+        """End a request or connection past its time limit; silent ones would use up descriptors."""
         parser = self._parser
         waited_s = now - self.last_change
         if self.output_pending and self._transport is not None:
@@ -314,14 +321,14 @@
                 parser.fail(RequestTimeoutError())
                 self._advance()
         elif self.idle() and waited_s > idle_limit_s(parser.completed) and not self.unread():
-            self.abort()  # with bytes unread it is a loop that runs late
+            self.abort()  # with unread bytes it is the event loop that is late
 
-    # What its other halves say of it.
+    # Hooks of the base classes.
 
-    def _written(self, keep: bool, ahead: bool) -> None:
-        if not keep:
+    def _response_written(self, keep_alive: bool, has_next: bool) -> None:
+        if not keep_alive:
             self._close()
-        elif ahead:
+        elif has_next:
             self._server.loop.call_soon(self._advance)
         elif not self.output_pending:
             self._server.mark_resting(self)
@@ -338,14 +345,14 @@
     def _mark_resting(self) -> None:
         self._server.mark_resting(self)
 
-    # What the server and the engine ask.
+    # Queries of the server and the engine.
 
     def may_end(self) -> bool:
-        """Whether it is idle, with nothing known to be on its way in either direction."""
+        """Whether it is idle, with no response bytes to write and no received bytes to read."""
         return self.idle() and not self.output_pending and not self.unread()
 
     def unread(self) -> bool:
-        """Whether bytes have come that this process has not read yet."""
+        """Whether the kernel holds received bytes that this process has not read."""
         try:
             return bool(self._sock.recv(1, socket.MSG_PEEK))
         except OSError:
--- a/quillroad/downstream/connection_limit.py
+++ b/quillroad/downstream/connection_limit.py
@@ -1,11 +1,12 @@
-"""Which client connection is taken, which ends for another, and who is told that there is no place.
+"""Limit on client connections: which are accepted, closed to make room, or accepted to be rejected.
 
-No I/O. Times are seconds of one clock that never goes back. Connections are whatever objects the
-caller has; `unread` says of one whether bytes have come that were not read yet. Whoever has sent a
-request is never ended for another: its connection is busy, or has bytes unread. Who finds no place
-waits in the kernel, where its age counts all the same.
+No I/O. Times are seconds of a monotonic clock. Connections are opaque objects of the caller;
+`unread` tells whether the kernel holds bytes of a connection that were not read. A connection whose
+client has sent a request is never closed to make room: it is busy, or has unread bytes. Clients
+beyond the limit wait in the kernel's accept queue, and the age of their requests includes that
+wait.
 
-What the constants were measured by is in `docs/design/downstream-constants.md`.
+The measurements behind the constants are in `docs/design/downstream-constants.md`.
 """
 
 from __future__ import annotations
@@ -17,80 +18,85 @@
 
 Connection = TypeVar("Connection")
 
-# After which a first request would have been read here, or a last answer by the client.
-UNHEARD_S = 0.2
-# Before which none ends for resting long: clients that use their connection ask again sooner.
-RESTED_S = 0.02
-# Of the places: past it those at rest for longest end, so that new ones find room.
+# Time by which a first request would have been read here, or a last response by the client.
+MIN_SILENT_S = 0.2
+# A connection that has rested for less is not closed as the longest resting one: clients that reuse
+# their connection send the next request sooner.
+MIN_REST_S = 0.02
+# Fraction of the places: with more resting connections the longest resting ones are closed, to
+# leave room for new ones.
 RESTING_PART = 0.4
-# After which one that still writes, with nothing new, ends for another: clients may take 2 s.
-WRITTEN_S = 2.1
-# Of the places, beyond them, for those who write: they need no connection to a host yet, whose half
-# of the descriptors is theirs meanwhile.
-WRITING_PART = 0.5
-# Of the places, beyond them, for those who are told that there is none.
-EXTRA_PART = 0.25
-# Unclassified connections, beyond those, whose requests cannot be told at a glance: so many, and of
-# few places a part, or clients that say nothing would hold the hosts' half of the descriptors.
-MOST_UNCLASSIFIED = 32
-UNCLASSIFIED_PART = 0.25
-# Connections that are looked at for one to end, of each state: a look is a system call.
-MOST_LOOKED_AT = 8
+# Time without progress after which a connection that is still receiving a request may be closed to
+# make room: clients may take 2 s.
+RECEIVE_STALL_S = 2.1
+# Fraction of the places, added for connections that are receiving a request: they need no
+# connection to a host yet, so they may use descriptors of the hosts' half until then.
+RECEIVING_FRACTION = 0.5
+# Fraction of the places, added for connections whose requests are rejected.
+REJECTION_FRACTION = 0.25
+# Unclassified connections, accepted beyond all of these although the fast path may not be able to
+# reject their request: at most this number and this fraction of the places, as otherwise silent
+# clients would hold the hosts' half of the descriptors.
+MAX_UNCLASSIFIED = 32
+UNCLASSIFIED_FRACTION = 0.25
+# Connections of each state that are checked for unread bytes in a search for one to close: each
+# check is a system call.
+MAX_CHECKED = 8
 
 
 class ConnectionState(IntEnum):
-    """Where a connection is, as far as it matters for who ends."""
+    """State of a connection, as needed to choose which one to close."""
 
-    UNHEARD = 0  # no byte of a request yet
+    SILENT = 0  # no byte of a request yet
     RESTING = 1  # between two requests
-    BUSY = 2  # has a whole request
-    LEAVING = 3  # has its last answer, and needs no more than time to read it
-    WRITING = 4  # part of a request: nothing is owed for it yet
+    BUSY = 2  # a complete request was received and is not answered
+    LEAVING = 3  # last response written; open only for the client to read it
+    RECEIVING = 4  # part of a request was received; no answer is due yet
 
 
 class ConnectionLimit(Generic[Connection]):
-    """The client connections of a gateway with `places` for them (1 or more)."""
+    """The client connections of a gateway, with a limit of `places` (1 or more)."""
 
     def __init__(self, places: int, unread: Callable[[Connection], bool]) -> None:
         self.resize(places)
         self._unread = unread
         self._states: dict[Connection, ConnectionState] = {}
-        # By state: since when each connection is in it, the oldest first.
+        # By state: the time at which each connection entered it, the longest in the state first.
         self._since: list[dict[Connection, float]] = [{} for _ in ConnectionState]
         self._resting = self._since[ConnectionState.RESTING]
         self._busy = self._since[ConnectionState.BUSY]
-        self._writing = self._since[ConnectionState.WRITING]
+        self._receiving = self._since[ConnectionState.RECEIVING]
 
     def resize(self, places: int) -> None:
-        """There are so many places from now on (1 or more); nobody ends for it alone."""
+        """Set the limit to `places` (1 or more); no connection is closed by this alone."""
         self.most_connections = places
-        self._most = places + int(EXTRA_PART * places)
-        self._resting_most = int(RESTING_PART * places)
-        self._writing_most = int(WRITING_PART * places)
-        self._most_unclassified = min(MOST_UNCLASSIFIED, int(UNCLASSIFIED_PART * places))
+        self._max_with_rejections = places + int(REJECTION_FRACTION * places)
+        self._max_resting = int(RESTING_PART * places)
+        self._max_receiving = int(RECEIVING_FRACTION * places)
+        self._max_unclassified = min(MAX_UNCLASSIFIED, int(UNCLASSIFIED_FRACTION * places))
 
     def __len__(self) -> int:
         return len(self._states)
 
     def count(self, state: ConnectionState) -> int:
-        """How many connections are in this state."""
+        """Return the number of connections in this state."""
         return len(self._since[state])
 
     @property
     def busy(self) -> int:
-        """How many have a whole request that waits for its answer."""
+        """Number of connections with a complete request that is not answered."""
         return len(self._busy)
 
     def connections(self) -> list[Connection]:
-        """All of them."""
+        """Return all connections, in the order in which they were added."""
         return list(self._states)
 
     def state(self, connection: Connection) -> ConnectionState | None:
-        """The state of a connection; None once it has left."""
+        """Return the state of a connection; None if it was removed or never added."""
         return self._states.get(connection)
 
     def set_state(self, connection: Connection, state: ConnectionState, now: float) -> None:
-        """It joins, or comes to another state. One that had its last answer changes no more."""
+        """Add a connection or change its state; LEAVING is final."""
         before = self._states.get(connection)
         if before is ConnectionState.LEAVING:
             return
@@ -100,44 +106,44 @@
         self._since[state][connection] = now
 
     def remove(self, connection: Connection) -> None:
-        """It has ended, or was told to."""
+        """Remove a connection that was closed or is being closed."""
         state = self._states.pop(connection, None)
         if state is not None:
             del self._since[state][connection]
 
     def has_place(self) -> bool:
-        """Whether one more fits without ending another."""
+        """Whether one more connection fits without closing another."""
         return self._in_use() < self.most_connections
 
     def _in_use(self) -> int:
-        """Places taken."""
-        return len(self._states) - min(len(self._writing), self._writing_most)
+        """Return the number of places in use."""
+        return len(self._states) - min(len(self._receiving), self._max_receiving)
 
     def connection_to_end(self, now: float) -> Connection | None:
-        """The connection to end for a new one.
+        """Return the connection to close to make room for a new one.
 
-        One that has its last answer, then one that says nothing, then one that does not get on with
-        what it began to say, then the one longest between two requests. None: all others are too
-        new to tell, or have asked for something.
+        In order of preference: one that has its last response, a silent one, one whose partial
+        request makes no progress, and the one that rested longest between two requests. None if
+        every connection is too new to judge or has sent a request.
         """
-        settled = now - UNHEARD_S
+        settled_before = now - MIN_SILENT_S
         leaving = self._since[ConnectionState.LEAVING]
         for connection, since in islice(leaving.items(), 1):
-            if since < settled:
+            if since < settled_before:
                 return connection
-        unheard = self._since[ConnectionState.UNHEARD]
-        one = self._first_read(unheard.items(), settled)
-        if one is None:
-            one = self._first_read(self._writing.items(), now - WRITTEN_S)
-        if one is None:
-            one = self._first_read(self._resting.items(), float("inf"))
-        return one
-
-    def _first_read(
+        silent = self._since[ConnectionState.SILENT]
+        candidate = self._first_without_unread(silent.items(), settled_before)
+        if candidate is None:
+            candidate = self._first_without_unread(self._receiving.items(), now - RECEIVE_STALL_S)
+        if candidate is None:
+            candidate = self._first_without_unread(self._resting.items(), float("inf"))
+        return candidate
+
+    def _first_without_unread(
         self, oldest_first: Iterable[tuple[Connection, float]], before: float
     ) -> Connection | None:
-        """A connection with nothing unread, of those in their state since before that time."""
-        for connection, since in islice(oldest_first, MOST_LOOKED_AT):
+        """Return a connection without unread bytes that entered its state before `before`."""
+        for connection, since in islice(oldest_first, MAX_CHECKED):
             if since >= before:
                 return None
             if not self._unread(connection):
@@ -145,28 +151,30 @@
         return None
 
     def may_accept_to_reject(self) -> bool:
-        """Whether one more may come beyond the places, to be told that there is none."""
-        return self._in_use() < self._most
+        """Whether one more connection may be accepted beyond the places, to reject its request."""
+        return self._in_use() < self._max_with_rejections
 
     def may_accept_unclassified(self) -> bool:
         """Whether one more unclassified connection may be accepted, to be rejected at once.
 
-        Without this, clients whose connections wait in the kernel's queue are held there for longer
-        than they wait for an answer.
+        Without this, connections would wait in the kernel's accept queue for longer than their
+        clients wait for an answer.
         """
-        return self._in_use() < self._most + self._most_unclassified
+        return self._in_use() < self._max_with_rejections + self._max_unclassified
 
-    def overstayed(self, now: float) -> Connection | None:
-        """A connection to end though nobody is seen to wait.
+    def longest_resting_to_end(self, now: float) -> Connection | None:
+        """Return a resting connection to close although no new connection is known to wait.
 
-        Past so many at rest, the one that rested for longest, if that is longer than a client takes
-        to ask again. Guards against clients that ask once and stay: those who share their
-        connections among few would find none, and nobody would come for whom one could be ended.
+        With more resting connections than `RESTING_PART` of the places, this is the one that rested
+        longest, if it rested for longer than a client takes to send its next request. Guards
+        against clients that send one request and stay connected: they would fill the places,
+        clients that share a few connections would find none, and no accept would occur that could
+        close one.
         """
-        if len(self._resting) <= self._resting_most:
+        if len(self._resting) <= self._max_resting:
             return None
-        for connection, since in islice(self._resting.items(), MOST_LOOKED_AT):
-            if since > now - RESTED_S:
+        for connection, since in islice(self._resting.items(), MAX_CHECKED):
+            if since > now - MIN_REST_S:
                 return None
             if not self._unread(connection):
                 return connection
--- a/quillroad/downstream/connection_migration.py
+++ b/quillroad/downstream/connection_migration.py
@@ -1,8 +1,8 @@
-"""How a client connection is handed to another process of this gateway.
+"""Hand-over of a client connection to another process of this gateway.
 
-Only a connection between two requests is handed over: nothing is owed on it, so a copy of its
-descriptor and the number of requests that it has brought are all that the other process needs. From
-`begin_migration` on nothing is read here, until one of `cancel_migration` and `complete_migration`.
+Only a connection between two requests is handed over: no answer is due on it, so the other process
+needs only a copy of its descriptor and the number of requests it has served. After
+`begin_migration` this process reads nothing until `cancel_migration` or `complete_migration`.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 
 class MigratableConnection(ConnectionOutput):
-    """A connection that another process may take over between two requests."""
+    """A connection that another process can take over between two requests."""
 
-    # What the other half does.
+    # Hooks that the subclass implements.
 
     def _mark_busy(self) -> None:
-        """Tell the server that the connection must not end for another."""
+        """Tell the server that the connection must not be closed to make room."""
         raise NotImplementedError
 
     def _mark_resting(self) -> None:
         """Tell the server that the connection is between two requests."""
         raise NotImplementedError
 
-    # Moving to another process of this gateway.
+    # Migration to another process of this gateway.
 
     def idle(self, unparsed: bool = True) -> bool:
         """Whether it is between two requests.
 
-        `unparsed` says whether bytes that were read and not parsed count.
+        With `unparsed`, a connection with bytes that were read and not parsed is not idle.
         """
         parser = self._parser
         return (
@@ -42,10 +42,10 @@
         )
 
     def begin_migration(self) -> int | None:
-        """Read nothing more; returns a copy of the descriptor, with which `requests_served` goes.
+        """Stop reading, and return a copy of the descriptor to send along with `requests_served`.
 
-        None where the connection is not between two requests. Bytes that come wait in the kernel
-        for whoever reads next.
+        Return None if the connection is not between two requests or the descriptor cannot be
+        copied. Bytes that arrive stay in the kernel for the process that reads next.
         """
         if self._transport is None or self.output_pending or not self.idle():
             return None
@@ -55,29 +55,29 @@
             return None
         self._pause_reading(True)
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.HOLD]
-        self._mark_busy()  # nobody ends it meanwhile
+        self._mark_busy()  # so that it is not closed to make room meanwhile
         return copy
 
     @property
     def requests_served(self) -> int:
-        """How many requests it has brought."""
+        """Number of requests completed on this connection, in all processes."""
         return self._parser.completed
 
     def cancel_migration(self) -> None:
-        """It stays here after all."""
+        """Resume reading: the connection stays in this process."""
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.RELEASE]
         if self._transport is not None:
             self._pause_reading(False)
             self._mark_resting()
 
     def complete_migration(self) -> None:
-        """It is another process's now: its client hears nothing of that."""
+        """Drop this process's copy after the other took over; the client does not notice."""
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.RELEASE]
         self._parser.end()
         self._mark_closing()
         if self._transport is not None:
             self._transport.abort()
 
-    def arrives(self, brought: int) -> None:
-        """It comes from another process, between two requests, of which it has brought so many."""
-        self._parser.completed = brought
+    def restore_requests_served(self, requests_served_before: int) -> None:
+        """Set the number of requests completed in the process that handed the connection over."""
+        self._parser.completed = requests_served_before
--- a/quillroad/downstream/connection_output.py
+++ b/quillroad/downstream/connection_output.py
@@ -1,7 +1,4 @@
-"""The output half of a client connection.
-
-The one answer to each request, streamed ones, and the close.
-"""
+"""The output half of a client connection: responses, streamed responses and the close."""
 
 from __future__ import annotations
 
@@ -22,7 +19,7 @@
     streamed_head,
 )
 from quillroad.downstream.state import ANSWER_AFTER, AnswerEvent, AnswerState
-from quillroad.downstream.time_limits import LINGER_BYTES, LINGER_S, UNREAD_S
+from quillroad.downstream.time_limits import LINGER_S, MAX_LINGER_BYTES, OUTPUT_STALL_S
 from quillroad.engine.engine import OpenRequest, Reply
 from quillroad.overload.socket_age import has_ended, unacknowledged
 
@@ -31,13 +28,13 @@
 
 log = logging.getLogger("quillroad.downstream")
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close by RST, with nothing more sent
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: close with RST, unsent bytes are dropped
 
 
 class ConnectionOutput(asyncio.Protocol):
-    """What a connection writes, and how it ends.
+    """Writes the responses of a connection and closes it.
 
-    `last_change` is the monotonic time (s) that the limits on time count from; `reading_paused`,
+    The time limits count from `last_change`, in monotonic time (s); `reading_paused`,
     `may_have_disconnected` and `output_pending` are explained in `state.py`.
     """
 
@@ -51,38 +48,41 @@
         self.may_have_disconnected = False
         self.output_pending = False
         self.last_change = monotonic()
-        self._unread_bytes = 0  # of an answer that its client had not taken, at the last look
-        self._discarded = 0  # bytes that came after the last answer
-        # Of the request that is served or streamed.
-        self._opened: OpenRequest | None = None
-        self._stream: BodyStream | None = None  # what is left of its long answer
-        self._chunked = False  # how that is framed
-        self._keep = True
+        self._unread_bytes = (
+            0  # response bytes that the client had not acknowledged at the last check
+        )
+        self._discarded = 0  # bytes received after the last response
+        # State of the request that is served or streamed:
+        self._open_request: OpenRequest | None = None
+        self._stream: BodyStream | None = None  # the rest of its streamed response body
+        self._chunked = False  # whether that body uses chunked coding
+        self._keep_alive = True
         self._version = "1.1"
-        self._route = -1  # its route while it is owed an answer; -1: none
-        self._reserved = 0  # bytes of its body in the budget of long ones
+        self._route = -1  # its route while its answer is due; -1: none
+        self._reserved = 0  # bytes of its body that are counted in `BodyBudget`
 
-    # What the other half does.
+    # Hooks that the subclass implements.
 
-    def _written(self, keep: bool, ahead: bool) -> None:
-        """An answer is on its way.
+    def _response_written(self, keep_alive: bool, has_next: bool) -> None:
+        """Go on after a response was written.
 
-        `keep` says whether the connection stays, `ahead` whether it has more requests.
+        `keep_alive` tells whether the connection stays open, `has_next` whether the client has sent
+        more of its next requests.
         """
         raise NotImplementedError
 
     def _mark_leaving(self) -> None:
-        """Tell the server that the last answer has left."""
+        """Tell the server that the last response has left this process."""
         raise NotImplementedError
 
     def _mark_closing(self) -> None:
-        """Tell the server that the connection ends."""
+        """Tell the server that the connection is being closed."""
         raise NotImplementedError
 
-    # The answer to one request.
+    # Responses that are written at once.
 
     def answer(self, reply: Reply) -> None:
-        """Write the one final answer to the request that is served."""
+        """Write the final response to the request that is served, or begin to stream it."""
         answer = reply.answer
         content_type = None
         body = b""
@@ -92,7 +92,7 @@
             if answer.stream is not None:
                 self._begin_stream(content_type, body, answer.body_length, answer.stream)
                 return
-        self._opened = None
+        self._open_request = None
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.FINISH]
         if self._reserved:
             self._release_body()
@@ -103,42 +103,43 @@
             self._route = -1
         if self._transport is None:
             return
-        # What was sent ahead has been taken and is owed an answer: the last one says `close`.
-        ahead = self._parser.has_more()
-        keep = self._keep and (ahead or not self._server.draining)
+        # Pipelined requests were received and must be answered: while draining, only the last
+        # response carries `Connection: close`.
+        has_next = self._parser.has_more()
+        keep_alive = self._keep_alive and (has_next or not self._server.draining)
         retry_after_us = None
         if reply.retry_after_us:
             retry_after_us = self._server.retry_after_jitter.jittered_us(reply.retry_after_us)
-        message = response(reply.status, body, content_type, retry_after_us, keep)
+        message = response(reply.status, body, content_type, retry_after_us, keep_alive)
         self._transport.write(message)
-        self._written(keep, ahead)
+        self._response_written(keep_alive, has_next)
 
     def _release_body(self) -> None:
         self._server.buffers.give(self._reserved)
         self._reserved = 0
 
-    # A long answer, which goes on as it comes.
+    # Streamed responses.
 
     def _begin_stream(
         self, content_type: bytes | None, body: bytes, length: int, stream: BodyStream
     ) -> None:
-        """Write the head of a long answer and as much of its body as has come.
+        """Write the head of a long response and the part of its body that was received.
 
-        -1 stands for no told length.
+        A `length` of -1 means that the host sent no length.
         """
-        self._opened = None
+        self._open_request = None
         if self._reserved:
             self._release_body()
         self.last_change = monotonic()
         if self._transport is None:
-            return  # with nobody to take the rest its connection ends
+            return  # disconnected: while `on_end` is unset, the host connection is closed
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.STREAM]
         self._stream = stream
         self._server.streams += 1
         self._chunked = length < 0 and self._version == "1.1"
         if self._server.draining or (length < 0 and not self._chunked):
-            self._keep = False  # a body of no told length ends with the connection
-        self._transport.write(streamed_head(content_type, length, self._chunked, self._keep))
+            self._keep_alive = False  # a body without length and chunks ends with the connection
+        self._transport.write(streamed_head(content_type, length, self._chunked, self._keep_alive))
         stream.on_data = self._stream_data
         stream.on_end = self._stream_ended
         if body:
@@ -152,9 +153,10 @@
             self._stream.pause_reading()
 
     def _stream_ended(self, whole: bool) -> None:
-        """The host has given all, or nothing more comes.
+        """End a streamed response.
 
-        Then the client is to see that it has not all.
+        If the host did not send it `whole`, the client connection is reset so that the client can
+        tell.
         """
         self._stream = None
         self._answering = ANSWER_AFTER[self._answering][AnswerEvent.FINISH]
@@ -167,9 +169,11 @@
         if self._transport is None:
             return
         if not whole:
-            log.info("a long answer broke off")
-            # By a reset: where the end of the body is the connection's an orderly close would look
-            # whole.
+            log.info(
+                "streamed response ended before its body was complete: resetting the connection"
+            )
+            # With a reset: where the end of the connection ends the body, an orderly close would
+            # make the truncated body look complete.
             with suppress(OSError):
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             self._mark_closing()
@@ -177,15 +181,13 @@
             return
         if self._chunked:
             self._transport.write(LAST_CHUNK)
-        self._written(self._keep, self._parser.has_more())
+        self._response_written(self._keep_alive, self._parser.has_more())
 
     def break_off(self) -> None:
-        """The process ends.
-
-        A long answer on its way ends so that its client can tell that it is not whole.
+        """Reset the connection if a response is being streamed, because the process exits.
 
-        The system closes connections in good order at exit: for a body whose end is the
-        connection's the client would take that for all of it.
+        The kernel closes connections in an orderly way at exit: if the end of the connection ends
+        the body, the client would take a truncated body for a complete one.
         """
         stream = self._stream
         if stream is not None:
@@ -195,10 +197,10 @@
     # The end of the connection.
 
     def _close(self) -> None:
-        """End the connection after its last answer.
+        """Close the connection after its last response.
 
-        A close on unread bytes would reset it and could take the answer along, so the sending side
-        ends first and what still comes is thrown away for a while.
+        A close with unread bytes would send RST, and the client could lose the response. So the
+        sending side is shut down first, and input is discarded for `LINGER_S`.
         """
         self._reserved += self._parser.clear_backlog()
         self._parser.end()
@@ -211,27 +213,28 @@
             self._server.loop.call_later(LINGER_S, self._linger)
 
     def _linger(self) -> None:
-        """The client had its time to read why.
+        """Close the connection after the client had time to read the last response.
 
-        Not so while its answer has not even left this process.
+        While response bytes are still buffered in this process, wait again.
         """
         if self.output_pending and self._transport is not None:
-            # `enforce_time_limits` ends one that takes nothing.
+            # `enforce_time_limits` closes the connection of a client that reads nothing.
             self._server.loop.call_later(LINGER_S, self._linger)
         else:
             self.abort()
 
     def _discard(self, size: int) -> None:
-        """Throw away what comes after the last answer, up to a limit."""
+        """Count input discarded after the last response, and close past `MAX_LINGER_BYTES`."""
         self._discarded += size
-        if self._discarded > LINGER_BYTES:
+        if self._discarded > MAX_LINGER_BYTES:
             self.abort()
 
     def abort(self) -> None:
-        """End it at once.
+        """Close the connection at once.
 
-        The loop gets round to the close a turn later only, and turns of a busy core are long: a
-        client would go on sending meanwhile, and be reset.
+        The socket is shut down here because the transport closes it only in the next iteration of
+        the event loop, which can take long on a busy core: meanwhile the client would go on
+        sending, and get a reset.
         """
         self._mark_closing()
         if self._transport is not None:
@@ -240,9 +243,9 @@
             self._transport.abort()
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed, also where that was not read yet.
+        """Whether the client has disconnected, even if the end of its input was not read yet.
 
-        Then its connection ends.
+        If so, the connection is closed.
         """
         if self._transport is None:
             return True
@@ -252,16 +255,16 @@
         return True
 
     def _enforce_output_limit(self, transport: asyncio.Transport, now: float) -> None:
-        """End the connection of a client that takes nothing of its answer; a slow one goes on."""
+        """Close the connection if the client reads nothing; a slow reader is kept."""
         unread = transport.get_write_buffer_size() + unacknowledged(self._sock)
         if unread != self._unread_bytes:
             self._unread_bytes = unread
             self.last_change = now
-        elif now - self.last_change > UNREAD_S:
+        elif now - self.last_change > OUTPUT_STALL_S:
             self.abort()
 
     def pause_writing(self) -> None:
-        """Bytes of an answer could not leave at once."""
+        """Note that response bytes are buffered in this process."""
         self.output_pending = True
         self.last_change = monotonic()
 
--- a/quillroad/downstream/early_rejection.py
+++ b/quillroad/downstream/early_rejection.py
@@ -1,4 +1,4 @@
-"""Rejections that cost little: made ahead, or sent to a connection that never comes up."""
+"""Cheap rejections: prebuilt responses, and rejection at the accept without a transport."""
 
 from __future__ import annotations
 
@@ -19,50 +19,50 @@
 if TYPE_CHECKING:
     from quillroad.downstream.connection import ClientConnection
 
-# Made ahead: a Fibonacci number of golden-ratio steps fills the circle of times evenly.
-REJECTIONS = 233
-# Age of unread data, in seconds, above which accepts get a larger part of the CPU time: clients
-# begin to give up.
-OUTSIDE_S = 0.5
-# Part of the process's CPU time for rejecting at the accept, and in place of it while clients wait
-# for long.
-CPU_PART = 0.05
-LATE_CPU_PART = 0.15
-# CPU time that turning one away is taken to need, and that may be saved up for a crowd.
+# Number of prebuilt responses. The jitter advances in golden-ratio steps, and a Fibonacci number of
+# such steps spreads the `Retry-After` times evenly.
+PREBUILT_REJECTIONS = 233
+# Age of unread data above which rejections at the accept get a larger fraction of the CPU time:
+# clients begin to give up.
+LONG_WAIT_S = 0.5
+# Fraction of the process's CPU time for rejections at the accept: usually, and while clients wait
+# for longer than `LONG_WAIT_S`.
+CPU_FRACTION = 0.05
+LONG_WAIT_CPU_FRACTION = 0.15
+# CPU time charged for one rejection, and the most that may be saved up for a burst.
 REJECT_CPU_S = 80e-6
-SAVED_CPU_S = 0.005
+MAX_CPU_CREDIT_S = 0.005
 
 
 class Rejections:
-    """Whole responses that turn a request away, with `Retry-After` times spread over clients.
+    """Complete 503 responses whose `Retry-After` times are spread by jitter.
 
-    `retry_after_us` is the longest wait told, in microseconds, 0 for none.
+    `retry_after_us` is the longest `Retry-After` in microseconds; 0 sends none.
     """
 
     def __init__(self, jitter: RetryAfterJitter, retry_after_us: int) -> None:
         self._jitter = jitter
         self._retry_after_us = retry_after_us
-        self._made = [
-            rejection(True, jitter.jittered_us(retry_after_us)) for _ in range(REJECTIONS)
+        self._responses = [
+            rejection(True, jitter.jittered_us(retry_after_us)) for _ in range(PREBUILT_REJECTIONS)
         ]
         self._next = 0
 
     def keep_alive(self) -> bytes:
-        """One for a connection that stays open."""
-        self._next = (self._next + 1) % len(self._made)
-        return self._made[self._next]
+        """Return a rejection for a connection that stays open."""
+        self._next = (self._next + 1) % len(self._responses)
+        return self._responses[self._next]
 
     def closing(self) -> bytes:
-        """One for a connection that ends with it."""
+        """Return a rejection for a connection that is closed after it."""
         return rejection(False, self._jitter.jittered_us(self._retry_after_us))
 
 
 class EarlyRejection:
-    """Rejects at the accept, within a part of the CPU time.
+    """Rejects requests at the accept, within a fraction of the CPU time.
 
-    Where the platform allows only part of a core, rejecting must not use all of it.
-
-    `on_end` is told of each request that is rejected: its route and the status.
+    Without that limit, rejections could use all CPU time on a platform that grants the process only
+    part of a core. `on_end` is called with the route and the status of each rejected request.
     """
 
     def __init__(
@@ -80,23 +80,26 @@
         self._acceptor = acceptor
         self._rejections = rejections
         self._on_end = on_end
-        self._saved_s = 0.0  # CPU time left for turning away
-        self._counted_s = 0.0  # CPU time that the process had used when that was counted
+        self._cpu_credit_s = 0.0  # CPU time (s) available for rejections
+        self._last_cpu_s = 0.0  # CPU time (s) of the process at the last update
 
-    def has_time(self) -> bool:
-        """Whether there is CPU time to turn one away."""
+    def has_cpu_time(self) -> bool:
+        """Whether there is CPU time for a rejection; updates the credit."""
         now_s = process_time()
-        part = LATE_CPU_PART if self._acceptor.clients_waited_long else CPU_PART
-        self._saved_s = min(SAVED_CPU_S, self._saved_s + part * (now_s - self._counted_s))
-        self._counted_s = now_s
-        return self._saved_s > 0.0
+        fraction = LONG_WAIT_CPU_FRACTION if self._acceptor.clients_waited_long else CPU_FRACTION
+        self._cpu_credit_s = min(
+            MAX_CPU_CREDIT_S, self._cpu_credit_s + fraction * (now_s - self._last_cpu_s)
+        )
+        self._last_cpu_s = now_s
+        return self._cpu_credit_s > 0.0
 
     def reject(self, sock: socket.socket, now: float, full: bool) -> bool:
-        """Reject a connection's one request and close it at once, before it comes up.
+        """Reject the one request on an accepted socket and close it, without a transport.
 
-        That is done if the request would be rejected, or all is `full`. False, with nothing read,
-        where it would not be, or where something else than one request has come. `now` is the
-        monotonic time in seconds.
+        Return True if the socket was closed: admission rejected the request, or the client had
+        disconnected. Return False, with nothing read, if admission would accept the request or
+        the received data is not exactly one request. With `full`, admission counts all places as
+        in use. `now` is the monotonic time in seconds.
         """
         try:
             sock.setblocking(False)
@@ -106,31 +109,33 @@
                 if route is None:
                     return False
                 self._on_end(route, 503)
-                sock.recv(MAX_HEAD_BYTES)  # a close on unread bytes would take the answer along
+                sock.recv(
+                    MAX_HEAD_BYTES
+                )  # a close with unread bytes sends RST and may lose the response
                 sock.send(self._rejections.closing())
         except BlockingIOError:
             return False
         except OSError:
-            pass  # its client has gone
+            pass  # the client has disconnected
         sock.close()
-        self._saved_s -= REJECT_CPU_S
+        self._cpu_credit_s -= REJECT_CPU_S
         return True
 
     def _rejected_route(
         self, sock: socket.socket, data: bytes, now: float, full: bool
     ) -> int | None:
-        """The route of a request that is to be refused; None where it is not, or cannot be told."""
-        seen = preview_request(data)
-        if seen is None:
+        """Return the route of a request to reject; None to accept it or if `data` is unclear."""
+        preview = preview_request(data)
+        if preview is None:
             return None
         validator = self._validator
-        route = validator.route(seen.route_name)
+        route = validator.route(preview.route_name)
         if route is None:
             return None
         age_s = data_age(sock)
-        self._acceptor.clients_waited_long = age_s > OUTSIDE_S
-        wait_s = validator.wait_s(route, seen.wait_ms)
-        tenant = validator.tenant(seen.tenant)
+        self._acceptor.clients_waited_long = age_s > LONG_WAIT_S
+        wait_s = validator.wait_s(route, preview.wait_ms)
+        tenant = validator.tenant(preview.tenant)
         limit = self._connection_limit
         in_use = limit.most_connections + 1 if full else limit.busy + 1
         rejected = self._admission.rejects_early(now, now - age_s, wait_s, route, tenant, in_use)
--- a/quillroad/downstream/request_scheduler.py
+++ b/quillroad/downstream/request_scheduler.py
@@ -1,6 +1,7 @@
-"""The core's time.
+"""Scheduler of admitted requests.
 
-Requests wait in the admission queue and begin in slices, one turn of the loop after another.
+Requests wait in the admission queue and begin in time slices, one slice in each iteration of the
+event loop.
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 
 log = logging.getLogger("quillroad.downstream")
 
-# Between two looks at whether the core is still too busy for more than it has begun: it may get
-# less busy with nothing else that would tell.
+# Interval (s) at which it is checked whether the core is still too busy to begin more requests: no
+# event reports that it has become less busy.
 HOLD_S = 0.02
 
 
 class RequestScheduler:
-    """Who of the connections waits for the core, and who begins next.
+    """Queues the requests of connections, and begins them when the core has time.
 
-    `scheduled` says whether a turn is about to run.
+    `scheduled` tells whether a slice is scheduled for the next iteration of the event loop.
     """
 
     def __init__(
@@ -42,50 +43,55 @@
         self._admission = admission
         self._connection_limit = connection_limit
         self.scheduled = False
-        self._hold: asyncio.TimerHandle | None = None  # of the turns that begin nothing
-        self._refused = 0  # of the refusals, those that the log knows of
-        self._refusing = False
+        self._recheck_timer: asyncio.TimerHandle | None = None  # set while at capacity
+        self._logged_rejections = 0  # `rejected` of the admission queue at the last log check
+        self._rejecting = False
 
     def queue(
-        self, connection: ClientConnection, since: float, wait_s: float, route: int, tenant: int
+        self,
+        connection: ClientConnection,
+        arrived_at: float,
+        wait_s: float,
+        route: int,
+        tenant: int,
     ) -> QueuedRequest | None:
-        """Let a request that came at `since` wait for its turn, or None: it is to be refused.
+        """Queue a request that arrived at `arrived_at`; return None if it must be rejected.
 
-        Times are monotonic, in seconds; `wait_s` is how long its client waits from `since` on.
+        `arrived_at` is in monotonic time (s); `wait_s` is how long the client waits from then on.
         """
         limit = self._connection_limit
         state = limit.state(connection)
         in_use = limit.busy + (state is not ConnectionState.BUSY)
         now = monotonic()
-        waiting = self._admission.join(now, since, wait_s, route, tenant, in_use, connection)
+        waiting = self._admission.join(now, arrived_at, wait_s, route, tenant, in_use, connection)
         if waiting is not None:
             if state is not None:
                 limit.set_state(connection, ConnectionState.BUSY, monotonic())
-            if self._hold is None:  # else a turn comes soon, or with the first permit that is free
+            if self._recheck_timer is None:  # else the timer or a free permit starts a slice
                 self.schedule()
         return waiting
 
     def schedule(self) -> None:
-        """Let a turn run if something waits: the engine may have room for more."""
+        """Schedule a slice if requests wait; also called when the engine has capacity again."""
         if self._admission.waiting and not self.scheduled:
             self.scheduled = True
             self._loop.call_soon(self._run)
 
     def _run(self) -> None:
-        """Begin what has waited, for a slice of time.
+        """Begin waiting requests for one time slice.
 
-        Then sockets are read again, answers of hosts among them.
+        Then the event loop reads sockets again, including responses of hosts.
         """
         self.scheduled = False
-        if self._hold is not None:
-            self._hold.cancel()
-            self._hold = None
+        if self._recheck_timer is not None:
+            self._recheck_timer.cancel()
+            self._recheck_timer = None
         now = monotonic()
         self._admission.cpu_used(now, process_time())
         self._loop_monitor.busy = self._admission.busy
-        end = now + self._admission.slice_s(now)
+        slice_end = now + self._admission.slice_s(now)
         at_capacity = False
-        while now < end:
+        while now < slice_end:
             at_capacity = self._holds()
             if at_capacity:
                 break
@@ -104,43 +110,43 @@
             self._loop.call_soon(self._run)
 
     def _wait_for_capacity(self, now: float) -> None:
-        """Begin nothing until the engine tells of room, or the core gets less busy meanwhile.
+        """Begin nothing until the engine has capacity or the core is less busy.
 
-        Whoever can no longer be answered in time is let go, to be refused.
+        Requests that can no longer be answered in time are taken out of the queue and rejected.
         """
         while (item := self._admission.take_overdue(now)) is not None:
             self._begin(item)
-        self._hold = self._loop.call_later(HOLD_S, self.schedule)
+        self._recheck_timer = self._loop.call_later(HOLD_S, self.schedule)
 
     def _begin(self, item: object) -> None:
         assert isinstance(item, ClientConnection)
         try:
             item.begin()
-        except Exception:  # one request's fault must not cost the others theirs
-            log.exception("a request could not begin")
+        except Exception:  # a failed request must not affect the others
+            log.exception("500: beginning a queued request raised an exception")
             item.answer(Reply(500))
 
     def _holds(self) -> bool:
-        """Whether the engine is left with what it has.
+        """Whether the engine should get no more requests for now.
 
-        A core that is busy gets round to answers late, so permits are held for longer and requests
-        queue in the engine, where each makes all others dearer. One a host may wait there, for the
-        permits that become free before this loop comes round.
+        A busy core processes responses late, so permits are held for longer and requests queue in
+        the engine, where each one raises the cost of all others. One request per host may wait
+        there, for permits that become free before the next slice.
         """
         return self._admission.busy and self._engine.queued > len(self._engine.hosts)
 
     def log_rejections(self) -> None:
-        """One line when refusals begin, and one when they have ended."""
-        refused = self._admission.rejected - self._refused
-        self._refused = self._admission.rejected
-        if (refused > 0) == self._refusing:
+        """Log one line when rejections begin, and one when they have ended."""
+        newly_rejected = self._admission.rejected - self._logged_rejections
+        self._logged_rejections = self._admission.rejected
+        if (newly_rejected > 0) == self._rejecting:
             return
-        self._refusing = refused > 0
-        if self._refusing:
+        self._rejecting = newly_rejected > 0
+        if self._rejecting:
             log.warning(
-                "refusing: %d requests wait, at %.2f ms each",
+                "rejecting requests: %d wait in the admission queue, %.2f ms of core time each",
                 self._admission.waiting,
                 self._admission.cost_s * 1000,
             )
         else:
-            log.info("no longer refusing")
+            log.info("no longer rejecting requests")
--- a/quillroad/downstream/request_validation.py
+++ b/quillroad/downstream/request_validation.py
@@ -1,4 +1,4 @@
-"""Whether a parsed request may go on: method, path, headers, deadline, tenant and idempotency key.
+"""Validation of parsed requests: method, path, headers, deadline, tenant and idempotency key.
 
 No I/O.
 """
@@ -19,22 +19,22 @@
     WrongMethodError,
 )
 
-# Two of these would let two readers of one request see different values.
-AT_MOST_ONCE = frozenset((b"request-id", b"idempotency-key", b"request-timeout-ms"))
-# Of one connection only (RFC 9110, 7.6.1), or written anew for the host.
-HOP_BY_HOP = frozenset(
+# Headers that may appear once only: with two, gateway and host could use different values.
+SINGLE_VALUE_HEADERS = frozenset((b"request-id", b"idempotency-key", b"request-timeout-ms"))
+# Hop-by-hop headers (RFC 9110, 7.6.1), and headers that the gateway writes itself for the host.
+NOT_FORWARDED_HEADERS = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect "
     b"content-length request-timeout-ms proxy-authorization proxy-authenticate".split()
 )
-TIMEOUT_DIGITS = 12  # of Request-Timeout-Ms at most: thirty years
-WORK_HINT_DIGITS = 11  # of Work-Hint at most (µs): a longer one is left out
+MAX_TIMEOUT_DIGITS = 12  # of Request-Timeout-Ms: about thirty years
+MAX_WORK_HINT_DIGITS = 11  # of Work-Hint (µs): a longer one is ignored
 
 
 class RequestValidator:
-    """The settings that requests are checked against.
+    """Checks requests against the settings.
 
-    `longest_body` is the most bytes that a request's body may have, `answers_by` the monotonic time
-    (s) by which each answer has to be out: infinite until the process is about to end.
+    `longest_body` is the maximum size of a request body in bytes, `answers_by` the latest deadline
+    of any request in monotonic time (s): infinite until the process is about to exit.
     """
 
     def __init__(self, config: Config) -> None:
@@ -47,29 +47,29 @@
         self.answers_by = math.inf
 
     def route(self, segment: bytes) -> int | None:
-        """The number of the route that the first segment of a path names; None for none."""
+        """Return the index of the route named by the first path segment; None if unknown."""
         name = segment.decode("latin-1")
         return self._routes.get(unquote(name) if "%" in name else name)
 
     def route_of(self, url: bytes) -> int | None:
-        """The number of the route that a URL names, be it whole or cut short.
+        """Return the index of the route that a URL names; None if it names none.
 
-        None where it names none.
+        The URL may be truncated.
         """
         segments = url.partition(b"?")[0].split(b"/")
         return self.route(segments[1]) if len(segments) > 1 else None
 
     def wait_s(self, route: int, timeout_ms: int | None) -> float:
-        """Seconds that a client waits for its answer.
+        """Return the seconds that a client waits for its answer.
 
-        What it told, its route's deadline at the most.
+        This is the timeout that it sent, limited to the deadline of its route.
         """
         if timeout_ms is None:
             return self._deadlines_s[route]
         return min(timeout_ms / 1000, self._deadlines_s[route])
 
     def tenant(self, name: bytes) -> int:
-        """The number of the tenant of this name; -1 for an unknown one."""
+        """Return the index of the tenant with this name; -1 if unknown."""
         return self._tenants.get(name.decode("latin-1"), -1)
 
     def check(
@@ -78,12 +78,12 @@
         url: bytes,
         headers: list[tuple[bytes, bytes]],
         body: bytearray,
-        since: float,
+        arrived_at: float,
     ) -> ClientRequest:
-        """The request that these parts make.
+        """Validate a request and return it in the form that the engine takes.
 
-        `headers` are pairs of name and stripped value as they came, `since` is the monotonic time
-        (s) at which the request came. Raises `BadRequestError`.
+        `headers` are pairs of name and stripped value in the order received, `arrived_at` is the
+        monotonic time (s) at which the request arrived. Raises `BadRequestError`.
         """
         route, key = self._read_path(url)
         forwarded = [b"%b %b HTTP/1.1" % (method, url)]
@@ -94,27 +94,28 @@
         _check_rules(method, bool(body), values, idempotent, keyed)
         if not idempotent:
             forwarded.append(b"Content-Length: %d" % len(body))
-        hint = values.get(b"work-hint", b"")
+        work_hint = values.get(b"work-hint", b"")
         return ClientRequest(
             id=values[b"request-id"].decode("latin-1"),
             route=route,
             tenant=self._tenants.get(values.get(b"tenant", b"").decode("latin-1"), -1),
             key=key,
-            received_at=since,
+            received_at=arrived_at,
             deadline_at=min(
-                since + min(_timeout_ms(values) / 1000, self._deadlines_s[route]), self.answers_by
+                arrived_at + min(_timeout_ms(values) / 1000, self._deadlines_s[route]),
+                self.answers_by,
             ),
             is_retry=values.get(b"client-retry") == b"1",
-            work_estimate_us=int(hint)
-            if hint.isdigit() and len(hint) <= WORK_HINT_DIGITS
+            work_estimate_us=int(work_hint)
+            if work_hint.isdigit() and len(work_hint) <= MAX_WORK_HINT_DIGITS
             else None,
             head=b"\r\n".join(forwarded) + b"\r\n",
-            # A long body is handed on as it is: a second copy would double the memory it takes.
+            # A long body is passed on without a copy, which would double its memory.
             body=b"" if idempotent else body if len(body) > SHORT_BODY else bytes(body),
         )
 
     def _read_path(self, url: bytes) -> tuple[int, str | None]:
-        """The route that a URL names, and the key of what is asked for; None without one."""
+        """Return the index of the route that a URL names, and the key in it; None without a key."""
         segments = url.partition(b"?")[0].split(b"/")
         if len(segments) < 2 or segments[0] or not segments[1]:
             raise UnknownPathError()
@@ -127,17 +128,17 @@
 
 
 def _read_headers(headers: list[tuple[bytes, bytes]], forwarded: list[bytes]) -> dict[bytes, bytes]:
-    """Values by lower-case name, the last of each.
+    """Return header values by lower-case name; the last one where a name repeats.
 
-    Lines that go on to the host are added to `forwarded`.
+    Header lines that are sent on to the host are appended to `forwarded`.
     """
     values: dict[bytes, bytes] = {}
     for name, value in headers:
         lower = name.lower()
-        if lower in values and lower in AT_MOST_ONCE:
+        if lower in values and lower in SINGLE_VALUE_HEADERS:
             raise HeaderError(f"two headers {lower.decode()}", lower.decode(), "one")
         values[lower] = value
-        if lower not in HOP_BY_HOP:
+        if lower not in NOT_FORWARDED_HEADERS:
             forwarded.append(name + b": " + value)
     return values
 
@@ -145,7 +146,7 @@
 def _check_rules(
     method: bytes, has_body: bool, values: dict[bytes, bytes], idempotent: bool, keyed: bool
 ) -> None:
-    """Check a request against its route's idempotency."""
+    """Raise `BadRequestError` if a request does not fit its route's idempotency or has no id."""
     expected = b"GET" if idempotent else b"POST"
     if method != expected:
         raise WrongMethodError(expected.decode())
@@ -162,9 +163,9 @@
 
 
 def _timeout_ms(values: dict[bytes, bytes]) -> int:
-    """How long the client says that it waits, in ms."""
+    """Return `Request-Timeout-Ms`; raise `HeaderError` if it is missing or not valid."""
     value = values.get(b"request-timeout-ms", b"")
-    if value.isdigit() and len(value) <= TIMEOUT_DIGITS:
+    if value.isdigit() and len(value) <= MAX_TIMEOUT_DIGITS:
         timeout_ms = int(value)
         if timeout_ms > 0:
             return timeout_ms
--- a/quillroad/downstream/responses.py
+++ b/quillroad/downstream/responses.py
@@ -1,4 +1,4 @@
-"""Bytes of responses to clients: status line, headers, body, and the framing of streamed bodies.
+"""Serialisation of responses to clients: status line, headers, body and streamed bodies.
 
 No I/O.
 """
@@ -25,33 +25,37 @@
 
 
 class BodyStream(Protocol):
-    """The rest of a long answer, as the host gives it.
+    """The rest of a long response body, as it is received from the host.
 
-    Whoever takes it sets `on_data` (gets the bytes) and `on_end` (gets whether all of them came),
-    calls `pause_reading` while its own side is full and `abandon` when nobody wants the rest any
-    more; after that neither callback is called.
+    The receiver sets `on_data` (called with the bytes) and `on_end` (called with whether the body
+    is complete), calls `pause_reading` while its write buffer is full, and `abandon` if the rest is
+    not needed; after that neither callback is called.
     """
 
     on_data: Callable[[bytes], None] | None
     on_end: Callable[[bool], None] | None
 
     def pause_reading(self) -> None:
-        """Take nothing more from the host for now."""
+        """Stop reading from the host for now."""
 
     def resume_reading(self) -> None:
-        """Go on after `pause_reading`."""
+        """Continue after `pause_reading`."""
 
     def abandon(self) -> None:
-        """Give the rest up."""
+        """Discard the rest of the body."""
 
 
 def response(
-    status: int, body: bytes, content_type: bytes | None, retry_after_us: int | None, keep: bool
+    status: int,
+    body: bytes,
+    content_type: bytes | None,
+    retry_after_us: int | None,
+    keep_alive: bool,
 ) -> bytes:
-    """A whole response.
+    """Return a complete response.
 
-    `retry_after_us` is the wait told, in microseconds; `keep` says whether the connection stays
-    open.
+    `retry_after_us` is the `Retry-After` time in microseconds; `keep_alive` tells whether the
+    connection stays open.
     """
     type_line = b"" if content_type is None else b"Content-Type: %b\r\n" % content_type
     retry_line = (
@@ -63,23 +67,25 @@
         type_line,
         retry_line,
         len(body),
-        b"keep-alive" if keep else b"close",
+        b"keep-alive" if keep_alive else b"close",
         body,
     )
 
 
-def rejection(keep: bool, retry_after_us: int) -> bytes:
-    """A whole 503 that turns a request away.
+def rejection(keep_alive: bool, retry_after_us: int) -> bytes:
+    """Return a complete 503 response.
 
-    `retry_after_us` is the wait told, in microseconds, 0 for none.
+    `retry_after_us` is the `Retry-After` time in microseconds, 0 for none.
     """
-    return response(503, b"", None, retry_after_us or None, keep)
+    return response(503, b"", None, retry_after_us or None, keep_alive)
 
 
-def streamed_head(content_type: bytes | None, length: int, chunked: bool, keep: bool) -> bytes:
-    """The head of a 200 whose body follows.
+def streamed_head(
+    content_type: bytes | None, length: int, chunked: bool, keep_alive: bool
+) -> bytes:
+    """Return the head of a 200 response whose body follows.
 
-    `length` is the body's in bytes, -1 where the host has not told it; such a body is `chunked`, or
+    `length` is the size of the body in bytes, -1 if the host sent none; such a body is `chunked` or
     ends with the connection.
     """
     lines = [b"HTTP/1.1 200 OK"]
@@ -89,10 +95,10 @@
         lines.append(b"Transfer-Encoding: chunked")
     elif length >= 0:
         lines.append(b"Content-Length: %d" % length)
-    lines.append(b"Connection: keep-alive" if keep else b"Connection: close")
+    lines.append(b"Connection: keep-alive" if keep_alive else b"Connection: close")
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of a body in chunked coding; `data` is not empty."""
+    """Return one chunk of a body in chunked coding; `data` must not be empty."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/quillroad/downstream/server.py
+++ b/quillroad/downstream/server.py
@@ -1,4 +1,4 @@
-"""The listener of the client side: accepts, the places that connections take, and draining."""
+"""Server for client connections: accepting, the connection limit and draining."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from quillroad.balancing.settings import Route
 from quillroad.config import RESERVED, Config, Descriptors
 from quillroad.downstream.connection import ClientConnection
-from quillroad.downstream.connection_limit import UNHEARD_S, ConnectionLimit, ConnectionState
+from quillroad.downstream.connection_limit import MIN_SILENT_S, ConnectionLimit, ConnectionState
 from quillroad.downstream.early_rejection import EarlyRejection, Rejections
 from quillroad.downstream.request_scheduler import HOLD_S, RequestScheduler
 from quillroad.downstream.request_validation import RequestValidator
@@ -21,30 +21,32 @@
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
 from quillroad.overload.retry_after import RetryAfterJitter
 
-__all__ = ["EXCESS", "HOLD_S", "ClientConnection", "Server"]
-
-# Connections past the descriptors' limit at the most, for those that end others or are turned away.
-# With what is no connection (15 of one process) and the accept at hand they are within RESERVED.
-EXCESS = RESERVED // 4
-# Idle connections to hosts that are dropped for clients at a time: it doubles up to here while that
-# is too few.
-MOST_DROPPED = 64
-# After which it begins at one again: the need has passed meanwhile.
-DROPPED_S = 0.05
-# Connections that end with an answer at the most: with one, their number would never fall.
-OVERSTAYED = 2
-# The gateway's seed spreads its Retry-After times against those of others: a prime keeps neighbours
-# apart.
+__all__ = ["HOLD_S", "MAX_EXCESS_DESCRIPTORS", "ClientConnection", "Server"]
+
+# Connections beyond the descriptor limit, for those that replace another or are rejected. Together
+# with descriptors other than connections (15 in one process) and the one of an accept in progress,
+# they fit into RESERVED.
+MAX_EXCESS_DESCRIPTORS = RESERVED // 4
+# Idle host connections dropped for clients at a time: the number doubles up to this limit while it
+# is too small.
+MAX_DROPPED_AT_ONCE = 64
+# Time without drops after which the number starts at one again.
+DROP_RESET_S = 0.05
+# Resting connections closed per response: with one only, their number would never fall.
+MAX_RESTING_ENDED = 2
+# The seed modulo this prime is the first phase of the Retry-After jitter, so that gateways with
+# neighbouring seeds do not send the same times.
 JITTER_MODULUS = 997
 
 
 class Server:
     """All client connections of the gateway.
 
-    `drop_idle_upstream` ends an idle connection to a host, and says whether there was one.
-    `retry_after_us` is the wait told with a refusal (µs, 0 for none), `streams` the long answers on
-    their way, `draining` whether the last answer on each connection says that it closes. `on_end`
-    is told of each request's end: route and status.
+    `drop_idle_upstream` closes an idle connection to a host and returns whether there was one.
+    `retry_after_us` is the longest `Retry-After` of a rejection (µs, 0 for none), `streams` the
+    number of responses being streamed. While `draining`, the last response on each connection
+    carries `Connection: close`. `on_end` is called with the route and status of each request that
+    has ended.
     """
 
     def __init__(
@@ -61,8 +63,8 @@
         self.loop_monitor = loop_monitor
         self._descriptors = descriptors
         self._drop_idle_upstream = drop_idle_upstream
-        self._dropped = 1  # connections to hosts that were dropped at a time last
-        self._dropped_at = 0.0  # when, in monotonic time (s)
+        self._drop_count = 1  # host connections to drop at a time
+        self._dropped_at = 0.0  # time of the last drop, monotonic (s)
         self.draining = False
         self.streams = 0
         self.on_end: Callable[[int, int], None] | None = None
@@ -77,7 +79,7 @@
         limit = self.connection_limit
         self.scheduler = RequestScheduler(loop, loop_monitor, engine, self.admission, limit)
         engine.on_capacity = self.scheduler.schedule
-        self._acceptor = Acceptor(loop, self._take, self._may_accept, self.mark_closed)
+        self._acceptor = Acceptor(loop, self._accept_connection, self._may_accept, self.mark_closed)
         self._early_rejection = EarlyRejection(
             self.validator,
             self.admission,
@@ -89,24 +91,21 @@
 
     @property
     def answers_by(self) -> float:
-        """The monotonic time (s) by which each answer has to be out.
-
-        Infinite until the process ends.
-        """
+        """Latest deadline of any request, in monotonic time (s); infinite until shutdown."""
         return self.validator.answers_by
 
     @answers_by.setter
     def answers_by(self, end: float) -> None:
-        """Set the monotonic time (s) by which each answer has to be out."""
+        """Set the latest deadline of any request, in monotonic time (s)."""
         self.validator.answers_by = end
 
     @property
     def in_flight(self) -> int:
-        """Requests that were read and wait for their answer."""
+        """Number of requests that are queued, open in the engine or being streamed."""
         return self.admission.waiting + self.engine.unanswered + self.streams
 
     def up_status(self) -> int:
-        """The status of the health check."""
+        """Return the status of the health check: 200, or 503 if not ready or draining."""
         return 200 if self.engine.ready and not self.draining else 503
 
     def _request_ended(self, route: int, status: int) -> None:
@@ -116,24 +115,24 @@
     # Accepting.
 
     def listen(self, listener: socket.socket) -> None:
-        """Take connections from a listening socket, which is the server's own from now on."""
+        """Accept connections from a listening socket, which the server owns from now on."""
         self._acceptor.listen(listener)
 
     def pause_accepting(self) -> None:
-        """Accept nothing more for now; the listener is the caller's."""
+        """Stop accepting and give the listening socket back to the caller."""
         self._acceptor.detach()
 
     def resize(self) -> None:
-        """The number of descriptors has changed."""
+        """Adapt the limits to a changed number of descriptors."""
         places = _client_connections(self._descriptors)
         self.connection_limit.resize(places)
         self.admission.resize(places)
 
     def _may_accept(self) -> bool:
-        """Whether one more can be taken, if only to be turned away.
+        """Whether one more connection can be accepted, even if only to be rejected.
 
-        Where not, connections wait in the kernel: one that is taken and ended would lose what it
-        has sent.
+        Otherwise connections wait in the kernel: closing an accepted one would lose the request
+        that its client has sent.
         """
         limit = self.connection_limit
         free = (
@@ -141,193 +140,198 @@
             or limit.may_accept_to_reject()
             or limit.connection_to_end(monotonic()) is not None
         )
-        if not free and not (limit.may_accept_unclassified() and self._early_rejection.has_time()):
+        if not free and not (
+            limit.may_accept_unclassified() and self._early_rejection.has_cpu_time()
+        ):
             return False
-        if self._descriptors.spare() > -EXCESS:
+        if self._descriptors.spare() > -MAX_EXCESS_DESCRIPTORS:
             return True
         if limit.has_place():
-            self._drop_upstream()
-        elif (one := limit.connection_to_end(monotonic())) is not None:
-            # Ended at the accept it would need a descriptor more for that moment, which there is
-            # not: nobody would come in until those who hold them all go by themselves.
-            one.abort()
+            self._drop_idle_upstream_connections()
+        elif (candidate := limit.connection_to_end(monotonic())) is not None:
+            # Closing it at the accept would need one more descriptor for a moment, and none is
+            # left: no client would be accepted until others disconnect by themselves.
+            candidate.abort()
             self._acceptor.descriptors_freeing = True
         return False
 
-    def _drop_upstream(self) -> None:
-        """Drop idle connections to hosts for clients that wait.
+    def _drop_idle_upstream_connections(self) -> None:
+        """Close idle host connections to free descriptors for waiting clients.
 
-        Their descriptors are free in the loop's next turn, and no client is taken on them before;
-        twice as many go with each turn in which that was too few.
+        The descriptors are free in the next iteration of the event loop, and no client is accepted
+        on them before. The number doubles with each call until it is sufficient.
         """
         now = monotonic()
-        self._dropped = (
-            min(2 * self._dropped, MOST_DROPPED) if now - self._dropped_at < DROPPED_S else 1
+        self._drop_count = (
+            min(2 * self._drop_count, MAX_DROPPED_AT_ONCE)
+            if now - self._dropped_at < DROP_RESET_S
+            else 1
         )
         self._dropped_at = now
-        for _ in range(self._dropped):
+        for _ in range(self._drop_count):
             if not self._drop_idle_upstream():
                 break
             self._acceptor.descriptors_freeing = True
 
     def end_silent_connection(self) -> bool:
-        """End a silent client connection so that a connection to a host can be opened.
+        """Close a silent client connection so that a connection to a host can be opened.
 
-        Done where clients hold all their places and more; the descriptor is free in the next
-        iteration of the event loop. False: there is none to end. An idle connection between two
-        requests is not ended: its client counts on it, and is better off with a rejection of
-        another's request.
+        Used when clients hold all their places or more; the descriptor is free in the next
+        iteration of the event loop. Return False if there is none to close. A connection that
+        rests between two requests is not closed: its client relies on it, and rejecting another
+        client's request does less harm.
         """
         limit = self.connection_limit
-        one = None if limit.has_place() else limit.connection_to_end(monotonic())
-        if one is None or limit.state(one) is ConnectionState.RESTING:
+        candidate = None if limit.has_place() else limit.connection_to_end(monotonic())
+        if candidate is None or limit.state(candidate) is ConnectionState.RESTING:
             return False
-        one.abort()
+        candidate.abort()
         return True
 
-    def _take(self, sock: socket.socket) -> ClientConnection | None:
-        """One has been accepted.
+    def _accept_connection(self, sock: socket.socket) -> ClientConnection | None:
+        """Create the connection for an accepted socket; return None if it was rejected.
 
-        Past the places another ends for it, if there is one to end; else it is turned away, if it
-        has asked for something that can be refused.
+        Beyond the places, another connection is closed for it. If none can be closed, its request
+        is rejected where the fast path can do so; otherwise the connection is accepted.
         """
         now = monotonic()
         limit = self.connection_limit
-        one = None
+        candidate = None
         if not limit.has_place():
-            one = limit.connection_to_end(now)
-            # Those who have said nothing yet may never: they are no reason to refuse one who has.
+            candidate = limit.connection_to_end(now)
+            # Silent connections may never send a request, so they do not count as a reason to
+            # reject one.
             full = limit.busy >= limit.most_connections and not limit.may_accept_to_reject()
-            if one is None and self._early_rejection.reject(sock, now, full):
+            if candidate is None and self._early_rejection.reject(sock, now, full):
                 return None
         connection = ClientConnection(self, sock)
         self._descriptors.used += 1
-        limit.set_state(connection, ConnectionState.UNHEARD, now)
-        if one is not None:
-            one.abort()
+        limit.set_state(connection, ConnectionState.SILENT, now)
+        if candidate is not None:
+            candidate.abort()
             self._acceptor.descriptors_freeing = True
         return connection
 
-    def adopt(self, sock: socket.socket, brought: int) -> None:
-        """A connection comes from another process of this gateway, between two requests."""
+    def adopt(self, sock: socket.socket, requests_served: int) -> None:
+        """Take over a connection from another process of this gateway, between two requests."""
         sock.setblocking(False)
         connection = ClientConnection(self, sock)
-        connection.arrives(brought)
+        connection.restore_requests_served(requests_served)
         self._descriptors.used += 1
         self.connection_limit.set_state(connection, ConnectionState.RESTING, monotonic())
         self._acceptor.bring_up(sock, connection)
 
-    # What connections tell of themselves.
+    # State changes, called by connections.
 
     def mark_receiving(self, connection: ClientConnection, body: bool) -> None:
-        """Part of a request has come, of its `body` where that has begun: it gets on.
+        """Note that a part of a request was received; `body` tells whether its body has begun.
 
-        Whoever sends its head in pieces does not, and a connection with a request that waits for
-        its turn is busy.
+        Further parts of a body count as progress, further parts of a head do not. A connection with
+        a queued request stays busy.
         """
         state = self.connection_limit.state(connection)
         if state is None or state is ConnectionState.BUSY:
             return
-        if body or state is not ConnectionState.WRITING:
-            self.connection_limit.set_state(connection, ConnectionState.WRITING, monotonic())
+        if body or state is not ConnectionState.RECEIVING:
+            self.connection_limit.set_state(connection, ConnectionState.RECEIVING, monotonic())
 
     def mark_busy(self, connection: ClientConnection) -> None:
-        """It is not ended to make room."""
+        """Note that the connection must not be closed to make room."""
         if self.connection_limit.state(connection) is not None:
             self.connection_limit.set_state(connection, ConnectionState.BUSY, monotonic())
 
     def mark_resting(self, connection: ClientConnection) -> None:
-        """It is between two requests."""
+        """Note that the connection is between two requests; close those resting too long."""
         if self.connection_limit.state(connection) is None:
             return
         now = monotonic()
         self.connection_limit.set_state(connection, ConnectionState.RESTING, now)
-        for _ in range(OVERSTAYED):
-            longest = self.connection_limit.overstayed(now)
-            if longest is None or longest is connection:
+        for _ in range(MAX_RESTING_ENDED):
+            longest_resting = self.connection_limit.longest_resting_to_end(now)
+            if longest_resting is None or longest_resting is connection:
                 return
-            longest.abort()
+            longest_resting.abort()
 
     def mark_leaving(self, connection: ClientConnection) -> None:
-        """It has its last answer, and needs no more than time to read it."""
+        """Note that the last response was written, which the client only has to read."""
         if self.connection_limit.state(connection) is not None:
             self.connection_limit.set_state(connection, ConnectionState.LEAVING, monotonic())
 
     def mark_closing(self, connection: ClientConnection) -> None:
-        """Ended, though its descriptor is in use until the loop comes round to it."""
+        """Note a close; the descriptor stays in use until the event loop closes the socket."""
         self.connection_limit.remove(connection)
 
     def mark_closed(self, connection: ClientConnection) -> None:
-        """Its descriptor is free."""
+        """Note that the socket was closed and its descriptor is free."""
         self._descriptors.used -= 1
         self.mark_closing(connection)
 
     # Pressure.
 
     def pressed(self) -> bool:
-        """Whether some may have to be refused.
+        """Whether requests may have to be rejected.
 
-        Then a request is looked at before it costs a parser.
+        If so, connections try the fast-path parse before the full parser.
         """
         limit = self.connection_limit
         return self.admission.waiting > 0 or 2 * limit.busy > limit.most_connections
 
     def rejection(self) -> bytes:
-        """A whole answer that turns a request away."""
+        """Return a complete response that rejects a request."""
         return self._rejections.closing() if self.draining else self._rejections.keep_alive()
 
-    # Time limits and the end.
+    # Time limits and shutdown.
 
     def enforce_time_limits(self) -> None:
-        """Called now and then: end what takes too long."""
+        """Close connections past their time limits; called periodically."""
         now = monotonic()
         for connection in self.connection_limit.connections():
             connection.enforce_time_limits(now)
         self.scheduler.log_rejections()
 
     def stop_listening(self) -> None:
-        """The platform's load balancer sends no more connections: accept none, close idle ones."""
+        """Stop accepting and close idle connections; the load balancer sends no new ones."""
         self._acceptor.close()
         self.close_idle()
 
     def break_off(self) -> None:
-        """The time is up: what is still on its way is not going to be whole."""
+        """Reset connections whose response is still being streamed, at the end of shutdown."""
         for connection in self.connection_limit.connections():
             connection.break_off()
 
     def close_idle(self) -> None:
-        """End what is between two requests.
+        """Close connections that are between two requests.
 
-        Not one that came a moment ago, whose request is on its way, nor one whose answer has not
-        left this process.
+        Excluded are new connections, whose first request may be in transit, and those with response
+        bytes buffered in this process.
         """
-        settled = monotonic() - UNHEARD_S
+        settled_before = monotonic() - MIN_SILENT_S
         for connection in self.connection_limit.connections():
-            unheard = self.connection_limit.state(connection) is ConnectionState.UNHEARD
-            if connection.may_end() and not (unheard and connection.last_change > settled):
+            silent = self.connection_limit.state(connection) is ConnectionState.SILENT
+            if connection.may_end() and not (silent and connection.last_change > settled_before):
                 connection.abort()
 
 
 def _client_connections(descriptors: Descriptors) -> int:
-    """For clients; the other half is the hosts': each request needs one there."""
+    """Half of the descriptors; the other half is for host connections, one per request."""
     return max(1, descriptors.limit // 2)
 
 
 def _full_value_us(route: Route) -> int:
-    """The time in which an answer of this route has value."""
+    """Return the time (µs) within which a response of this route has its full value."""
     if route.latency_objective_us and not route.late_weight:
         return route.latency_objective_us
     return route.deadline_us
 
 
 def _retry_after_us(config: Config) -> int:
-    """The longest wait told with a refusal; 0 where none may be told."""
+    """Return the longest `Retry-After` of a rejection (µs); 0 if the settings allow none."""
     settings = config.settings
     return settings.max_retry_after_us if settings.retry_after_allowed else 0
 
 
 def _admission(config: Config, places: int) -> AdmissionQueue:
-    """The admission queue as the settings have it."""
+    """Create the admission queue from the settings."""
     settings = config.settings
     return AdmissionQueue(
         [
--- a/quillroad/downstream/state.py
+++ b/quillroad/downstream/state.py
@@ -1,44 +1,43 @@
-"""The states of one client connection, and which event leads from which to which.
+"""State machines of a client connection.
 
-A connection has two machines that run side by side, as in h11: clients may send requests ahead, so
-what comes in is not in step with what goes out.
+A connection has two independent state machines, as in h11: clients may pipeline requests, so input
+and output are not in step.
 
-`ReadState` is how far the parser has come with what the client sends:
+`ReadState` is the progress of the parser through the client's input:
 
     BETWEEN --BEGIN---------> HEAD
     HEAD    --HEAD_COMPLETE-> BODY
     BODY    --COMPLETE------> BETWEEN
-    any     --END-----------> ENDED    nothing more can be read, or the last answer is out
+    any     --END-----------> ENDED    the input cannot be parsed, or the last response was written
 
-`AnswerState` is what the connection owes its client:
+`AnswerState` is the progress of the current request and its response:
 
-    IDLE      --QUEUE------> QUEUED     a request waits for the gateway's core
-    QUEUED    --DISPATCH---> IDLE       the core has time for it
-    IDLE      --SERVE------> SERVING    it is with the engine, or is answered at once
+    IDLE      --QUEUE------> QUEUED     a request waits in the admission queue
+    QUEUED    --DISPATCH---> IDLE       the scheduler begins it
+    IDLE      --SERVE------> SERVING    the engine has it, or it is answered at once
     SERVING   --FINISH-----> IDLE
-    SERVING   --STREAM-----> STREAMING  a long answer goes on as it comes
+    SERVING   --STREAM-----> STREAMING  a long response is passed on as it is received
     STREAMING --FINISH-----> IDLE
     IDLE      --HOLD-------> MIGRATING  another process of this gateway may take it over
     MIGRATING --RELEASE----> IDLE
-    any       --DISCONNECT-> CLOSED     its transport is gone
+    any       --DISCONNECT-> CLOSED     the transport is closed
 
-A connection whose input has ended still owes the answers to what came before: ENDED with SERVING is
-usual.
+Requests received before the input ended are still answered: ENDED with SERVING is usual.
 
-Beside the two machines there are conditions that are true or not in any of these states, and
-therefore are attributes of their own:
+Conditions that are independent of both state machines are separate attributes:
 
-- `ClientConnection.reading_paused`: the transport reads nothing, as more was read than may be
-  parsed now.
-- `ClientConnection.may_have_disconnected`: nothing was read since reading paused, not even that the
-  client has closed.
-- `ClientConnection.output_pending`: bytes of an answer have not left this process.
-- `ClientConnection._advancing`: the step to the next request runs and must not be entered again.
-- `ClientConnection._read_before`: some bytes have come; before that the kernel may have held them.
-- `RequestParser.continue_sent`: the client that asked whether to send its body was told so.
+- `ClientConnection.reading_paused`: reading from the transport is paused, because the backlog of
+  parsed requests is full, a request is queued, or the connection is being migrated.
+- `ClientConnection.may_have_disconnected`: nothing was read since reading paused, so a disconnect
+  of the client may not have been noticed.
+- `ClientConnection.output_pending`: response bytes are buffered in this process.
+- `ClientConnection._advancing`: `_advance`, or the parsing in `begin`, runs and `_advance` must not
+  be entered again.
+- `ClientConnection._has_read`: data was read; the first data may have waited in the kernel.
+- `RequestParser.continue_sent`: `100 Continue` was sent for the current request.
 
-Both tables raise `TransitionError` for an event that does not belong to a state.
-`tests/downstream/test_state.py` walks them whole.
+Both tables raise `TransitionError` for an event that is not allowed in a state.
+`tests/downstream/test_state.py` checks every combination.
 """
 
 from __future__ import annotations
@@ -48,16 +47,16 @@
 
 
 class ReadState(IntEnum):
-    """How far the client's bytes are parsed."""
+    """Progress of the parser through the client's input."""
 
-    BETWEEN = 0  # behind the last whole request; nothing of another has come
+    BETWEEN = 0  # no request has begun since the last complete one
     HEAD = 1
-    BODY = 2  # the head is whole; the request may be, too, with the parser's next callback
-    ENDED = 3  # nothing more is taken as a request
+    BODY = 2  # the head is complete; a request without body completes with the next callback
+    ENDED = 3  # no more requests are parsed
 
 
 class ReadEvent(IntEnum):
-    """What the parser finds, or the connection decides, about the input."""
+    """Event of the parser, or the end of the input."""
 
     BEGIN = 0
     HEAD_COMPLETE = 1
@@ -66,33 +65,33 @@
 
 
 class AnswerState(IntEnum):
-    """What the connection owes its client."""
+    """Progress of the current request and its response."""
 
-    IDLE = 0  # no answer to a request that was begun
-    QUEUED = 1  # a request waits for the gateway's core
-    SERVING = 2  # a request was begun and is owed its answer
-    STREAMING = 3  # the head of a long answer is out, its rest follows
-    MIGRATING = 4  # held for another process of this gateway, which may take the connection over
-    CLOSED = 5  # the transport is gone
+    IDLE = 0  # no request was begun whose answer is due
+    QUEUED = 1  # a request waits in the admission queue
+    SERVING = 2  # a request was begun, its response is due
+    STREAMING = 3  # the head of a long response was written, its body follows
+    MIGRATING = 4  # offered to another process of this gateway
+    CLOSED = 5  # the transport is closed
 
 
 class AnswerEvent(IntEnum):
-    """What happens to a request and its answer."""
+    """Event of a request, its response or the connection."""
 
     QUEUE = 0
-    DISPATCH = 1  # the core has time for what was queued
+    DISPATCH = 1  # the scheduler begins the queued request
     SERVE = 2
     STREAM = 3
     FINISH = 4
     HOLD = 5
-    RELEASE = 6  # the connection stays here after all, or is another process's now
+    RELEASE = 6  # the migration was cancelled or completed
     DISCONNECT = 7
 
 
 class TransitionError(Exception):
-    """An event came in a state that it does not belong to.
+    """An event occurred in a state that does not allow it.
 
-    A fault of the gateway, never of a client.
+    This is a bug in the gateway; no input of a client may cause it.
     """
 
     def __init__(self, state: IntEnum, event: IntEnum) -> None:
@@ -101,9 +100,9 @@
         self.event = event
 
 
-# Part of a request has come, and not all of it.
+# A request was received in part.
 PARTIAL = frozenset((ReadState.HEAD, ReadState.BODY))
-# No request was begun; one may wait for the core.
+# No request was begun; one may wait in the admission queue.
 NOT_BEGUN = frozenset((AnswerState.IDLE, AnswerState.QUEUED))
 
 State = TypeVar("State", bound=IntEnum)
@@ -111,11 +110,10 @@
 
 
 class Transitions(dict[Event, State], Generic[Event, State]):
-    """The events allowed in one state, with the state that each leads to.
+    """Allowed events of one state, with the state that each leads to.
 
-    Others raise `TransitionError`.
-
-    A dictionary, so that a step on the path of each request is one lookup and no call.
+    A lookup of another event raises `TransitionError`. A dictionary, so that a transition on the
+    path of each request costs one lookup and no call.
     """
 
     def __init__(self, state: State, following: dict[Event, State]) -> None:
@@ -139,7 +137,7 @@
         ReadState.BODY,
         {ReadEvent.COMPLETE: ReadState.BETWEEN, ReadEvent.END: ReadState.ENDED},
     ),
-    # The end of the input and the close after the last answer both come, in either order.
+    # The end of the input and the close after the last response both send END, in either order.
     Transitions(ReadState.ENDED, {ReadEvent.END: ReadState.ENDED}),
 )
 
@@ -149,7 +147,7 @@
         {
             AnswerEvent.QUEUE: AnswerState.QUEUED,
             AnswerEvent.SERVE: AnswerState.SERVING,
-            # A request whose beginning raised is answered with 500 by whoever called for it.
+            # If beginning a request raised an exception, the scheduler answers it with 500.
             AnswerEvent.FINISH: AnswerState.IDLE,
             AnswerEvent.HOLD: AnswerState.MIGRATING,
             AnswerEvent.DISCONNECT: AnswerState.CLOSED,
@@ -187,7 +185,7 @@
     Transitions(
         AnswerState.CLOSED,
         {
-            # The engine and the other process hear of the departure a little later than it happens.
+            # The engine and the other process learn of a disconnect with a delay.
             AnswerEvent.FINISH: AnswerState.CLOSED,
             AnswerEvent.RELEASE: AnswerState.CLOSED,
         },
--- a/tests/downstream/test_connection_places.py
+++ b/tests/downstream/test_connection_places.py
@@ -79,7 +79,7 @@
     """Connections between two requests belong to usual clients: the never-heard go before them."""
     async with world(serve_ok, limits={"sockets": 24 + 16}) as w, w.client() as usual:
         assert (await usual.ask()).status == 200
-        monkeypatch.setattr(connection_limit, "UNHEARD_S", -1.0)
+        monkeypatch.setattr(connection_limit, "MIN_SILENT_S", -1.0)
         silent = [await w.client().__aenter__() for _ in range(30)]
         assert await at_end(silent[0]) == b""
         assert (await usual.ask()).status == 200
@@ -112,7 +112,7 @@
     them.
     """
     monkeypatch.setattr(connection_output, "LINGER_S", 1000.0)
-    monkeypatch.setattr(connection_limit, "UNHEARD_S", -1.0)
+    monkeypatch.setattr(connection_limit, "MIN_SILENT_S", -1.0)
     async with world(serve_ok, limits={"sockets": 24 + 16}) as w:
         bad = [await w.client().__aenter__() for _ in range(8)]
         for client in bad:
--- a/tests/downstream/test_descriptors.py
+++ b/tests/downstream/test_descriptors.py
@@ -209,7 +209,7 @@
                 reply.status for reply in await asyncio.gather(*(one.ask() for one in few))
             } == {200}
         held = w.gateway.server._descriptors
-        silent = await silent_ones(w, lambda: held.spare() <= -server.EXCESS)
+        silent = await silent_ones(w, lambda: held.spare() <= -server.MAX_EXCESS_DESCRIPTORS)
         async with w.client() as late:
             assert (await late.ask()).status == 200
         for client in (*few, *silent):
@@ -259,7 +259,7 @@
     """They are too new to end, and hold every place and the places of those who are to be
     refused.
     """
-    monkeypatch.setattr(connection_limit, "UNHEARD_S", 3600.0)
+    monkeypatch.setattr(connection_limit, "MIN_SILENT_S", 3600.0)
     async with world(serve_ok, limits={"sockets": RESERVED + 32}) as w:
         silent = await silent_ones(
             w, lambda: not w.gateway.server.connection_limit.may_accept_to_reject()
--- a/tests/downstream/test_long_answers.py
+++ b/tests/downstream/test_long_answers.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quillroad.downstream.time_limits import UNREAD_S
+from quillroad.downstream.time_limits import OUTPUT_STALL_S
 from quillroad.http_answer import StreamedBody
 from quillroad.overload.socket_age import unacknowledged
 from quillroad.upstream.pool import SETTLE_S
@@ -119,7 +119,7 @@
         w.hosts[0].behave = serve_ok
         at_rest = monotonic()
         await until(lambda: monotonic() > at_rest + SETTLE_S)
-        async with asyncio.timeout(UNREAD_S):
+        async with asyncio.timeout(OUTPUT_STALL_S):
             assert (await client.ask()).status == 200
         assert len(w.hosts[0].writers) == 1  # by the same connection
 
@@ -262,11 +262,11 @@
         )
         (connection,) = w.gateway.server.connection_limit.connections()
         connection.enforce_time_limits(monotonic())  # how much is left is looked at
-        connection.last_change -= UNREAD_S + 1
+        connection.last_change -= OUTPUT_STALL_S + 1
         connection._unread_bytes += 1  # it has taken something since
         connection.enforce_time_limits(monotonic())
         assert len(w.gateway.server.connection_limit) == 1
-        connection.last_change -= UNREAD_S + 1
+        connection.last_change -= OUTPUT_STALL_S + 1
         connection.enforce_time_limits(monotonic())
         assert len(w.gateway.server.connection_limit) == 0
 
--- a/tests/downstream/test_request_parser.py
+++ b/tests/downstream/test_request_parser.py
@@ -14,7 +14,7 @@
 
 import quillroad.downstream
 from quillroad.config import SHORT_BODY
-from quillroad.downstream.request_parser import MAX_AHEAD, PendingRequest, RequestParser
+from quillroad.downstream.request_parser import MAX_PIPELINED, PendingRequest, RequestParser
 from quillroad.downstream.request_validation import RequestValidator
 from quillroad.downstream.responses import chunk, rejection, response, streamed_head
 from quillroad.downstream.state import ReadState
@@ -82,7 +82,7 @@
     data = GET % 1
     parser = new_parser()
     got = read(parser, [data[:at] + rubbish + data[at:]])
-    assert all(400 <= one.status < 500 for one in got if one.request is None and one.why)
+    assert all(400 <= one.status < 500 for one in got if one.request is None and one.reason)
     assert parser.state in ReadState
 
 
@@ -91,7 +91,7 @@
     parser = new_parser()
     parser.append(b"".join(GET % number for number in range(100)))
     parser.feed()
-    assert MAX_AHEAD <= len(parser.backlog) < 40
+    assert MAX_PIPELINED <= len(parser.backlog) < 40
     assert parser.unparsed
 
 
@@ -117,7 +117,7 @@
     assert read(parser, [POST % (1, 200_000) + b"x" * 100_000]) == []
     parser.fail(RequestTimeoutError())
     (failed,) = parser.backlog
-    assert (failed.status, failed.reserved, failed.keep) == (408, 100_000, False)
+    assert (failed.status, failed.reserved, failed.keep_alive) == (408, 100_000, False)
     assert parser.close() == 100_000
 
 
@@ -125,22 +125,22 @@
     """Only this 503 counts for its route: nothing is wrong with the request."""
     parser = new_parser(LONG, budget=70_000)
     (failed,) = read(parser, [POST % (1, 200_000) + b"x" * 100_000])
-    assert (failed.status, failed.route, failed.why) == (503, 2, "no memory for a body")
+    assert (failed.status, failed.route, failed.reason) == (503, 2, "no memory for a body")
     assert parser.close() == 0
 
 
 def test_a_head_or_framing_without_end_is_bounded() -> None:
     """Neither a header's name nor a chunk's extension reaches a callback before it ends."""
     (head,) = read(new_parser(), [b"GET /status-check/k HTTP/1.1\r\n" + b"n" * (3 * HEAD_LIMIT)])
-    assert (head.status, head.why) == (431, "head too long")
+    assert (head.status, head.reason) == (431, "head too long")
     chunked = b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;"
     (framing,) = read(new_parser(), [chunked + b"e" * (20 * HEAD_LIMIT)])
-    assert (framing.status, framing.why) == (413, "request too long")
+    assert (framing.status, framing.reason) == (413, "request too long")
 
 
 def test_a_body_longer_than_the_limit_is_an_error_before_it_comes() -> None:
     (error,) = read(new_parser(), [POST % (1, SHORT_BODY + 1)])
-    assert (error.status, error.why, error.keep) == (413, "body too long", False)
+    assert (error.status, error.reason, error.keep_alive) == (413, "body too long", False)
 
 
 @pytest.mark.parametrize(
--- a/tests/downstream/test_time_limits.py
+++ b/tests/downstream/test_time_limits.py
@@ -9,7 +9,7 @@
 from quillroad.downstream import time_limits
 from quillroad.downstream.connection_limit import ConnectionState
 from quillroad.downstream.state import PARTIAL
-from quillroad.downstream.time_limits import RECEIVE_S, UNREAD_S
+from quillroad.downstream.time_limits import OUTPUT_STALL_S, RECEIVE_S
 from tests.downstream.clients import at_end, joined
 from tests.net import (
     answer,
@@ -47,7 +47,7 @@
             client.send()
             await asyncio.sleep(0)
         for connection in room.connections():
-            connection.last_change -= UNREAD_S + 1
+            connection.last_change -= OUTPUT_STALL_S + 1
         await until(lambda: not len(room))
 
 
@@ -75,7 +75,7 @@
     async with world(serve_ok) as w, w.client() as once, w.client() as usual:
         for _ in range(2):
             assert (await usual.ask()).status == 200
-        monkeypatch.setattr(time_limits, "IDLE_ONCE_S", -1.0)
+        monkeypatch.setattr(time_limits, "IDLE_AFTER_ONE_REQUEST_S", -1.0)
         assert (await once.ask()).status == 200
         assert await at_end(once) == b""
         assert (await usual.ask()).status == 200
