--- a/quillroad/downstream/connection_limit.py
+++ b/quillroad/downstream/connection_limit.py
@@ -37,11 +37,11 @@
 # Unclassified connections, accepted beyond all of these although the fast path may not be able to
 # reject their request: at most this number and this fraction of the places, as otherwise silent
 # clients would hold the hosts' half of the descriptors.
-MAX_UNCLASSIFIED = 32
+MAX_UNCLASSIFIED_CONNECTIONS = 32
 UNCLASSIFIED_FRACTION = 0.25
 # Connections of each state that are checked for unread bytes in a search for one to close: each
 # check is a system call.
-MAX_CHECKED = 8
+MAX_CHECKED_CONNECTIONS = 8
 
 
 class ConnectionState(IntEnum):
@@ -73,7 +73,9 @@
         self._max_with_rejections = places + int(REJECTION_FRACTION * places)
         self._max_resting = int(RESTING_PART * places)
         self._max_receiving = int(RECEIVING_FRACTION * places)
-        self._max_unclassified = min(MAX_UNCLASSIFIED, int(UNCLASSIFIED_FRACTION * places))
+        self._max_unclassified = min(
+            MAX_UNCLASSIFIED_CONNECTIONS, int(UNCLASSIFIED_FRACTION * places)
+        )
 
     def __len__(self) -> int:
         return len(self._states)
@@ -143,7 +145,7 @@
         self, oldest_first: Iterable[tuple[Connection, float]], before: float
     ) -> Connection | None:
         """Return a connection without unread bytes that entered its state before `before`."""
-        for connection, since in islice(oldest_first, MAX_CHECKED):
+        for connection, since in islice(oldest_first, MAX_CHECKED_CONNECTIONS):
             if since >= before:
                 return None
             if not self._unread(connection):
@@ -173,7 +175,7 @@
         """
         if len(self._resting) <= self._max_resting:
             return None
-        for connection, since in islice(self._resting.items(), MAX_CHECKED):
+        for connection, since in islice(self._resting.items(), MAX_CHECKED_CONNECTIONS):
             if since > now - MIN_REST_S:
                 return None
             if not self._unread(connection):
--- a/quillroad/downstream/early_rejection.py
+++ b/quillroad/downstream/early_rejection.py
@@ -109,9 +109,8 @@
                 if route is None:
                     return False
                 self._on_end(route, 503)
-                sock.recv(
-                    MAX_HEAD_BYTES
-                )  # a close with unread bytes sends RST and may lose the response
+                # A close with unread bytes would send RST, and the client could lose the response.
+                sock.recv(MAX_HEAD_BYTES)
                 sock.send(self._rejections.closing())
         except BlockingIOError:
             return False
--- a/quillroad/downstream/request_parser.py
+++ b/quillroad/downstream/request_parser.py
@@ -31,7 +31,9 @@
 log = logging.getLogger("quillroad.downstream")
 
 HEALTH_CHECK_PATH = b"/up"  # path of the platform's health check
-MAX_PIPELINED = 2  # parsed requests in the backlog of a connection: one is served at a time
+MAX_PIPELINED_REQUESTS = (
+    2  # parsed requests in the backlog of a connection: one is served at a time
+)
 HEADER_OVERHEAD_BYTES = 4  # beside name and value: colon, space, CR, LF
 SLICE_BYTES = 2048  # parsed at a time, a few requests: one read can contain hundreds
 BODY_SLICE_BYTES = 64 * 1024  # the same within a body, which contains no further request
@@ -91,9 +93,8 @@
         self.backlog: deque[PendingRequest] = deque()
         self.begun = 0
         self.completed = 0
-        self._callback_error: BadRequestError | None = (
-            None  # raised in a callback: httptools wraps it
-        )
+        # Error raised in a callback, which httptools wraps.
+        self._callback_error: BadRequestError | None = None
         self._url = b""
         self._headers: list[tuple[bytes, bytes]] = []
         self._body = bytearray()
@@ -112,7 +113,11 @@
 
         The rest stays in `unparsed`.
         """
-        while self.unparsed and len(self.backlog) < MAX_PIPELINED and self._parser is not None:
+        while (
+            self.unparsed
+            and len(self.backlog) < MAX_PIPELINED_REQUESTS
+            and self._parser is not None
+        ):
             step = STEP_BYTES[self.state]
             data = self.unparsed[self.parsed : self.parsed + step]
             self.parsed += step
@@ -157,7 +162,7 @@
             ):
                 # An unexpected exception in a callback below: a bug here, not an error of the
                 # client.
-                log.error("a fault in parsing", exc_info=error.__context__)
+                log.error("unexpected exception in a parser callback", exc_info=error.__context__)
         # Only a 503 counts as a rejection of its route: the request itself is valid.
         route = self._validator.route_of(self._url) if bad_request.status == 503 else None
         self.fail(bad_request, -1 if route is None else route)
--- a/quillroad/downstream/server.py
+++ b/quillroad/downstream/server.py
@@ -29,11 +29,11 @@
 MAX_EXCESS_DESCRIPTORS = RESERVED // 4
 # Idle host connections dropped for clients at a time: the number doubles up to this limit while it
 # is too small.
-MAX_DROPPED_AT_ONCE = 64
+MAX_CONNECTIONS_DROPPED = 64
 # Time without drops after which the number starts at one again.
 DROP_RESET_S = 0.05
 # Resting connections closed per response: with one only, their number would never fall.
-MAX_RESTING_ENDED = 2
+MAX_RESTING_CLOSED = 2
 # The seed modulo this prime is the first phase of the Retry-After jitter, so that gateways with
 # neighbouring seeds do not send the same times.
 JITTER_MODULUS = 997
@@ -163,7 +163,7 @@
         """
         now = monotonic()
         self._drop_count = (
-            min(2 * self._drop_count, MAX_DROPPED_AT_ONCE)
+            min(2 * self._drop_count, MAX_CONNECTIONS_DROPPED)
             if now - self._dropped_at < DROP_RESET_S
             else 1
         )
@@ -246,7 +246,7 @@
             return
         now = monotonic()
         self.connection_limit.set_state(connection, ConnectionState.RESTING, now)
-        for _ in range(MAX_RESTING_ENDED):
+        for _ in range(MAX_RESTING_CLOSED):
             longest_resting = self.connection_limit.longest_resting_to_end(now)
             if longest_resting is None or longest_resting is connection:
                 return
--- a/tests/downstream/clients.py
+++ b/tests/downstream/clients.py
@@ -1,4 +1,4 @@
-"""What several tests of the client side ask of a client or a connection."""
+"""Helpers that several tests of client connections share."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 )
 
 
-async def at_end(client: Client) -> bytes:
-    """All that comes until the gateway ends the connection; nothing if it ends by a reset, as it
-    may where the client was still sending.
+async def read_until_closed(client: Client) -> bytes:
+    """Return all bytes up to the end of the connection; none if it is reset, which is possible
+    while the client is still sending.
     """
     try:
         return await client.reader.read()
@@ -24,11 +24,11 @@
         return b""
 
 
-async def joined(w: World) -> ClientConnection:
-    """The one connection of a client, once the gateway has it."""
+async def only_connection(w: World) -> ClientConnection:
+    """Wait until the gateway has one client connection, and return it."""
     await until(lambda: len(w.gateway.server.connection_limit) == 1)
     return w.gateway.server.connection_limit.connections()[0]
 
 
-async def refuse_unseen(message: Message, writer: asyncio.StreamWriter) -> None:
+async def reject_not_started(message: Message, writer: asyncio.StreamWriter) -> None:
     writer.write(answer(b"", "503 Busy", "Not-Started: 1"))
--- a/tests/downstream/long_bodies.py
+++ b/tests/downstream/long_bodies.py
@@ -1,4 +1,4 @@
-"""Long bodies, and hosts that send them."""
+"""Long bodies for tests, and hosts that send them."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from tests.net import Message, World
 
-OPS = {"admin_addr": "127.0.0.1:0"}  # what allows long bodies
+LONG_BODY_SETTINGS = {"admin_addr": "127.0.0.1:0"}  # long bodies are allowed with an admin address
 SIZE = 6 * 1024 * 1024
 BODY = b"".join(hashlib.blake2b(b"%d" % i).digest() for i in range(SIZE // 64))
 
 
-def by_length(body: bytes) -> list[bytes]:
+def with_length(body: bytes) -> list[bytes]:
     return [b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body), body]
 
 
-def by_chunks(body: bytes) -> list[bytes]:
+def with_chunks(body: bytes) -> list[bytes]:
     parts = [body[i : i + 50_000] for i in range(0, len(body), 50_000)]
     told = [b"%x;note=x\r\n%b\r\n" % (len(part), part) for part in parts]
     hints = b"HTTP/1.1 103 Early Hints\r\n\r\n"
@@ -25,7 +25,7 @@
     return [hints, head, *told, b"0\r\nSum: 1\r\n\r\n"]
 
 
-def by_close(body: bytes) -> list[bytes]:
+def until_close(body: bytes) -> list[bytes]:
     return [b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", body]
 
 
@@ -40,7 +40,7 @@
     return behave
 
 
-def at_base(w: World) -> bool:
+def all_released(w: World) -> bool:
     gateway = w.gateway
     held = len(gateway.server.connection_limit) + gateway.upstream.idle_connections
     return (
--- a/tests/downstream/test_bad_requests.py
+++ b/tests/downstream/test_bad_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are invalid or cannot be read: parser, framing and validation on real sockets."""
+"""Requests that are invalid or cannot be parsed, on real sockets."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 import pytest
 
 from quillroad.balancing.tenant_quota import is_over_quota
-from tests.downstream.clients import at_end
+from tests.downstream.clients import read_until_closed
 from tests.net import (
     on_loop,
     serve_ok,
     world,
 )
 
-GOOD = b"Request-Id: z\r\nTenant: acme\r\nRequest-Timeout-Ms: 900\r\n"
+VALID_HEADERS = b"Request-Id: z\r\nTenant: acme\r\nRequest-Timeout-Ms: 900\r\n"
 
 
 @pytest.mark.parametrize(
@@ -41,12 +41,10 @@
 async def test_invalid_requests_get_an_error_and_reach_no_host(
     path: str, headers: dict[str, Any], status: int
 ) -> None:
-    """The framing is whole in each of these, so the connection serves the next request."""
+    """The framing of each is complete, so the connection serves the next request."""
     async with world(serve_ok) as w, w.client() as client:
         assert (await client.ask(path, **headers)).status == status
-        assert (
-            await client.ask()
-        ).status == 200  # its framing was whole, so the connection serves on
+        assert (await client.ask()).status == 200  # the connection stays open
         assert len(w.hosts[0].seen) == 1
 
 
@@ -91,27 +89,27 @@
     ],
 )
 @on_loop
-async def test_unreadable_bytes_cost_their_own_connection_only(data: bytes, status: int) -> None:
-    """Bytes that are no HTTP, or whose end is in doubt: one error, then the close; others are
-    served.
+async def test_unparsable_input_closes_only_its_own_connection(data: bytes, status: int) -> None:
+    """Input that is not HTTP or has ambiguous framing gets one error and a close; other connections
+    are served.
     """
     async with world(serve_ok) as w, w.client() as client, w.client() as other:
         client.writer.write(data)
         assert (await client.receive()).status == status
-        assert await at_end(client) == b""
+        assert await read_until_closed(client) == b""
         assert (await other.ask()).status == 200
         assert len(w.hosts[0].seen) == 1
 
 
 @on_loop
-async def test_an_offered_upgrade_is_not_taken_up() -> None:
-    """One answer, then the end: the parser can read nothing more on that connection."""
+async def test_an_upgrade_request_is_served_without_upgrading() -> None:
+    """One response, then a close: the parser cannot go on after an upgrade request."""
     async with world(serve_ok) as w, w.client() as client:
         head = b"GET /status-check/k HTTP/1.1\r\nUpgrade: x\r\nConnection: upgrade\r\n"
-        client.writer.write(head + GOOD + b"\r\n")
+        client.writer.write(head + VALID_HEADERS + b"\r\n")
         got = await client.receive()
         assert (got.status, got.headers["connection"]) == (200, "close")
-        assert await at_end(client) == b""
+        assert await read_until_closed(client) == b""
 
 
 @on_loop
@@ -124,7 +122,7 @@
 @on_loop
 async def test_a_chunked_request_is_forwarded_with_a_length() -> None:
     async with world(serve_ok) as w, w.client() as client:
-        head = b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n" + GOOD + b"\r\n"
+        head = b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n" + VALID_HEADERS + b"\r\n"
         client.writer.write(head + b"3\r\nabc\r\n0\r\n\r\n")
         assert (await client.receive()).status == 200
         assert w.hosts[0].seen[0].body == b"abc"
@@ -132,9 +130,9 @@
 
 @on_loop
 async def test_a_trailer_does_not_replace_a_header() -> None:
-    """A `Request-Id` behind the body would replace the one that was checked."""
+    """A `Request-Id` in the trailers would replace the one that was checked."""
     async with world(serve_ok) as w, w.client() as client:
-        head = b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n" + GOOD + b"\r\n"
+        head = b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n" + VALID_HEADERS + b"\r\n"
         client.writer.write(head + b"3\r\nabc\r\n0\r\nRequest-Id: other\r\nX: y\r\n\r\n")
         assert (await client.receive()).status == 200
         seen = w.hosts[0].seen[0].headers
@@ -144,7 +142,7 @@
 @pytest.mark.parametrize("tenant", ["stranger", None])
 @on_loop
 async def test_an_unknown_tenant_is_served_as_over_its_quota(tenant: str | None) -> None:
-    """Its requests go on, and queue last: an unknown name must not pass the quotas."""
+    """Its requests are forwarded with low priority: an unknown name must not bypass quotas."""
     async with world(serve_ok) as w, w.client() as client:
         assert (await client.ask(Tenant=tenant)).status == 200
         assert is_over_quota(w.gateway.engine._balancer, -1)
--- a/tests/downstream/test_connection_places.py
+++ b/tests/downstream/test_connection_places.py
@@ -1,11 +1,11 @@
-"""Which client connections end when there are more than places, and who is rejected."""
+"""Which client connections are closed or rejected when there are more than places."""
 
 from __future__ import annotations
 
 import pytest
 
 from quillroad.downstream import connection_limit, connection_output
-from tests.downstream.clients import at_end
+from tests.downstream.clients import read_until_closed
 from tests.net import (
     hang,
     on_loop,
@@ -16,8 +16,8 @@
 
 
 @on_loop
-async def test_idle_connections_end_for_new_ones_and_the_rest_is_rejected() -> None:
-    """Counting the descriptors keeps an accept from failing where nobody can be answered."""
+async def test_idle_connections_are_closed_for_new_ones_and_the_rest_rejected() -> None:
+    """The connection limit keeps `accept` from failing, when no client could be answered."""
     async with world(hang, limits={"sockets": 24 + 8}) as w:
         idle = await w.client().__aenter__()
         assert (await idle.ask("/up", method="GET")).status == 200
@@ -26,11 +26,9 @@
             busy.append(await w.client().__aenter__())
             busy[-1].send()
             await until(lambda number=number: len(w.gateway.engine._unanswered_ids) == number + 1)  # type: ignore[misc]
-        assert await at_end(idle) == b""
+        assert await read_until_closed(idle) == b""
         async with w.client() as client:
-            for _ in range(
-                2
-            ):  # on one connection: being turned away must not cost a new one each time
+            for _ in range(2):  # a rejection must not cost a new connection each time
                 got = await client.ask()
                 assert (got.status, got.headers["connection"]) == (503, "keep-alive")
         for client in busy:
@@ -38,11 +36,11 @@
 
 
 @on_loop
-async def test_clients_that_find_no_place_are_rejected_at_once(
+async def test_clients_beyond_the_places_are_rejected_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """They waited in the kernel until another client left, for longer than they wait for an
-    answer.
+    """Without this they wait in the kernel until another client disconnects, for longer than their
+    timeout.
     """
     async with world(hang, limits={"sockets": 24 + 8}) as w:
         server = w.gateway.server
@@ -51,12 +49,10 @@
             busy.append(await w.client().__aenter__())
             busy[-1].send()
             await until(lambda number=number: server.connection_limit.busy == number + 1)  # type: ignore[misc]
-        # As when the rest of the connections have requests that were not read yet.
+        # As if further connections had requests that were not read yet.
         monkeypatch.setattr(server.connection_limit, "may_accept_to_reject", lambda: False)
         for body in (b"", b"x" * 200):
-            server._acceptor._rest(
-                9.0
-            )  # their requests are in the kernel before the loop gets round to them
+            server._acceptor._rest(9.0)  # their requests are in the kernel before the accept
             async with w.client() as client:
                 client.send("/seat-checkout/k" if body else "/status-check/k", body)
                 await client.writer.drain()
@@ -67,7 +63,7 @@
                 assert await client.reader.read() == b""
         assert server.admission.rejected == 2
         assert len(server.connection_limit) == 4
-        async with w.client() as odd:  # what can't be told at a glance is let in, and answered
+        async with w.client() as odd:  # accepted and answered, as the fast path cannot parse it
             assert (await odd.ask(Connection="keep-alive")).status == 503
         for client in busy:
             client.writer.close()
@@ -75,13 +71,15 @@
 
 
 @on_loop
-async def test_silent_connections_end_before_idle_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections between two requests belong to usual clients: the never-heard go before them."""
+async def test_silent_connections_are_closed_before_idle_ones(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Connections between two requests are in use: silent ones are closed before them."""
     async with world(serve_ok, limits={"sockets": 24 + 16}) as w, w.client() as usual:
         assert (await usual.ask()).status == 200
         monkeypatch.setattr(connection_limit, "MIN_SILENT_S", -1.0)
         silent = [await w.client().__aenter__() for _ in range(30)]
-        assert await at_end(silent[0]) == b""
+        assert await read_until_closed(silent[0]) == b""
         assert (await usual.ask()).status == 200
         await until(lambda: len(w.gateway.server.connection_limit) == 8)
         for client in silent:
@@ -89,14 +87,12 @@
 
 
 @on_loop
-async def test_silent_connections_do_not_take_the_descriptors_for_hosts() -> None:
-    """Each may have its first request on the way; but the hosts' part of the descriptors is not
-    theirs.
-    """
+async def test_silent_connections_do_not_use_the_descriptors_for_hosts() -> None:
+    """Their first requests may be in transit, but they must not use the descriptors for hosts."""
     async with world(serve_ok, limits={"sockets": 24 + 16}) as w, w.client() as usual:
         assert (await usual.ask()).status == 200
         silent = [await w.client().__aenter__() for _ in range(30)]
-        await at_end(silent[0])
+        await read_until_closed(silent[0])
         await until(lambda: w.gateway.server._descriptors.used <= 12)
         async with w.client() as late:
             assert (await late.ask()).status == 200
@@ -105,12 +101,10 @@
 
 
 @on_loop
-async def test_connections_that_linger_after_an_error_end_for_new_ones(
+async def test_connections_that_linger_after_an_error_are_closed_for_new_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Bad clients hold their connection for a while after their last answer: usual ones come before
-    them.
-    """
+    """A connection stays open for a while after an error: it is closed first for a new client."""
     monkeypatch.setattr(connection_output, "LINGER_S", 1000.0)
     monkeypatch.setattr(connection_limit, "MIN_SILENT_S", -1.0)
     async with world(serve_ok, limits={"sockets": 24 + 16}) as w:
@@ -126,18 +120,18 @@
 
 
 @on_loop
-async def test_the_longest_idle_connection_ends_once_many_are_idle() -> None:
-    """An incident: 128 of these held all the connections that clients may have for 2 s each, and
-    two of three requests found none. The longest idle ends as soon as there are many.
+async def test_the_longest_idle_connection_is_closed_once_many_are_idle() -> None:
+    """In an incident, 128 idle connections held all places for 2 s each, and two of three requests
+    found none. Now the longest idle one is closed as soon as there are many.
     """
     async with world(serve_ok, limits={"sockets": 24 + 40}) as w, w.client() as usual:
         stayed = [await w.client().__aenter__() for _ in range(15)]
         for client in stayed:
             assert (
                 await usual.ask()
-            ).status == 200  # in use between them, it is never the longest idle
+            ).status == 200  # used in between, so it is never the longest idle one
             assert (await client.ask()).status == 200
-        assert await at_end(stayed[0]) == b""
+        assert await read_until_closed(stayed[0]) == b""
         await until(lambda: len(w.gateway.server.connection_limit) <= 10)
         assert (await usual.ask()).status == 200
         for client in stayed:
--- a/tests/downstream/test_departed_clients.py
+++ b/tests/downstream/test_departed_clients.py
@@ -1,5 +1,5 @@
-"""A client that has closed has gone: no attempt begins for it, first or further, however it left
-and whatever kept the gateway from reading that.
+"""No attempt, first or retry, begins for a client that has disconnected, however it disconnected
+and for whatever reason the gateway had not read that.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 )
 
 HEAD = b"GET /status-check/k HTTP/1.1\r\nTenant: acme\r\nRequest-Timeout-Ms: 9000\r\nRequest-Id: "
-# Requests, more than are read ahead: nothing is read from their client while the first is out.
-MANY = 120
+# More requests than the gateway parses ahead: it pauses reading while the first is at a host.
+REQUESTS = 120
 
-Leave = Callable[[Client], None]
+Disconnect = Callable[[Client], None]
 
 
 def close(client: Client) -> None:
@@ -38,25 +38,23 @@
 
 
 def half_close(client: Client) -> None:
-    """As good as a close to this gateway, on a connection that it reads as on one that it does
-    not.
-    """
+    """The gateway treats a half close as a close, whether or not it is reading the connection."""
     client.writer.write_eof()
 
 
-def reset_it(client: Client) -> None:
+def reset_connection(client: Client) -> None:
     reset(client.writer)
 
 
-async def quiet(w: World) -> None:
-    """Until nothing is open any more, at clients' side as in the module."""
+async def wait_until_released(w: World) -> None:
+    """Wait until no client connection is open, and check that no request is left."""
     gateway = w.gateway
     await until(lambda: not len(gateway.server.connection_limit) and not gateway.engine._open)
     assert not gateway.engine._balancer.requests
 
 
-class Held:
-    """Answers nothing until told what."""
+class HeldResponses:
+    """Host that sends a response only when the test calls `answer`."""
 
     def __init__(self) -> None:
         self.waiting: list[asyncio.StreamWriter] = []
@@ -69,39 +67,41 @@
         self.waiting.pop(0).write(data)
 
 
-@pytest.mark.parametrize("leave", [close, half_close, reset_it])
+@pytest.mark.parametrize("disconnect", [close, half_close, reset_connection])
 @pytest.mark.parametrize(
     "outcome", [answer(), answer(b"", "500 Error"), answer(b"", "503 Busy", "Not-Started: 1")]
 )
 @on_loop
-async def test_who_sent_ahead_and_left_gets_no_further_attempt(
-    leave: Leave, outcome: bytes
+async def test_no_further_attempt_after_a_pipelining_client_disconnects(
+    disconnect: Disconnect, outcome: bytes
 ) -> None:
-    """join+brink: clients that send much at once and go. Reading is paused for them, so their close
-    was not seen: the next request, or the next try of the first, went to a host.
+    """Reading is paused for clients that pipeline many requests, so their disconnect was not
+    noticed: the next request, or the next attempt of the first, went to a host.
     """
-    held = Held()
+    held = HeldResponses()
     async with world(held, held) as w:
         async with Client(w.gateway.port) as client:
-            client.writer.write(b"".join(HEAD + b"a%d\r\n\r\n" % n for n in range(MANY)))
+            client.writer.write(b"".join(HEAD + b"a%d\r\n\r\n" % n for n in range(REQUESTS)))
             await until(lambda: len(held.waiting) == 1)
             connection = w.gateway.server.connection_limit.connections()[0]
             await until(lambda: connection.reading_paused)
-            leave(client)
-            await until(lambda: client.writer.transport.is_closing() or leave is half_close)
-            await asyncio.sleep(0)  # the loop ends the socket a turn after the transport
+            disconnect(client)
+            await until(lambda: client.writer.transport.is_closing() or disconnect is half_close)
+            await asyncio.sleep(0)  # the loop closes the socket one iteration later
             await asyncio.sleep(0)
             held.answer(outcome)
-            await quiet(w)
+            await wait_until_released(w)
         assert sum(len(host.seen) for host in w.hosts) == 1
 
 
 @pytest.mark.parametrize("late", ["accept", "read"])
 @pytest.mark.parametrize("linger", [False, True])
 @on_loop
-async def test_who_left_before_the_loop_came_round_gets_no_attempt(late: str, linger: bool) -> None:
-    """Both its request and its close lie in the kernel by then, and a connection to the host is at
-    hand.
+async def test_no_attempt_for_a_client_that_disconnected_before_it_was_read(
+    late: str, linger: bool
+) -> None:
+    """Both the request and the close wait in the kernel before the event loop reads them, and an
+    idle host connection is available for an attempt.
     """
     async with world(serve_ok) as w:
         async with w.client() as client:
@@ -121,16 +121,16 @@
         raw.close()
         time.sleep(0.12)
         await until(lambda: not len(w.gateway.server.connection_limit))
-        await quiet(w)
+        await wait_until_released(w)
         assert len(w.hosts[0].seen) == 1
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
 @on_loop
-async def test_a_connection_that_comes_up_after_its_client_left_carries_nothing(
+async def test_a_host_connection_is_not_used_after_its_client_disconnected(
     cancelling: bool,
 ) -> None:
-    """Also where settings allow no attempt to be called off: this one has not begun."""
+    """Also if the settings forbid cancelling attempts: this attempt has not begun."""
     limits = told_settings()["limits"] | {"cancelling": cancelling}
     slow = NeverUp()
     try:
@@ -148,8 +148,8 @@
             async with w.client() as client:
                 client.send()
                 await until(lambda: len(host.connecting) == 1)
-            await quiet(w)
+            await wait_until_released(w)
             assert not host.connecting
-            await until(lambda: not w.gateway.upstream._tasks)  # the connect is given up, too
+            await until(lambda: not w.gateway.upstream._tasks)  # the connect is cancelled, too
     finally:
         slow.close()
--- a/tests/downstream/test_descriptors.py
+++ b/tests/downstream/test_descriptors.py
@@ -1,5 +1,5 @@
-"""Idle clients that fill every place, while discovery is away: what keeps a gateway alive has
-descriptors of its own.
+"""Descriptors: discovery, health checks and host connections keep working while idle clients fill
+every place.
 """
 
 from __future__ import annotations
@@ -42,9 +42,7 @@
 
 
 async def served(port: int) -> bool:
-    """Whether one request on a new connection is served, as clients try: again where they find no
-    place.
-    """
+    """Send a request, with retries on new connections, and return whether it was served."""
     for _ in range(200):
         try:
             async with asyncio.timeout(2.0), Client(port) as client:
@@ -56,10 +54,10 @@
 
 @pytest.mark.parametrize("away", ["silent", "closed"])
 @on_loop_within(40.0)
-async def test_idle_clients_in_every_place_keep_nobody_from_discovery_and_hosts(
+async def test_idle_clients_in_every_place_do_not_block_discovery_and_hosts(
     tmp_path: Path, away: str
 ) -> None:
-    """The watch, `/up` and requests all need a descriptor that idle clients could hold."""
+    """The discovery watch, `/up` and requests need descriptors that idle clients could hold."""
     hosts = [await FakeHost(f"s-{i}").start() for i in range(2)]
     discovery = await FakeDiscovery(*(host.entry() for host in hosts)).start()
     port = free_port()
@@ -86,7 +84,7 @@
     assert await served(port) and held() <= SOCKETS
     async with asyncio.timeout(5.0), Client(port) as client:
         assert (await client.ask("/up", method="GET")).status == 200
-    # It is back, and one host had left meanwhile.
+    # Discovery is back, and one host is draining meanwhile.
     discovery.generation += 1
     discovery.first = discovery.line(True, hosts[0].entry(lifecycle="draining"), hosts[1].entry())
     discovery.silent = False
@@ -109,12 +107,12 @@
 
 
 @on_loop_within(40.0)
-async def test_a_burst_of_clients_onto_a_pool_of_hosts_connections_stays_within_the_limit(
+async def test_a_burst_of_clients_with_a_full_host_pool_stays_within_the_limit(
     tmp_path: Path,
 ) -> None:
-    """Connections to hosts make room for clients, but hold their descriptors until they are closed:
-    all that come in one turn of the loop must not count on what is still open, nor on what the
-    process was started with.
+    """Host connections are closed for clients, but hold their descriptors until the next iteration
+    of the event loop. Accepts in the same iteration must not count on these descriptors, nor on
+    those that the process inherited.
     """
     hosts = [await FakeHost(f"s-{i}").start() for i in range(4)]
     discovery = await FakeDiscovery(*(host.entry() for host in hosts)).start()
@@ -136,8 +134,8 @@
     def held() -> int:
         return len(os.listdir(f"/proc/{process.pid}/fd"))
 
-    # Few clients whose requests come so fast that hardly a connection has settled for the next: a
-    # full pool.
+    # Few clients whose requests follow each other so fast that nearly each one needs a new host
+    # connection, until the pool is full.
     assert await served(port)
     base = held()
     few = [await Client(port).__aenter__() for _ in range(4)]
@@ -148,7 +146,7 @@
     for one in few:
         await one.__aexit__()
     await until(lambda: held() <= base + places - 4)
-    # As many as there are places come at once, while nobody takes them.
+    # As many clients as places connect while the process is stopped.
     os.kill(process.pid, signal.SIGSTOP)
     clients = [await Client(port).__aenter__() for _ in range(places // 2)]
     os.kill(process.pid, signal.SIGCONT)
@@ -161,17 +159,17 @@
     assert code == 0 and "Traceback" not in log and "accept failed" not in log, log
 
 
-async def silent_ones(w: World, until_room: Callable[[], bool]) -> list[Client]:
-    """Clients that connect and say nothing, one by one until it holds."""
+async def connect_silent_clients(w: World, enough: Callable[[], bool]) -> list[Client]:
+    """Connect silent clients one by one until `until_room` returns True."""
     silent = list[Client]()
-    while not until_room():
+    while not enough():
         silent.append(await w.client().__aenter__())
         await asyncio.sleep(0)
     return silent
 
 
 @pytest.mark.parametrize(("closes", "leaks"), [("", 0), ("", 4), ("os.close(0)", 0)])
-def test_what_a_process_was_started_with_is_counted(closes: str, leaks: int) -> None:
+def test_inherited_descriptors_are_counted(closes: str, leaks: int) -> None:
     code = (
         f"import os\n{closes}\nimport quillroad.inherited_descriptors as inherited\n"
         "print(inherited.count_inherited_descriptors())"
@@ -193,23 +191,25 @@
 
 @pytest.mark.plain
 @on_loop
-async def test_silent_clients_past_the_limit_end_for_one_who_asks(
+async def test_silent_clients_past_the_limit_are_closed_for_a_new_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With all descriptors taken there is none to take another in on: one of them ends first, or
-    nobody comes in until they go by themselves.
+    """With all descriptors in use none is left for an accept: unless a silent connection is closed
+    first, no client is accepted until they disconnect by themselves.
     """
     monkeypatch.setattr(time_limits, "RECEIVE_S", 3600.0)
     async with world(serve_ok, serve_ok, limits={"sockets": RESERVED + 16}) as w:
         few = [await w.client().__aenter__() for _ in range(2)]
         while (
             w.gateway.upstream.idle_connections < 14
-        ):  # requests so fast that hardly a connection has settled
+        ):  # so fast that nearly each request needs a new connection
             assert {
                 reply.status for reply in await asyncio.gather(*(one.ask() for one in few))
             } == {200}
         held = w.gateway.server._descriptors
-        silent = await silent_ones(w, lambda: held.spare() <= -server.MAX_EXCESS_DESCRIPTORS)
+        silent = await connect_silent_clients(
+            w, lambda: held.spare() <= -server.MAX_EXCESS_DESCRIPTORS
+        )
         async with w.client() as late:
             assert (await late.ask()).status == 200
         for client in (*few, *silent):
@@ -219,11 +219,11 @@
 
 @pytest.mark.plain
 @on_loop
-async def test_a_silent_client_ends_for_a_connection_to_a_host(
+async def test_a_silent_client_is_closed_for_a_host_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Past their places clients hold descriptors of the hosts' half: who is let in needs one
-    there.
+    """Beyond the places, clients hold descriptors of the hosts' half, and an accepted request needs
+    one of these.
     """
     monkeypatch.setattr(time_limits, "RECEIVE_S", 3600.0)
     free = asyncio.Event()
@@ -239,10 +239,10 @@
             client.send("/status-check/held")
         await until(lambda: sum(len(host.seen) for host in w.hosts) == len(asking))
         held = w.gateway.server._descriptors
-        silent = await silent_ones(w, lambda: held.spare() < 0)
+        silent = await connect_silent_clients(w, lambda: held.spare() < 0)
         await until(
             lambda: w.gateway.server.connection_limit.connection_to_end(monotonic()) is not None
-        )  # not too new to tell
+        )  # no longer too new to be closed
         async with w.client() as late:
             assert (await late.ask()).status == 200
         free.set()
@@ -253,20 +253,18 @@
 
 @pytest.mark.plain
 @on_loop
-async def test_who_asks_is_not_refused_for_those_who_say_nothing(
+async def test_a_request_is_not_rejected_because_of_silent_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """They are too new to end, and hold every place and the places of those who are to be
-    refused.
-    """
+    """Silent clients too new to be closed hold every place, and those reserved for rejections."""
     monkeypatch.setattr(connection_limit, "MIN_SILENT_S", 3600.0)
     async with world(serve_ok, limits={"sockets": RESERVED + 32}) as w:
-        silent = await silent_ones(
+        silent = await connect_silent_clients(
             w, lambda: not w.gateway.server.connection_limit.may_accept_to_reject()
         )
         raw = socket.create_connection(
             ("127.0.0.1", w.gateway.port)
-        )  # it has asked when it is accepted
+        )  # its request arrives before the accept
         raw.send(
             b"GET /status-check/k HTTP/1.1\r\nRequest-Timeout-Ms: 9000\r\nRequest-Id: 1\r\n\r\n"
         )
--- a/tests/downstream/test_endpoint_changes.py
+++ b/tests/downstream/test_endpoint_changes.py
@@ -1,4 +1,4 @@
-"""Hosts that drain, leave, move or warm up while requests are under way."""
+"""Hosts that drain, leave, change address or warm up while requests are in flight."""
 
 from __future__ import annotations
 
@@ -22,10 +22,8 @@
 
 @pytest.mark.parametrize("lifecycle", ["draining", "removed"])
 @on_loop
-async def test_a_drained_host_gets_nothing_new(lifecycle: str) -> None:
-    """A host that is drained or removed must see no request more than it had when the news
-    arrived.
-    """
+async def test_a_drained_host_gets_no_new_requests(lifecycle: str) -> None:
+    """A drained or removed host must get no request after the gateway has read the change."""
     async with world(serve_ok, serve_ok) as w, w.client() as client:
         leaving = w.hosts[0]
         while not leaving.seen:
@@ -33,7 +31,7 @@
         w.discovery.tell(leaving.entry(lifecycle=lifecycle))
         hosts, number = w.gateway.engine.hosts, endpoint_id(leaving.name)
         await until(lambda: number not in hosts or not hosts[number].ready)
-        await client.ask()  # what was on its way has arrived by now
+        await client.ask()  # requests in flight have arrived by now
         before = len(leaving.seen)
         for _ in range(30):
             assert (await client.ask()).status == 200
@@ -42,7 +40,7 @@
 
 @on_loop
 async def test_requests_at_a_drained_host_are_still_answered() -> None:
-    """A drain must not cut off what the host has begun."""
+    """A drain must not abort requests that the host has begun."""
     async with world(hang) as w, w.client() as client:
         client.send()
         await w.hosts[0].came.get()
@@ -54,7 +52,7 @@
 
 @on_loop
 async def test_a_drain_during_a_connect_moves_the_request() -> None:
-    """The connection to the drained host never comes up: the request goes to another host."""
+    """The connection to the drained host is never established: another host gets the request."""
     dead = NeverUp()
     async with world() as w, w.client() as client:
         stuck = FakeHost("s-stuck")
@@ -71,8 +69,8 @@
 
 
 @on_loop
-async def test_a_host_at_a_new_address_is_reached_there() -> None:
-    """Connections to the old address are dropped, or requests would go on to whoever has it now."""
+async def test_a_host_is_reached_at_its_new_address() -> None:
+    """Connections to the old address are closed: another service may use that address now."""
     async with world(serve_ok) as w, w.client() as client:
         await client.ask()
         moved = await FakeHost("s-0").start()
@@ -84,16 +82,20 @@
 
 @on_loop
 async def test_start_times_before_this_process_began_count() -> None:
-    """A start of a second ago is cold, one of an hour ago is warm, also before this process
-    began.
+    """A host started a second ago warms up, one started an hour ago does not, even if both started
+    before this process.
     """
     rules = {"cold": 60_000_000, "cold_from": 0.3, "fall_multiple": 3.0}
     async with world(serve_ok, settings=told_settings(guarantees=rules)) as w:
         now_ms = time.time_ns() // 1_000_000
         assert abs(w.gateway.engine.now_us() / 1000 - now_ms) < 60_000
-        young, old = await FakeHost("s-young").start(), await FakeHost("s-old").start()
+        started_recently, started_long_ago = (
+            await FakeHost("s-young").start(),
+            await FakeHost("s-old").start(),
+        )
         w.discovery.tell(
-            young.entry(startedAtMs=now_ms - 1000), old.entry(startedAtMs=now_ms - 3_600_000)
+            started_recently.entry(startedAtMs=now_ms - 1000),
+            started_long_ago.entry(startedAtMs=now_ms - 3_600_000),
         )
         await until(lambda: len(w.gateway.engine.hosts) == 3)
         balancer = w.gateway.engine._balancer
@@ -102,7 +104,7 @@
 
 @on_loop
 async def test_a_warming_host_is_not_overloaded() -> None:
-    """Fifty requests come at once: the warming host may not get more than its slow-start share."""
+    """Of fifty simultaneous requests a warming host gets no more than its slow-start share."""
     rules = {"cold": 60_000_000, "cold_from": 0.3, "fall_multiple": 1.0}
     async with world(hang, hang, settings=told_settings(guarantees=rules)) as w:
         cold = await FakeHost("s-cold", hang).start()
--- a/tests/downstream/test_gateway.py
+++ b/tests/downstream/test_gateway.py
@@ -1,12 +1,10 @@
-"""The whole gateway in one process between fake hosts, a fake discovery and real clients'
-sockets.
-"""
+"""The whole gateway in one process, with fake hosts, fake discovery and clients on real sockets."""
 
 from __future__ import annotations
 
 from quillroad.balancing.events import ClientDisconnected, TimerFired
 from quillroad.downstream.connection_limit import ConnectionState
-from tests.downstream.clients import refuse_unseen
+from tests.downstream.clients import reject_not_started
 from tests.net import (
     FakeHost,
     answer,
@@ -40,17 +38,15 @@
 
 @on_loop
 async def test_hop_by_hop_headers_are_not_forwarded() -> None:
-    """A forwarded `Connection` or `TE` would speak of the client's connection on that to the
-    host.
-    """
+    """A forwarded `Connection` or `TE` would apply to the wrong connection, the one to the host."""
     async with world(serve_ok) as w, w.client() as client:
         await client.ask(Connection="keep-alive", TE="trailers")
         assert not {"connection", "te"} & set(w.hosts[0].seen[0].headers)
 
 
 @on_loop
-async def test_nothing_is_left_of_finished_requests() -> None:
-    """A record that stays would hold memory for good, and a descriptor that stays a place."""
+async def test_finished_requests_leave_no_records_or_descriptors() -> None:
+    """A leaked record would hold memory for ever, a leaked descriptor a place."""
     async with world(serve_ok, break_off) as w:
         async with w.client() as client:
             for _ in range(60):
@@ -70,8 +66,8 @@
 
 
 @on_loop
-async def test_events_of_departed_requests_are_no_fault() -> None:
-    """A timer or a departure may come after the request is forgotten: it must change nothing."""
+async def test_events_of_finished_requests_are_ignored() -> None:
+    """A timer or disconnect event may follow the removal of a request; it must have no effect."""
     async with world(serve_ok) as w, w.client() as client:
         w.gateway.engine.feed(ClientDisconnected(999))
         w.gateway.engine.feed(TimerFired(999))
@@ -91,11 +87,12 @@
 
 
 @on_loop
-async def test_all_counts_return_to_zero_after_faults_of_every_kind() -> None:
-    """Hosts come, hang, restart and go under requests that are answered, time out, are hedged or
-    abandoned. Afterwards the balancer's counts, the engine's records and the descriptors agree with
-    the sockets."""
-    async with world(serve_ok, serve_ok, hang, break_off, refuse_unseen) as w:
+async def test_all_counts_return_to_zero_after_host_and_client_failures() -> None:
+    """Hosts join, hang, restart and leave while requests are answered, time out, are hedged or
+    abandoned. Afterwards the balancer's counts, the engine's records and the descriptors match the
+    open sockets.
+    """
+    async with world(serve_ok, serve_ok, hang, break_off, reject_not_started) as w:
         engine, balancer = w.gateway.engine, w.gateway.engine._balancer
         for turn in range(6):
             clients = [await w.client().__aenter__() for _ in range(12)]
@@ -130,5 +127,5 @@
         idle = [c for host in engine.hosts.values() for c in host.idle]
         assert set(w.gateway.upstream._idle) == set(idle)
         await until(lambda: w.gateway.server._descriptors.used == len(w.gateway.upstream._idle))
-        assert not any(w.gateway.server.connection_limit.count(stage) for stage in ConnectionState)
+        assert not any(w.gateway.server.connection_limit.count(state) for state in ConnectionState)
         assert w.gateway.server.admission.waiting == 0
--- a/tests/downstream/test_long_bodies.py
+++ b/tests/downstream/test_long_bodies.py
@@ -1,4 +1,4 @@
-"""Long request bodies: limits, the memory budget, and their way to the host."""
+"""Long request bodies: limits, the memory budget and forwarding to the host."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from quillroad.downstream.state import PARTIAL
 from tests.downstream.long_bodies import (
     BODY,
-    OPS,
+    LONG_BODY_SETTINGS,
     SIZE,
-    by_length,
     host,
+    with_length,
 )
 from tests.net import hang, on_loop, serve_ok, until, world
 
@@ -28,7 +28,7 @@
 
 @on_loop
 async def test_a_long_body_reaches_its_host_whole_in_pieces_of_any_size() -> None:
-    async with world(serve_ok, **OPS) as w, w.client() as client:
+    async with world(serve_ok, **LONG_BODY_SETTINGS) as w, w.client() as client:
         assert (await client.ask("/seat-checkout/k", BODY)).status == 200
         assert w.hosts[0].seen[0].body == BODY
         head = (
@@ -49,8 +49,8 @@
 
 @on_loop
 async def test_expect_100_continue_is_answered_before_the_body() -> None:
-    """The client waits for the word: without it neither side would go on."""
-    async with world(serve_ok, **OPS) as w, w.client() as client:
+    """The client waits for `100 Continue`: without it neither side would continue."""
+    async with world(serve_ok, **LONG_BODY_SETTINGS) as w, w.client() as client:
         client.writer.write(
             b"POST /audit/k HTTP/1.1\r\nHost: s\r\nRequest-Id: 78\r\nRequest-Timeout-Ms: 9000\r\n"
             b"Expect: 100-continue\r\nContent-Length: 3\r\n\r\n"
@@ -63,8 +63,8 @@
 
 @on_loop
 async def test_without_an_admin_address_bodies_are_limited_to_64_kib() -> None:
-    """Memory for long bodies is there only where the deploy file asks for them."""
-    async with world(host(by_length(b"x" * (SHORT_BODY + 1)))) as w:
+    """Memory for long bodies is reserved only if the deploy file has an admin address."""
+    async with world(host(with_length(b"x" * (SHORT_BODY + 1)))) as w:
         async with w.client() as client:
             assert (await client.ask("/audit/k", b"x" * (SHORT_BODY + 1))).status == 413
         async with w.client() as client:
@@ -73,10 +73,8 @@
 
 @on_loop
 async def test_bodies_beyond_the_budget_are_rejected_at_once_and_all_memory_is_returned() -> None:
-    """Two bodies that do not fit together: the second is refused, and the first one is still
-    served.
-    """
-    async with world(serve_ok, **OPS) as w:
+    """Of two bodies that do not fit together, the second is rejected and the first is served."""
+    async with world(serve_ok, **LONG_BODY_SETTINGS) as w:
         buffers = w.gateway.server.buffers
         buffers.limit = SIZE + SIZE // 4
         async with w.client() as first, w.client() as second:
@@ -96,8 +94,8 @@
 
 @on_loop
 async def test_a_pipelined_long_body_counts_in_the_budget_until_its_answer() -> None:
-    """Given back with the answer before it, the budget would hold more than it says."""
-    async with world(hang, **OPS) as w, w.client() as client:
+    """If it were released with the previous response, memory use could exceed the budget."""
+    async with world(hang, **LONG_BODY_SETTINGS) as w, w.client() as client:
         buffers, sizes = w.gateway.server.buffers, (200_000, 300_000)
         for number, size in enumerate(sizes):
             client.writer.write(head(90 + number, size) + BODY[:size])
@@ -112,9 +110,9 @@
 
 
 @on_loop
-async def test_the_time_limit_of_a_head_is_fixed_and_of_a_body_grows_with_its_size() -> None:
-    """A slow client that gets on must not be cut off, one that stands still in its head must."""
-    async with world(serve_ok, **OPS) as w, w.client() as client:
+async def test_the_time_limit_of_a_head_is_fixed_and_of_a_body_grows() -> None:
+    """A slow client that makes progress is not closed; one that stalls in its head is."""
+    async with world(serve_ok, **LONG_BODY_SETTINGS) as w, w.client() as client:
         client.writer.write(head(95, 100_000)[:40])
         await until(
             lambda: any(
@@ -126,7 +124,7 @@
         connection.enforce_time_limits(monotonic())
         client.writer.write(head(95, 100_000)[40:] + BODY[:99_000])
         await until(lambda: connection._parser.size == 99_000)
-        connection.last_change -= 2.0  # 4.1 s in all: longer than a head has
+        connection.last_change -= 2.0  # 4.1 s in all: more than the limit of a head
         connection.enforce_time_limits(monotonic())
         client.writer.write(BODY[99_000:100_000])
         assert (await client.receive()).status == 200
@@ -138,13 +136,14 @@
 
 
 def test_memory_of_long_bodies_goes_back_to_the_system() -> None:
-    """Freed blocks below one that stays: the heap's end could not move down past that."""
+    """Without mmap, freed blocks below one in use stay in the heap, which cannot shrink."""
     program = """
 from quillroad.overload.heap import fix_mmap_threshold
 def rss():
     return int(open("/proc/self/statm").read().split()[1]) * 4096
 fix_mmap_threshold()
-# Freed at once: without the call the C library keeps blocks of this size from here on.
+# Freed at once: without `fix_mmap_threshold` malloc would serve blocks of this size from the heap
+# from now on.
 bytearray(30 << 20)
 before = rss()
 held = [bytearray(b"x") * 300_000 for _ in range(100)]
--- a/tests/downstream/test_no_double_effect.py
+++ b/tests/downstream/test_no_double_effect.py
@@ -1,4 +1,4 @@
-"""No effect happens twice: what may be sent again, and what may not."""
+"""No request takes effect twice: which requests may be retried or hedged."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.downstream.clients import refuse_unseen
+from tests.downstream.clients import reject_not_started
 from tests.net import (
     answer,
     break_off,
@@ -24,8 +24,8 @@
 )
 @on_loop
 async def test_a_non_idempotent_request_is_not_sent_again_once_it_may_have_run(behave: Any) -> None:
-    """The host resets the connection, or says 500 or 503 with no promise: the effect may have
-    happened.
+    """The host resets the connection, or answers 500 or 503 without `Not-Started`: the request may
+    have taken effect.
     """
     async with world(behave, behave) as w, w.client() as client:
         assert (await client.ask("/audit/k", b"x")).status == 502
@@ -33,10 +33,10 @@
 
 
 @on_loop
-async def test_a_non_idempotent_request_that_was_rejected_unseen_is_sent_again() -> None:
-    """The host promises that it has not started: a retry cannot repeat an effect."""
-    async with world(refuse_unseen, serve_ok) as w:
-        for _ in range(200):  # until the pick has met the host that turns away
+async def test_a_non_idempotent_request_that_was_not_started_is_sent_again() -> None:
+    """The host answers `Not-Started`: a retry cannot repeat an effect."""
+    async with world(reject_not_started, serve_ok) as w:
+        for _ in range(200):  # until the host that rejects was selected
             async with w.client() as client:
                 assert (await client.ask("/audit/k", b"x")).status == 200
             if w.hosts[0].seen:
@@ -46,8 +46,8 @@
 
 @on_loop
 async def test_a_keyed_request_is_sent_again_with_its_key() -> None:
-    # With no second copies: on a busy machine one of an earlier request may have spent the budget.
-    """Hosts drop a repeat by its key: a retry with another one would have its effect twice."""
+    # Without hedging: on a busy machine a hedge of an earlier request may have used the budget.
+    """Hosts deduplicate by key: a retry with another key would take effect twice."""
     alone = told_settings(limits={"parallel_tries": False})
     async with world(break_off, serve_ok, settings=alone) as w:
         for _ in range(200):
@@ -63,9 +63,9 @@
 
 @on_loop
 async def test_a_slow_request_is_hedged_and_the_slower_attempt_cancelled() -> None:
-    """Without the cancellation the slow host would work on for an answer that nobody takes."""
+    """Without the cancellation the slow host would go on with a request already answered."""
     async with world(serve_ok, serve_ok) as w, w.client() as client:
-        for _ in range(20):  # the module learns what is slow, and earns the token that a copy costs
+        for _ in range(20):  # learn the latency, and earn the token for a hedge
             await client.ask()
         slow, quick = w.hosts
         slow.seen.clear()
@@ -78,7 +78,7 @@
 
 @on_loop
 async def test_the_id_of_an_open_request_is_not_accepted_twice() -> None:
-    """Two requests under one id would count as copies of each other at the hosts."""
+    """Hosts would take two requests with one id for attempts of the same request."""
     async with world(hang) as w, w.client() as one, w.client() as other:
         one.send(Request_Id="same")
         await w.hosts[0].came.get()
--- a/tests/downstream/test_one_answer.py
+++ b/tests/downstream/test_one_answer.py
@@ -1,4 +1,4 @@
-"""Each request gets exactly one final response, whatever fails."""
+"""Each request gets exactly one final response, whichever part fails."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from quillroad.balancing import attempts
 from quillroad.balancing.events import Event, RequestArrived
 from quillroad.engine.engine import ClientRequest
-from tests.downstream.clients import at_end
+from tests.downstream.clients import read_until_closed
 from tests.net import (
     answer,
     hang,
@@ -35,22 +35,20 @@
     """
     async with world(hang) as w, w.client() as client:
         got = await client.ask(Request_Timeout_Ms="300")
-        assert got.status == 503  # safe to repeat, so a refusal is allowed
-        assert (
-            0.3 <= float(got.headers["retry-after"]) <= 0.6
-        )  # spread, so that not all come back at once
+        assert got.status == 503  # safe to retry, so a rejection is allowed
+        assert 0.3 <= float(got.headers["retry-after"]) <= 0.6  # jitter spreads the retries
         w.hosts[0].writers[0].write(answer(b"too late"))
         w.hosts[0].behave = serve_ok
         w.gateway.server.draining = True
         assert (
             b"too late" not in (await client.ask(Connection="close", Request_Timeout_Ms="300")).body
         )
-        assert await at_end(client) == b""
+        assert await read_until_closed(client) == b""
 
 
 @on_loop
 async def test_a_non_idempotent_request_that_may_have_run_fails() -> None:
-    """A 503 would promise that a retry is harmless; the host may be at work on it."""
+    """A 503 would promise that a retry is harmless, but the host may be processing it."""
     async with world(hang) as w, w.client() as client:
         got = await client.ask("/audit/k", b"x", Request_Timeout_Ms="300")
         assert got.status == 502
@@ -59,7 +57,7 @@
 
 @on_loop
 async def test_half_of_a_response_is_never_served() -> None:
-    """The host breaks off in mid body: what came must not pass for the whole."""
+    """The host closes in mid body: the received part must not look complete."""
     half = say(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", end=True)
     async with world(half) as w, w.client() as client:
         got = await client.ask("/audit/k", b"x")
@@ -81,7 +79,7 @@
 @pytest.mark.plain
 @on_loop
 async def test_an_exception_in_the_balancer_fails_its_own_request_only() -> None:
-    """People sleep: an exception answers one request and is logged; the gateway stays up."""
+    """An exception fails one request and is logged; the gateway keeps running unattended."""
     async with world(serve_ok) as w, w.client() as client:
         handle = w.gateway.engine._balancer.handle
 
@@ -98,11 +96,11 @@
 
 @pytest.mark.plain
 @on_loop
-async def test_an_exception_while_learning_from_an_answer_leaves_nothing_behind(
+async def test_an_exception_while_learning_from_a_response_leaves_no_record(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The client has its answer, so nothing else would ever end the balancer's record of that
-    request.
+    """The client already has its response, so no later event would remove the balancer's record of
+    that request.
     """
     async with world(serve_ok) as w, w.client() as client:
         balancer = w.gateway.engine._balancer
@@ -113,12 +111,10 @@
 
 
 @on_loop
-async def test_answers_within_one_clock_tick_are_no_fault(
+async def test_responses_within_one_clock_tick_cause_no_balancer_error(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With a clock that stands still an attempt takes 0 µs: that must be no fault of the
-    balancer.
-    """
+    """With a frozen clock an attempt takes 0 µs, which must not raise an error in the balancer."""
     read: list[float] = []
 
     def frozen() -> float:
@@ -145,7 +141,7 @@
 @pytest.mark.plain
 @on_loop
 async def test_an_exception_in_sending_fails_its_own_request_only() -> None:
-    """The pool raises on each attempt: the request gets an error and the gateway serves on."""
+    """The pool raises on each attempt: the request fails and the gateway keeps serving."""
     async with world(serve_ok) as w, w.client() as client:
         start = w.gateway.upstream.start
         w.gateway.upstream.start = lambda *_: 1 / 0  # type: ignore[method-assign, assignment]
@@ -157,10 +153,10 @@
 
 @on_loop
 async def test_a_client_that_closes_cancels_its_attempt() -> None:
-    """Without this a host would work on for a client that has gone, and the request stay open."""
+    """Without this a host would process it for a disconnected client and it would stay open."""
     async with world(hang) as w:
         async with w.client() as client:
-            client.send(Request_Timeout_Ms="50000")  # beyond this test's own bound
+            client.send(Request_Timeout_Ms="50000")  # longer than the time limit of this test
             await w.hosts[0].came.get()
         await w.hosts[0].closed.get()
         await until(lambda: not w.gateway.engine._open and not w.gateway.engine._unanswered_ids)
@@ -168,7 +164,7 @@
 
 @on_loop
 async def test_the_margins_shrink_for_a_short_client_timeout() -> None:
-    """The margins before the deadline shrink with it: fixed ones would leave such a client none."""
+    """The margins before a deadline shrink with it: fixed ones would exceed a short timeout."""
     async with world(hang) as w:
         before = asyncio.get_running_loop().time()
         head = b"GET / HTTP/1.1\r\n"
--- a/tests/downstream/test_pipelining.py
+++ b/tests/downstream/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Requests that a client sends ahead of the responses to earlier ones."""
+"""Pipelining: requests that a client sends before the responses to earlier ones."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from quillroad.engine.engine import ClientRequest, OpenRequest, Reply, Requester
-from tests.downstream.clients import at_end
+from tests.downstream.clients import read_until_closed
 from tests.net import (
     Message,
     answer,
@@ -22,7 +22,7 @@
 
 @on_loop
 async def test_pipelined_requests_are_answered_in_order() -> None:
-    """Each of them was taken when its last byte was written: dropping one would lose it."""
+    """The client has sent each of them completely: a dropped one would be lost."""
 
     async def echo(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(message.first.split()[1].encode()))
@@ -36,7 +36,7 @@
 
 @on_loop
 async def test_a_draining_gateway_answers_pipelined_requests() -> None:
-    """`Connection: close` on the first answer would drop the rest, which was taken already."""
+    """`Connection: close` on the first response would drop the rest, already received."""
     async with world(hang) as w, w.client() as client:
         client.send()
         client.send()
@@ -47,12 +47,12 @@
         first, second = await client.receive(), await client.receive()
         assert (first.body, first.headers["connection"]) == (b"first", "keep-alive")
         assert (second.status, second.headers["connection"]) == (200, "close")
-        assert await at_end(client) == b""
+        assert await read_until_closed(client) == b""
 
 
 @on_loop
 async def test_an_error_waits_for_the_answer_before_it() -> None:
-    """An error written at once would reach the client as the answer to the request before it."""
+    """An error written at once would look like the response to the previous request."""
     async with world(hang) as w, w.client() as client:
         client.send()
         client.writer.write(b"rubbish\r\n\r\n")
@@ -64,7 +64,7 @@
 
 @on_loop
 async def test_hundreds_of_pipelined_requests_are_not_parsed_at_once() -> None:
-    """Each parsed request costs its checks and its memory, and a client waits for one at a time."""
+    """Each parsed request costs time and memory, and only one is served at a time."""
     async with world(hang) as w, w.client() as client:
         for _ in range(300):
             client.send()
@@ -80,7 +80,7 @@
 @pytest.mark.plain
 @on_loop
 async def test_the_deadline_of_a_pipelined_request_counts_from_its_arrival() -> None:
-    """It waits unparsed for the answers before it, and its client's time runs all the while."""
+    """It waits unparsed behind earlier responses, and its client's timeout runs meanwhile."""
     async with world(hang) as w, w.client() as client:
         engine, asked = w.gateway.engine, list[ClientRequest]()
         accept = engine.accept
--- a/tests/downstream/test_request_parser.py
+++ b/tests/downstream/test_request_parser.py
@@ -1,6 +1,4 @@
-"""Requests out of bytes, with no socket: parser, framing, limits, and errors that say what is
-wrong.
-"""
+"""Request parser without sockets: parsing, framing, limits and error messages."""
 
 from __future__ import annotations
 
@@ -14,7 +12,11 @@
 
 import quillroad.downstream
 from quillroad.config import SHORT_BODY
-from quillroad.downstream.request_parser import MAX_PIPELINED, PendingRequest, RequestParser
+from quillroad.downstream.request_parser import (
+    MAX_PIPELINED_REQUESTS,
+    PendingRequest,
+    RequestParser,
+)
 from quillroad.downstream.request_validation import RequestValidator
 from quillroad.downstream.responses import chunk, rejection, response, streamed_head
 from quillroad.downstream.state import ReadState
@@ -33,7 +35,7 @@
 from tests.net import make_config
 
 PLAIN = RequestValidator(make_config(1))
-LONG = RequestValidator(make_config(1, admin_addr="127.0.0.1:0"))  # takes long bodies
+LONG_BODIES = RequestValidator(make_config(1, admin_addr="127.0.0.1:0"))  # allows long bodies
 GET = b"GET /status-check/k HTTP/1.1\r\nRequest-Id: %d\r\nRequest-Timeout-Ms: 900\r\n\r\n"
 POST = (
     b"POST /audit/k HTTP/1.1\r\nRequest-Id: %d\r\nRequest-Timeout-Ms: 900\r\n"
@@ -45,8 +47,8 @@
     return RequestParser(validator, BodyBudget(budget), lambda: 200)
 
 
-def read(parser: RequestParser, pieces: Sequence[bytes]) -> list[PendingRequest]:
-    """Feed the pieces as they come; the backlog is taken as the answers would."""
+def parse_all(parser: RequestParser, pieces: Sequence[bytes]) -> list[PendingRequest]:
+    """Feed the pieces one by one, and return the requests taken from the backlog."""
     taken: list[PendingRequest] = []
     for piece in pieces:
         parser.append(piece)
@@ -63,35 +65,39 @@
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.integers(1, 900), max_size=12))
 def test_any_split_of_the_same_bytes_gives_the_same_requests(cuts: list[int]) -> None:
-    """The network cuts anywhere: in the request line, in a header's name, between CR and LF."""
+    """Data may be split anywhere: in the request line, in a header name, between CR and LF."""
     data = GET % 1 + POST % (2, 300) + b"b" * 300 + b"GET /up HTTP/1.1\r\n\r\n" + GET % 3
     places = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
     pieces = [data[start:end] for start, end in itertools.pairwise(places)]
-    got = read(new_parser(), pieces)
-    assert [one.status for one in got] == [200] * 4
-    ids = [one.request.id if one.request is not None else "" for one in got]
+    requests = parse_all(new_parser(), pieces)
+    assert [pending.status for pending in requests] == [200] * 4
+    ids = [pending.request.id if pending.request is not None else "" for pending in requests]
     assert ids == ["1", "2", "", "3"]
-    assert got[1].request is not None
-    assert got[1].request.body == b"b" * 300
+    assert requests[1].request is not None
+    assert requests[1].request.body == b"b" * 300
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=300), st.integers(0, 250))
-def test_no_bytes_whatever_raise_out_of_the_parser(rubbish: bytes, at: int) -> None:
-    """What raised here would end in the event loop, with the connection left as it is."""
+def test_arbitrary_bytes_raise_no_exception(rubbish: bytes, at: int) -> None:
+    """An exception here would reach the event loop and leave the connection open."""
     data = GET % 1
     parser = new_parser()
-    got = read(parser, [data[:at] + rubbish + data[at:]])
-    assert all(400 <= one.status < 500 for one in got if one.request is None and one.reason)
+    requests = parse_all(parser, [data[:at] + rubbish + data[at:]])
+    assert all(
+        400 <= pending.status < 500
+        for pending in requests
+        if pending.request is None and pending.reason
+    )
     assert parser.state in ReadState
 
 
-def test_no_more_is_parsed_ahead_than_may_be() -> None:
-    """Each parsed request costs memory before its turn has come."""
+def test_pipelined_requests_are_parsed_up_to_the_limit() -> None:
+    """Each parsed request uses memory while it waits in the backlog."""
     parser = new_parser()
     parser.append(b"".join(GET % number for number in range(100)))
     parser.feed()
-    assert MAX_PIPELINED <= len(parser.backlog) < 40
+    assert MAX_PIPELINED_REQUESTS <= len(parser.backlog) < 40
     assert parser.unparsed
 
 
@@ -103,43 +109,45 @@
         parser.feed()
         states.append(parser.state)
     assert states == [ReadState.HEAD] * 3
-    read(parser, [b"Request-Timeout-Ms: 9\r\n\r\n" + (POST % (2, 5)) + b"ab"])
+    parse_all(parser, [b"Request-Timeout-Ms: 9\r\n\r\n" + (POST % (2, 5)) + b"ab"])
     assert (parser.state, parser.size, parser.completed) == (ReadState.BODY, 2, 1)
-    assert len(read(parser, [b"cde"])) == 1
+    assert len(parse_all(parser, [b"cde"])) == 1
     assert (parser.state, parser.completed) == (ReadState.BETWEEN, 2)
     parser.end()
     assert (parser.state, parser.has_more()) == (ReadState.ENDED, False)
 
 
-def test_a_request_that_fails_half_way_keeps_nothing_of_its_body() -> None:
-    """Its budget goes back with its answer, and its memory at once."""
-    parser = new_parser(LONG)
-    assert read(parser, [POST % (1, 200_000) + b"x" * 100_000]) == []
+def test_a_failed_request_releases_its_partial_body() -> None:
+    """Its memory is freed at once, its budget with the response."""
+    parser = new_parser(LONG_BODIES)
+    assert parse_all(parser, [POST % (1, 200_000) + b"x" * 100_000]) == []
     parser.fail(RequestTimeoutError())
     (failed,) = parser.backlog
     assert (failed.status, failed.reserved, failed.keep_alive) == (408, 100_000, False)
     assert parser.close() == 100_000
 
 
-def test_a_body_over_the_budget_is_an_error_of_its_route_that_a_retry_may_pass() -> None:
-    """Only this 503 counts for its route: nothing is wrong with the request."""
-    parser = new_parser(LONG, budget=70_000)
-    (failed,) = read(parser, [POST % (1, 200_000) + b"x" * 100_000])
+def test_a_body_over_the_budget_is_rejected_with_503_for_its_route() -> None:
+    """The error names the route, as the request is valid and a retry may succeed."""
+    parser = new_parser(LONG_BODIES, budget=70_000)
+    (failed,) = parse_all(parser, [POST % (1, 200_000) + b"x" * 100_000])
     assert (failed.status, failed.route, failed.reason) == (503, 2, "no memory for a body")
     assert parser.close() == 0
 
 
-def test_a_head_or_framing_without_end_is_bounded() -> None:
-    """Neither a header's name nor a chunk's extension reaches a callback before it ends."""
-    (head,) = read(new_parser(), [b"GET /status-check/k HTTP/1.1\r\n" + b"n" * (3 * HEAD_LIMIT)])
+def test_an_endless_header_or_chunk_extension_is_rejected() -> None:
+    """httptools calls no callback before the end of a header name or chunk extension."""
+    (head,) = parse_all(
+        new_parser(), [b"GET /status-check/k HTTP/1.1\r\n" + b"n" * (3 * HEAD_LIMIT)]
+    )
     assert (head.status, head.reason) == (431, "head too long")
     chunked = b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;"
-    (framing,) = read(new_parser(), [chunked + b"e" * (20 * HEAD_LIMIT)])
+    (framing,) = parse_all(new_parser(), [chunked + b"e" * (20 * HEAD_LIMIT)])
     assert (framing.status, framing.reason) == (413, "request too long")
 
 
-def test_a_body_longer_than_the_limit_is_an_error_before_it_comes() -> None:
-    (error,) = read(new_parser(), [POST % (1, SHORT_BODY + 1)])
+def test_a_content_length_over_the_limit_is_rejected_before_the_body() -> None:
+    (error,) = parse_all(new_parser(), [POST % (1, SHORT_BODY + 1)])
     assert (error.status, error.reason, error.keep_alive) == (413, "body too long", False)
 
 
@@ -190,7 +198,7 @@
     assert str(error.value)
 
 
-def test_a_header_that_stands_twice_is_an_error_that_names_it() -> None:
+def test_a_repeated_header_is_an_error_that_names_it() -> None:
     headers = [(b"Request-Id", b"a"), (b"request-ID", b"b")]
     with pytest.raises(HeaderError, match=r"^two headers request-id$") as error:
         PLAIN.check(b"GET", b"/status-check/k", headers, bytearray(), 0.0)
@@ -222,7 +230,7 @@
     assert error.value.expected
 
 
-def test_framing_tells_the_length_of_the_body() -> None:
+def test_check_framing_returns_the_body_length() -> None:
     assert (
         check_framing("1.1", [(b"Cookie", b"c"), (b"Tenant", b"t"), (b"Content-Length", b"12")])
         == 12
@@ -231,8 +239,8 @@
     assert check_framing("1.0", [(b"Host", b"h")]) == 0
 
 
-def test_bytes_of_responses() -> None:
-    """To the byte: clients and recorded runs compare them."""
+def test_responses_are_serialised_exactly() -> None:
+    """Clients and recordings depend on the exact bytes."""
     assert response(200, b"ok", b"text/plain", None, True) == (
         b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n"
         b"Connection: keep-alive\r\n\r\nok"
@@ -254,8 +262,8 @@
     assert chunk(b"x" * 17) == b"11\r\n" + b"x" * 17 + b"\r\n"
 
 
-def test_the_client_side_imports_nothing_of_the_host_side() -> None:
-    """Types of a streamed answer came from there, so neither side could be changed alone."""
+def test_downstream_does_not_import_upstream() -> None:
+    """A type imported from upstream once coupled the two sides, so neither could change alone."""
     files = list(Path(quillroad.downstream.__file__).parent.glob("*.py"))
     assert len(files) > 10
     for file in files:
--- a/tests/downstream/test_state.py
+++ b/tests/downstream/test_state.py
@@ -1,4 +1,4 @@
-"""The two state machines of a client connection: their tables, and connections that follow them."""
+"""The state machines of a client connection: their tables, and the transitions of connections."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
     world,
 )
 
-# Written here once more, by hand: a table that is changed has to be changed in two places on
-# purpose.
-READS: dict[tuple[ReadState, ReadEvent], ReadState] = {
+# Copies of the tables, written by hand, so that a change of a table must be made deliberately in
+# two places.
+EXPECTED_READ_TRANSITIONS: dict[tuple[ReadState, ReadEvent], ReadState] = {
     (ReadState.BETWEEN, ReadEvent.BEGIN): ReadState.HEAD,
     (ReadState.HEAD, ReadEvent.HEAD_COMPLETE): ReadState.BODY,
     (ReadState.BODY, ReadEvent.COMPLETE): ReadState.BETWEEN,
@@ -49,7 +49,7 @@
     (ReadState.BODY, ReadEvent.END): ReadState.ENDED,
     (ReadState.ENDED, ReadEvent.END): ReadState.ENDED,
 }
-ANSWERS: dict[tuple[AnswerState, AnswerEvent], AnswerState] = {
+EXPECTED_ANSWER_TRANSITIONS: dict[tuple[AnswerState, AnswerEvent], AnswerState] = {
     (AnswerState.IDLE, AnswerEvent.QUEUE): AnswerState.QUEUED,
     (AnswerState.IDLE, AnswerEvent.SERVE): AnswerState.SERVING,
     (AnswerState.IDLE, AnswerEvent.FINISH): AnswerState.IDLE,
@@ -74,7 +74,7 @@
 def test_each_read_state_and_event_is_an_allowed_transition_or_an_error(
     state: ReadState, event: ReadEvent
 ) -> None:
-    expected = READS.get((state, event))
+    expected = EXPECTED_READ_TRANSITIONS.get((state, event))
     if expected is not None:
         assert READ_AFTER[state][event] is expected
     else:
@@ -88,7 +88,7 @@
 def test_each_answer_state_and_event_is_an_allowed_transition_or_an_error(
     state: AnswerState, event: AnswerEvent
 ) -> None:
-    expected = ANSWERS.get((state, event))
+    expected = EXPECTED_ANSWER_TRANSITIONS.get((state, event))
     if expected is not None:
         assert ANSWER_AFTER[state][event] is expected
     else:
@@ -97,57 +97,61 @@
         assert (error.value.state, error.value.event) == (state, event)
 
 
-def test_each_row_of_the_tables_belongs_to_the_state_that_it_is_looked_up_by() -> None:
+def test_each_table_row_is_stored_at_the_index_of_its_state() -> None:
     assert [row.state for row in READ_AFTER] == list(ReadState)
     assert [row.state for row in ANSWER_AFTER] == list(AnswerState)
 
 
-def test_every_state_is_reached_from_the_first_one_and_the_last_ones_are_never_left() -> None:
+def test_every_state_is_reachable_and_final_states_are_never_left() -> None:
     reads, answers = {ReadState.BETWEEN}, {AnswerState.IDLE}
     for _ in range(len(ReadState) + len(AnswerState)):
-        reads |= {to for (state, _), to in READS.items() if state in reads}
-        answers |= {to for (state, _), to in ANSWERS.items() if state in answers}
+        reads |= {to for (state, _), to in EXPECTED_READ_TRANSITIONS.items() if state in reads}
+        answers |= {
+            to for (state, _), to in EXPECTED_ANSWER_TRANSITIONS.items() if state in answers
+        }
     assert reads == set(ReadState)
     assert answers == set(AnswerState)
-    ended = {to for (state, _), to in READS.items() if state is ReadState.ENDED}
-    closed = {to for (state, _), to in ANSWERS.items() if state is AnswerState.CLOSED}
+    ended = {to for (state, _), to in EXPECTED_READ_TRANSITIONS.items() if state is ReadState.ENDED}
+    closed = {
+        to for (state, _), to in EXPECTED_ANSWER_TRANSITIONS.items() if state is AnswerState.CLOSED
+    }
     assert (ended, closed) == ({ReadState.ENDED}, {AnswerState.CLOSED})
 
 
-def test_the_groups_of_states_hold_what_their_names_say() -> None:
+def test_partial_and_not_begun_contain_the_expected_states() -> None:
     assert {ReadState.HEAD, ReadState.BODY} == PARTIAL
     assert {AnswerState.IDLE, AnswerState.QUEUED} == NOT_BEGUN
 
 
-class Recorded(dict[Any, Any]):
-    """One row of a table that notes, by name, each transition looked up and each that is not
-    allowed.
-    """
+class RecordingRow(dict[Any, Any]):
+    """Row of a transition table that records the names of transitions and the rejected ones."""
 
-    def __init__(self, row: Any, seen: set[str], refused: list[TransitionError]) -> None:
+    def __init__(self, row: Any, seen: set[str], rejected: list[TransitionError]) -> None:
         super().__init__(row)
-        self.state, self.seen, self.refused = row.state, seen, refused
+        self.state, self.seen, self.rejected = row.state, seen, rejected
 
     def __getitem__(self, event: Any) -> Any:
-        self.seen.add(name(self.state, event))
+        self.seen.add(transition_name(self.state, event))
         return super().__getitem__(event)
 
     def __missing__(self, event: Any) -> Any:
         error = TransitionError(self.state, event)
-        self.refused.append(error)
+        self.rejected.append(error)
         raise error
 
 
-def name(state: IntEnum, event: IntEnum) -> str:
-    """Members of two enums with the same number are equal: as text they differ."""
+def transition_name(state: IntEnum, event: IntEnum) -> str:
+    """Return a unique name; members of different enums with the same value compare equal."""
     return f"{type(state).__name__}.{state.name} {event.name}"
 
 
-ALLOWED = {name(*step) for step in READS} | {name(*step) for step in ANSWERS}
+ALLOWED_TRANSITIONS = {transition_name(*step) for step in EXPECTED_READ_TRANSITIONS} | {
+    transition_name(*step) for step in EXPECTED_ANSWER_TRANSITIONS
+}
 
 
-async def one_after_another(w: World, client: Client) -> None:
-    """Ordinary requests, errors, the health check, and three sent ahead at once."""
+async def sequential_and_pipelined_requests(w: World, client: Client) -> None:
+    """Ordinary requests, an error, the health check and three pipelined requests."""
     for path, method in (("/status-check/k", ""), ("/audit/k", "POST"), ("/up", "GET")):
         assert (await client.ask(path, method=method)).status == 200
     assert (await client.ask("/nowhere", method="GET")).status == 404
@@ -156,8 +160,8 @@
     assert [(await client.receive()).status for _ in range(3)] == [200] * 3
 
 
-async def error_behind_an_answer(w: World, client: Client) -> None:
-    """What cannot be read ends the input while the answer before it is still owed."""
+async def error_after_a_request(w: World, client: Client) -> None:
+    """Invalid input ends the input while an earlier response is due."""
     w.hosts[0].behave = hang
     client.send()
     client.writer.write(b"rubbish\r\n\r\n")
@@ -166,8 +170,8 @@
     assert [(await client.receive()).status for _ in range(2)] == [200, 400]
 
 
-async def departed_while_served(w: World, client: Client) -> None:
-    """The client leaves with its request at a host, and with half of a request written."""
+async def disconnect_while_served(w: World, client: Client) -> None:
+    """The client disconnects with one request at a host and half of another sent."""
     w.hosts[0].behave = hang
     client.send()
     await w.hosts[0].came.get()
@@ -176,10 +180,10 @@
     await until(lambda: not len(w.gateway.server.connection_limit))
 
 
-async def departed_while_queued(w: World, client: Client) -> None:
-    """The client leaves while its request waits for the gateway's core."""
+async def disconnect_while_queued(w: World, client: Client) -> None:
+    """The client disconnects while its request is in the admission queue."""
     scheduler = w.gateway.server.scheduler
-    scheduler.scheduled = True  # as if a run were about to come, which does not
+    scheduler.scheduled = True  # as if a slice were scheduled; it does not run
     client.send()
     await until(lambda: w.gateway.server.admission.waiting == 1)
     client.writer.close()
@@ -187,8 +191,8 @@
     scheduler.scheduled = False
 
 
-async def long_answers(w: World, client: Client) -> None:
-    """A long answer that comes whole, and one whose client leaves half way."""
+async def streamed_responses(w: World, client: Client) -> None:
+    """A complete streamed response, and one whose client disconnects half way."""
     body = b"x" * 300_000
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
     w.hosts[0].behave = say(head + body)
@@ -203,8 +207,8 @@
     await until(lambda: not w.gateway.server.streams)
 
 
-async def migrated(w: World, client: Client) -> None:
-    """Held for another process, kept after all, held again, and gone over."""
+async def migration(w: World, client: Client) -> None:
+    """A migration that is cancelled, and a second one that is completed."""
     assert (await client.ask()).status == 200
     (held,) = w.gateway.server.connection_limit.connections()
     await until(held.idle)
@@ -218,36 +222,36 @@
     await until(lambda: w.gateway.server._descriptors.used == w.gateway.upstream.idle_connections)
 
 
-SCENES = (
-    one_after_another,
-    error_behind_an_answer,
-    departed_while_served,
-    departed_while_queued,
-    long_answers,
-    migrated,
+SCENARIOS = (
+    sequential_and_pipelined_requests,
+    error_after_a_request,
+    disconnect_while_served,
+    disconnect_while_queued,
+    streamed_responses,
+    migration,
 )
 
 
 def record(monkeypatch: pytest.MonkeyPatch) -> tuple[set[str], list[TransitionError]]:
-    """Note the transitions of all connections from now on."""
-    seen, refused = set[str](), list[TransitionError]()
-    answers = tuple(Recorded(row, seen, refused) for row in ANSWER_AFTER)
-    reads = tuple(Recorded(row, seen, refused) for row in READ_AFTER)
+    """Record the transitions of all connections from now on."""
+    seen, rejected = set[str](), list[TransitionError]()
+    answers = tuple(RecordingRow(row, seen, rejected) for row in ANSWER_AFTER)
+    reads = tuple(RecordingRow(row, seen, rejected) for row in READ_AFTER)
     for module in (connection, connection_migration, connection_output):
         monkeypatch.setattr(module, "ANSWER_AFTER", answers)
     monkeypatch.setattr(request_parser, "READ_AFTER", reads)
-    return seen, refused
+    return seen, rejected
 
 
 @pytest.mark.plain
-@pytest.mark.parametrize("scene", SCENES)
-def test_real_connections_take_only_allowed_transitions(
-    scene: Callable[[World, Client], Any], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_connections_make_only_allowed_transitions(
+    scenario: Callable[[World, Client], Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A transition that the table does not allow raises in a callback of the event loop, where it
-    would cost one connection and be seen by nobody: here it fails the test.
+    """A transition that is not allowed raises in an event loop callback, where it would break one
+    connection unnoticed; here it fails the test.
     """
-    seen, refused = record(monkeypatch)
+    seen, rejected = record(monkeypatch)
 
     @on_loop
     async def play() -> None:
@@ -255,30 +259,30 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: faults.append(context))
         async with world(serve_ok, admin_addr="127.0.0.1:0") as w, w.client() as client:
-            await scene(w, client)
+            await scenario(w, client)
         assert faults == []
 
     play()
-    assert refused == []
+    assert rejected == []
     assert seen
-    assert seen <= ALLOWED
+    assert seen <= ALLOWED_TRANSITIONS
 
 
 @pytest.mark.plain
-def test_the_scenes_together_take_nearly_every_allowed_transition(
+def test_the_scenarios_cover_nearly_every_allowed_transition(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A scene that no longer gets where it should would let the test above pass for nothing."""
+    """If a scenario no longer reached its states, the test above would check nothing."""
     seen, _ = record(monkeypatch)
 
     @on_loop
     async def play() -> None:
-        for scene in SCENES:
+        for scenario in SCENARIOS:
             async with world(serve_ok, admin_addr="127.0.0.1:0") as w, w.client() as client:
-                await scene(w, client)
+                await scenario(w, client)
 
     play()
-    # These need a fault of the gateway, or two processes and a client that leaves between two
+    # These need a bug in the gateway, or two processes and a client that disconnects between two
     # calls.
     rare = {
         "AnswerState.IDLE FINISH",
@@ -287,18 +291,18 @@
         "AnswerState.CLOSED RELEASE",
         "ReadState.BODY END",
     }
-    assert ALLOWED - seen <= rare
+    assert ALLOWED_TRANSITIONS - seen <= rare
 
 
 @pytest.mark.plain
 @on_loop
-async def test_a_request_that_cannot_begin_is_answered_and_its_connection_serves_on(
+async def test_a_request_that_raises_at_its_beginning_is_answered_with_500(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A fault at the beginning of a request used to be answered from a state that nobody had
-    thought of.
+    """An exception at the beginning of a request used to be answered in a state that the table did
+    not contain.
     """
-    seen, refused = record(monkeypatch)
+    seen, rejected = record(monkeypatch)
     async with world(serve_ok) as w, w.client() as client:
         with monkeypatch.context() as patch:
             patch.setattr(
@@ -307,19 +311,20 @@
             client.send()
             assert (await client.receive()).status == 500
         assert "AnswerState.IDLE FINISH" in seen
-        assert refused == []
+        assert rejected == []
         assert (await client.ask()).status == 200
 
 
 @pytest.mark.plain
 @on_loop
-async def test_a_fault_in_a_callback_of_the_parser_is_logged_and_not_only_blamed_on_the_client(
+async def test_an_exception_in_a_parser_callback_is_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The parser wraps what a callback raises: a fault of the gateway looks like bytes that are no
-    HTTP, and without a log row nobody would find it."""
+    """httptools wraps an exception of a callback: a bug in the gateway looks like invalid HTTP, and
+    could not be found without the log line.
+    """
     async with world(serve_ok) as w, w.client() as client:
         monkeypatch.setattr(w.gateway.server.validator, "check", lambda *_: 1 / 0)
         assert (await client.ask()).status == 400
-        assert "a fault in parsing" in caplog.text
+        assert "unexpected exception in a parser callback" in caplog.text
         assert "ZeroDivisionError" in caplog.text
--- a/tests/downstream/test_time_limits.py
+++ b/tests/downstream/test_time_limits.py
@@ -1,4 +1,4 @@
-"""Clients that take too long: to send, to read, to say anything."""
+"""Clients that exceed a time limit: to send a request, to read a response, to stay idle."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from quillroad.downstream.connection_limit import ConnectionState
 from quillroad.downstream.state import PARTIAL
 from quillroad.downstream.time_limits import OUTPUT_STALL_S, RECEIVE_S
-from tests.downstream.clients import at_end, joined
+from tests.downstream.clients import only_connection, read_until_closed
 from tests.net import (
     answer,
     on_loop,
@@ -22,8 +22,8 @@
 
 
 @on_loop
-async def test_a_request_that_never_becomes_whole_gets_408() -> None:
-    """Half a head holds a descriptor for as long as its client likes."""
+async def test_an_incomplete_request_gets_408() -> None:
+    """Without a limit a client with a partial head could hold a descriptor for ever."""
     async with world(serve_ok) as w, w.client() as client:
         client.writer.write(b"GET /status-check/k HTTP/1.1\r\nX:")
         await until(
@@ -34,21 +34,21 @@
         for connection in w.gateway.server.connection_limit.connections():
             connection.last_change -= RECEIVE_S + 1
         assert (await client.receive()).status == 408
-        assert await at_end(client) == b""
+        assert await read_until_closed(client) == b""
 
 
 @on_loop
 async def test_a_client_that_reads_no_responses_is_disconnected() -> None:
-    """Unread answers would pile up in memory."""
+    """Unread responses would accumulate in memory."""
     async with world(say(answer(b"x" * 60_000))) as w, w.client() as client:
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-        room = w.gateway.server.connection_limit
-        while not any(c.output_pending for c in room.connections()):
+        limit = w.gateway.server.connection_limit
+        while not any(c.output_pending for c in limit.connections()):
             client.send()
             await asyncio.sleep(0)
-        for connection in room.connections():
+        for connection in limit.connections():
             connection.last_change -= OUTPUT_STALL_S + 1
-        await until(lambda: not len(room))
+        await until(lambda: not len(limit))
 
 
 @pytest.mark.parametrize("start", [b"GET /status-check/k HTTP/1.1\r\nX:", b"G", b"\r\n", b""])
@@ -56,10 +56,10 @@
 async def test_a_client_that_trickles_bytes_is_disconnected(
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The time counts from the first byte: one that trickles must not gain by each further byte."""
+    """The limit counts from the first byte: further bytes must not extend it."""
     monkeypatch.setattr(time_limits, "RECEIVE_S", 0.3)
     async with world(serve_ok) as w, w.client() as client:
-        end = asyncio.ensure_future(at_end(client))
+        end = asyncio.ensure_future(read_until_closed(client))
         while not end.done():
             client.writer.write(start[:1])
             start = start[1:] + start[:1]
@@ -71,28 +71,28 @@
 async def test_a_client_that_asked_once_and_stays_is_disconnected_early(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """On the churn day 625 of these in a minute held memory and descriptors for good."""
+    """In a churn scenario, 625 such clients in a minute held memory and descriptors for ever."""
     async with world(serve_ok) as w, w.client() as once, w.client() as usual:
         for _ in range(2):
             assert (await usual.ask()).status == 200
         monkeypatch.setattr(time_limits, "IDLE_AFTER_ONE_REQUEST_S", -1.0)
         assert (await once.ask()).status == 200
-        assert await at_end(once) == b""
+        assert await read_until_closed(once) == b""
         assert (await usual.ask()).status == 200
 
 
 @on_loop
 async def test_a_connection_with_unsent_bytes_is_not_idle() -> None:
-    """It would be ended to make room, and the end of its answer be lost."""
+    """It would be closed to make room, and the end of its response would be lost."""
     async with world(say(answer(b"x" * 60_000))) as w, w.client() as client:
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-        connection = await joined(w)
+        connection = await only_connection(w)
         while not connection.output_pending:
             client.send()
             await asyncio.sleep(0)
         assert w.gateway.server.connection_limit.state(connection) is not ConnectionState.RESTING
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-        taken = asyncio.ensure_future(at_end(client))
+        taken = asyncio.ensure_future(read_until_closed(client))
         await until(
             lambda: w.gateway.server.connection_limit.state(connection) is ConnectionState.RESTING
         )
