--- a/quillroad/downstream/connection_output.py
+++ b/quillroad/downstream/connection_output.py
@@ -66,8 +66,8 @@
     def _response_written(self, keep_alive: bool, has_next: bool) -> None:
         """Go on after a response was written.
 
-        `keep_alive` tells whether the connection stays open, `has_next` whether the client has sent
-        more of its next requests.
+        `keep_alive` tells whether the connection stays open, `has_next` whether data of a
+        further request was received.
         """
         raise NotImplementedError
 
--- a/quillroad/downstream/request_parser.py
+++ b/quillroad/downstream/request_parser.py
@@ -156,7 +156,7 @@
         if isinstance(error, BadRequestError):
             bad_request = error
         else:
-            bad_request = self._callback_error or HttpSyntaxError(f"not HTTP: {error}")
+            bad_request = self._callback_error or HttpSyntaxError(f"invalid HTTP: {error}")
             if self._callback_error is None and isinstance(
                 error, httptools.HttpParserCallbackError
             ):
--- a/quillroad/downstream/request_validation.py
+++ b/quillroad/downstream/request_validation.py
@@ -136,7 +136,9 @@
     for name, value in headers:
         lower = name.lower()
         if lower in values and lower in SINGLE_VALUE_HEADERS:
-            raise HeaderError(f"two headers {lower.decode()}", lower.decode(), "one")
+            raise HeaderError(
+                f"header {lower.decode()} appears more than once", lower.decode(), "one"
+            )
         values[lower] = value
         if lower not in NOT_FORWARDED_HEADERS:
             forwarded.append(name + b": " + value)
@@ -154,12 +156,12 @@
         raise UnexpectedBodyError()
     if keyed != bool(values.get(b"idempotency-key")):
         raise HeaderError(
-            "Idempotency-Key and class do not go together",
+            "Idempotency-Key does not match the idempotency of the route",
             "Idempotency-Key",
             "a key" if keyed else "none",
         )
     if not values.get(b"request-id"):
-        raise HeaderError("no Request-Id", "Request-Id", "an id")
+        raise HeaderError("header Request-Id is missing", "Request-Id", "an id")
 
 
 def _timeout_ms(values: dict[bytes, bytes]) -> int:
@@ -169,4 +171,8 @@
         timeout_ms = int(value)
         if timeout_ms > 0:
             return timeout_ms
-    raise HeaderError("bad Request-Timeout-Ms", "Request-Timeout-Ms", "milliseconds above 0")
+    raise HeaderError(
+        "header Request-Timeout-Ms is missing or invalid",
+        "Request-Timeout-Ms",
+        "milliseconds above 0",
+    )
--- a/tests/downstream/test_connection_limit.py
+++ b/tests/downstream/test_connection_limit.py
@@ -15,7 +15,7 @@
     ConnectionState,
 )
 
-LONG = 10 * MIN_SILENT_S
+LONG_S = 10 * MIN_SILENT_S
 
 
 def new_limit(places: int = 4, unread: set[int] | None = None) -> ConnectionLimit[int]:
@@ -35,13 +35,13 @@
     ):
         limit.set_state(number, state, 0.0)
     assert not limit.has_place()
-    assert limit.connection_to_end(LONG) is None  # two are busy, two have unread bytes
+    assert limit.connection_to_end(LONG_S) is None  # two are busy, two have unread bytes
     assert limit.may_accept_to_reject()  # one more may be accepted, to be rejected
-    limit.set_state(4, ConnectionState.BUSY, LONG)
+    limit.set_state(4, ConnectionState.BUSY, LONG_S)
     assert not limit.may_accept_to_reject()  # rejected before it counts as a connection
     assert limit.may_accept_unclassified()
     unread.clear()
-    assert limit.connection_to_end(LONG) == 1
+    assert limit.connection_to_end(LONG_S) == 1
 
 
 def test_order_in_which_connections_are_closed_for_others() -> None:
@@ -50,7 +50,7 @@
     limit.set_state(2, ConnectionState.SILENT, 0.0)
     limit.set_state(3, ConnectionState.LEAVING, 0.0)
     order = []
-    while (one := limit.connection_to_end(LONG)) is not None:
+    while (one := limit.connection_to_end(LONG_S)) is not None:
         order.append(one)
         limit.remove(one)
     assert order == [3, 2, 1]
@@ -79,11 +79,11 @@
     for number in (1, 2, 3):
         limit.set_state(number, ConnectionState.RESTING, number / 10)
     limit.set_state(1, ConnectionState.BUSY, 0.5)
-    assert limit.longest_resting_to_end(LONG) is None  # a fraction of the places may rest
+    assert limit.longest_resting_to_end(LONG_S) is None  # a fraction of the places may rest
     limit.set_state(1, ConnectionState.RESTING, 0.6)
     # It rested for no longer than a client takes to send its next request.
     assert limit.longest_resting_to_end(0.2 + MIN_REST_S / 2) is None
-    assert limit.longest_resting_to_end(LONG) == 2
+    assert limit.longest_resting_to_end(LONG_S) == 2
 
 
 MOVES = st.tuples(
@@ -118,16 +118,16 @@
     limit, now, unread = new_limit(places), 0.0, set[int]()
     receiving_places = int(RECEIVING_FRACTION * places)
     states: dict[int, ConnectionState] = {}
-    for number, what, passed in moves:
-        now += passed
-        if isinstance(what, ConnectionState):
+    for number, step, elapsed_s in moves:
+        now += elapsed_s
+        if isinstance(step, ConnectionState):
             if number in states and states[number] is not ConnectionState.LEAVING:
-                states[number] = what
-                limit.set_state(number, what, now)
-        elif what == "left":
+                states[number] = step
+                limit.set_state(number, step, now)
+        elif step == "left":
             states.pop(number, None)
             limit.remove(number)
-        elif what == "end longest resting":
+        elif step == "end longest resting":
             if (one := limit.longest_resting_to_end(now)) is not None:
                 assert states.pop(one) is ConnectionState.RESTING
                 limit.remove(one)
--- a/tests/downstream/test_departed_clients.py
+++ b/tests/downstream/test_departed_clients.py
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("late", ["accept", "read"])
 @pytest.mark.parametrize("linger", [False, True])
 @on_loop
-async def test_no_attempt_for_a_client_that_disconnected_before_it_was_read(
+async def test_no_attempt_for_a_client_that_left_before_its_request_was_read(
     late: str, linger: bool
 ) -> None:
     """Both the request and the close wait in the kernel before the event loop reads them, and an
--- a/tests/downstream/test_descriptors.py
+++ b/tests/downstream/test_descriptors.py
@@ -38,7 +38,7 @@
 )
 from tests.test_process import ended, program
 
-SOCKETS, IDLE = 64, 150
+DESCRIPTOR_LIMIT, IDLE_CLIENTS = 64, 150
 
 
 async def served(port: int) -> bool:
@@ -61,9 +61,11 @@
     hosts = [await FakeHost(f"s-{i}").start() for i in range(2)]
     discovery = await FakeDiscovery(*(host.entry() for host in hosts)).start()
     port = free_port()
-    data = config_data(discovery.port, listen=f"127.0.0.1:{port}", limits={"sockets": SOCKETS})
+    data = config_data(
+        discovery.port, listen=f"127.0.0.1:{port}", limits={"sockets": DESCRIPTOR_LIMIT}
+    )
     process = await program(tmp_path, data)
-    resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
+    resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT))
     assert await served(port)
     discovery.silent = True
     discovery.watches[-1].close()
@@ -71,7 +73,7 @@
         discovery._server.close()
         await discovery._server.wait_closed()
     idle = []
-    for _ in range(IDLE):
+    for _ in range(IDLE_CLIENTS):
         sock = socket.socket()
         sock.setblocking(False)
         sock.connect_ex(("127.0.0.1", port))
@@ -80,8 +82,8 @@
     def held() -> int:
         return len(os.listdir(f"/proc/{process.pid}/fd"))
 
-    await until(lambda: held() > SOCKETS // 2)
-    assert await served(port) and held() <= SOCKETS
+    await until(lambda: held() > DESCRIPTOR_LIMIT // 2)
+    assert await served(port) and held() <= DESCRIPTOR_LIMIT
     async with asyncio.timeout(5.0), Client(port) as client:
         assert (await client.ask("/up", method="GET")).status == 200
     # Discovery is back, and one host is draining meanwhile.
@@ -98,7 +100,7 @@
     before = len(hosts[0].seen)
     for _ in range(10):
         assert await served(port)
-    assert len(hosts[0].seen) == before and held() <= SOCKETS
+    assert len(hosts[0].seen) == before and held() <= DESCRIPTOR_LIMIT
     process.terminate()
     code, log = await ended(process)
     assert code == 0 and "Traceback" not in log, log
@@ -117,19 +119,21 @@
     hosts = [await FakeHost(f"s-{i}").start() for i in range(4)]
     discovery = await FakeDiscovery(*(host.entry() for host in hosts)).start()
     port = free_port()
-    data = config_data(discovery.port, listen=f"127.0.0.1:{port}", limits={"sockets": SOCKETS})
+    data = config_data(
+        discovery.port, listen=f"127.0.0.1:{port}", limits={"sockets": DESCRIPTOR_LIMIT}
+    )
     leaks = os.pipe()
     process = await program(tmp_path, data, *leaks)
     for leak in leaks:
         os.close(leak)
     assert process.stderr is not None
     while (
-        told := re.search(rb" (\d+) descriptors were open", await process.stderr.readline())
+        found := re.search(rb" (\d+) descriptors were open", await process.stderr.readline())
     ) is None:
         pass
-    assert int(told[1]) >= len(leaks)
-    places = SOCKETS - RESERVED - int(told[1])
-    resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
+    assert int(found[1]) >= len(leaks)
+    places = DESCRIPTOR_LIMIT - RESERVED - int(found[1])
+    resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT))
 
     def held() -> int:
         return len(os.listdir(f"/proc/{process.pid}/fd"))
@@ -138,12 +142,12 @@
     # connection, until the pool is full.
     assert await served(port)
     base = held()
-    few = [await Client(port).__aenter__() for _ in range(4)]
+    fast_clients = [await Client(port).__aenter__() for _ in range(4)]
     while held() < base + places - 4:
-        assert {reply.status for reply in await asyncio.gather(*(one.ask() for one in few))} == {
-            200
-        }
-    for one in few:
+        assert {
+            reply.status for reply in await asyncio.gather(*(one.ask() for one in fast_clients))
+        } == {200}
+    for one in fast_clients:
         await one.__aexit__()
     await until(lambda: held() <= base + places - 4)
     # As many clients as places connect while the process is stopped.
@@ -160,7 +164,7 @@
 
 
 async def connect_silent_clients(w: World, enough: Callable[[], bool]) -> list[Client]:
-    """Connect silent clients one by one until `until_room` returns True."""
+    """Connect silent clients one by one until `enough` returns True."""
     silent = list[Client]()
     while not enough():
         silent.append(await w.client().__aenter__())
@@ -195,16 +199,15 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """With all descriptors in use none is left for an accept: unless a silent connection is closed
-    first, no client is accepted until they disconnect by themselves.
+    first, no client is accepted until silent ones disconnect by themselves.
     """
     monkeypatch.setattr(time_limits, "RECEIVE_S", 3600.0)
     async with world(serve_ok, serve_ok, limits={"sockets": RESERVED + 16}) as w:
-        few = [await w.client().__aenter__() for _ in range(2)]
-        while (
-            w.gateway.upstream.idle_connections < 14
-        ):  # so fast that nearly each request needs a new connection
+        fast_clients = [await w.client().__aenter__() for _ in range(2)]
+        # Requests follow each other so fast that nearly each one needs a new host connection.
+        while w.gateway.upstream.idle_connections < 14:
             assert {
-                reply.status for reply in await asyncio.gather(*(one.ask() for one in few))
+                reply.status for reply in await asyncio.gather(*(one.ask() for one in fast_clients))
             } == {200}
         held = w.gateway.server._descriptors
         silent = await connect_silent_clients(
@@ -212,7 +215,7 @@
         )
         async with w.client() as late:
             assert (await late.ask()).status == 200
-        for client in (*few, *silent):
+        for client in (*fast_clients, *silent):
             client.writer.close()
         await until(lambda: not len(w.gateway.server.connection_limit))
 
@@ -240,9 +243,10 @@
         await until(lambda: sum(len(host.seen) for host in w.hosts) == len(asking))
         held = w.gateway.server._descriptors
         silent = await connect_silent_clients(w, lambda: held.spare() < 0)
+        # Wait until one is no longer too new to be closed.
         await until(
             lambda: w.gateway.server.connection_limit.connection_to_end(monotonic()) is not None
-        )  # no longer too new to be closed
+        )
         async with w.client() as late:
             assert (await late.ask()).status == 200
         free.set()
@@ -262,9 +266,8 @@
         silent = await connect_silent_clients(
             w, lambda: not w.gateway.server.connection_limit.may_accept_to_reject()
         )
-        raw = socket.create_connection(
-            ("127.0.0.1", w.gateway.port)
-        )  # its request arrives before the accept
+        # This request arrives before the accept.
+        raw = socket.create_connection(("127.0.0.1", w.gateway.port))
         raw.send(
             b"GET /status-check/k HTTP/1.1\r\nRequest-Timeout-Ms: 9000\r\nRequest-Id: 1\r\n\r\n"
         )
--- a/tests/downstream/test_long_answers.py
+++ b/tests/downstream/test_long_answers.py
@@ -230,8 +230,8 @@
     """The response is split at any byte: in a header, in a chunk size, between CR and LF."""
     body = BODY[:190_000]
     data = b"".join(frame(body))
-    places = sorted({0, len(data), *(c for c in cuts if c < len(data))})
-    pieces = [data[a:b] for a, b in itertools.pairwise(places)]
+    offsets = sorted({0, len(data), *(c for c in cuts if c < len(data))})
+    pieces = [data[a:b] for a, b in itertools.pairwise(offsets)]
 
     async def behave(message: Message, writer: asyncio.StreamWriter) -> None:
         for piece in pieces:
@@ -239,12 +239,12 @@
             await asyncio.sleep(0)
 
     @on_loop
-    async def play() -> None:
+    async def run_case() -> None:
         async with world(behave, **LONG_BODY_SETTINGS) as w, w.client() as client:
             client.send()
             assert await read_whole(client.reader) == body
 
-    play()
+    run_case()
 
 
 @on_loop
--- a/tests/downstream/test_request_parser.py
+++ b/tests/downstream/test_request_parser.py
@@ -67,8 +67,8 @@
 def test_any_split_of_the_same_bytes_gives_the_same_requests(cuts: list[int]) -> None:
     """Data may be split anywhere: in the request line, in a header name, between CR and LF."""
     data = GET % 1 + POST % (2, 300) + b"b" * 300 + b"GET /up HTTP/1.1\r\n\r\n" + GET % 3
-    places = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
-    pieces = [data[start:end] for start, end in itertools.pairwise(places)]
+    offsets = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
+    pieces = [data[start:end] for start, end in itertools.pairwise(offsets)]
     requests = parse_all(new_parser(), pieces)
     assert [pending.status for pending in requests] == [200] * 4
     ids = [pending.request.id if pending.request is not None else "" for pending in requests]
@@ -200,7 +200,7 @@
 
 def test_a_repeated_header_is_an_error_that_names_it() -> None:
     headers = [(b"Request-Id", b"a"), (b"request-ID", b"b")]
-    with pytest.raises(HeaderError, match=r"^two headers request-id$") as error:
+    with pytest.raises(HeaderError, match=r"^header request-id appears more than once$") as error:
         PLAIN.check(b"GET", b"/status-check/k", headers, bytearray(), 0.0)
     assert (error.value.field, error.value.expected) == ("request-id", "one")
 
--- a/tests/downstream/test_state.py
+++ b/tests/downstream/test_state.py
@@ -254,15 +254,15 @@
     seen, rejected = record(monkeypatch)
 
     @on_loop
-    async def play() -> None:
-        faults: list[dict[str, Any]] = []
+    async def run_scenario() -> None:
+        exceptions: list[dict[str, Any]] = []
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: faults.append(context))
+        loop.set_exception_handler(lambda _, context: exceptions.append(context))
         async with world(serve_ok, admin_addr="127.0.0.1:0") as w, w.client() as client:
             await scenario(w, client)
-        assert faults == []
+        assert exceptions == []
 
-    play()
+    run_scenario()
     assert rejected == []
     assert seen
     assert seen <= ALLOWED_TRANSITIONS
@@ -276,12 +276,12 @@
     seen, _ = record(monkeypatch)
 
     @on_loop
-    async def play() -> None:
+    async def run_scenario() -> None:
         for scenario in SCENARIOS:
             async with world(serve_ok, admin_addr="127.0.0.1:0") as w, w.client() as client:
                 await scenario(w, client)
 
-    play()
+    run_scenario()
     # These need a bug in the gateway, or two processes and a client that disconnects between two
     # calls.
     rare = {
