--- a/quillroad/downstream/connection_limit.py
+++ b/quillroad/downstream/connection_limit.py
@@ -18,7 +18,8 @@
 
 Connection = TypeVar("Connection")
 
-# Time by which a first request would have been read here, or a last response by the client.
+# A silent or leaving connection is not closed to make room before this time: within it, a first
+# request would have been read here, or a last response by the client.
 MIN_SILENT_S = 0.2
 # A connection that has rested for less is not closed as the longest resting one: clients that reuse
 # their connection send the next request sooner.
--- a/tests/downstream/long_bodies.py
+++ b/tests/downstream/long_bodies.py
@@ -19,10 +19,10 @@
 
 def with_chunks(body: bytes) -> list[bytes]:
     parts = [body[i : i + 50_000] for i in range(0, len(body), 50_000)]
-    told = [b"%x;note=x\r\n%b\r\n" % (len(part), part) for part in parts]
+    chunks = [b"%x;note=x\r\n%b\r\n" % (len(part), part) for part in parts]
     hints = b"HTTP/1.1 103 Early Hints\r\n\r\n"
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: Sum\r\n\r\n"
-    return [hints, head, *told, b"0\r\nSum: 1\r\n\r\n"]
+    return [hints, head, *chunks, b"0\r\nSum: 1\r\n\r\n"]
 
 
 def until_close(body: bytes) -> list[bytes]:
--- a/tests/downstream/test_connection_limit.py
+++ b/tests/downstream/test_connection_limit.py
@@ -172,13 +172,13 @@
 @pytest.mark.parametrize("places", [1, 8, 20, 84, 180, 500])
 def test_silent_connections_leave_descriptors_for_hosts(places: int) -> None:
     """Places are half of the descriptors: silent clients may hold three quarters at most."""
-    connections = ConnectionLimit[int](places, lambda _: False)
+    client_limit = ConnectionLimit[int](places, lambda _: False)
     for number in range(3 * places + 100):
         if not (
-            connections.has_place()
-            or connections.may_accept_to_reject()
-            or connections.may_accept_unclassified()
+            client_limit.has_place()
+            or client_limit.may_accept_to_reject()
+            or client_limit.may_accept_unclassified()
         ):
             break
-        connections.set_state(number, ConnectionState.SILENT, 1.0)
-    assert places <= len(connections) <= 1.5 * places
+        client_limit.set_state(number, ConnectionState.SILENT, 1.0)
+    assert places <= len(client_limit) <= 1.5 * places
--- a/tests/downstream/test_connection_places.py
+++ b/tests/downstream/test_connection_places.py
@@ -127,9 +127,8 @@
     async with world(serve_ok, limits={"sockets": 24 + 40}) as w, w.client() as usual:
         stayed = [await w.client().__aenter__() for _ in range(15)]
         for client in stayed:
-            assert (
-                await usual.ask()
-            ).status == 200  # used in between, so it is never the longest idle one
+            # Used in between, so it is never the longest idle one.
+            assert (await usual.ask()).status == 200
             assert (await client.ask()).status == 200
         assert await read_until_closed(stayed[0]) == b""
         await until(lambda: len(w.gateway.server.connection_limit) <= 10)
--- a/tests/downstream/test_gateway.py
+++ b/tests/downstream/test_gateway.py
@@ -94,20 +94,21 @@
     """
     async with world(serve_ok, serve_ok, hang, break_off, reject_not_started) as w:
         engine, balancer = w.gateway.engine, w.gateway.engine._balancer
-        for turn in range(6):
+        for iteration in range(6):
             clients = [await w.client().__aenter__() for _ in range(12)]
             for number, client in enumerate(clients):
                 wait = "150" if number % 3 else "9000"
                 client.send(
-                    ("/status-check/k", "/audit/k")[number % 2] + str(turn), Request_Timeout_Ms=wait
+                    ("/status-check/k", "/audit/k")[number % 2] + str(iteration),
+                    Request_Timeout_Ms=wait,
                 )
-            host = w.hosts[turn % 5]
-            if turn == 5:
+            host = w.hosts[iteration % 5]
+            if iteration == 5:
                 w.discovery.tell(
                     host.entry(lifecycle="removed"), w.hosts[1].entry(instanceId="s-new")
                 )
             else:
-                w.discovery.tell(host.entry(startedAtMs=turn + 1, weight=1.0 + turn))
+                w.discovery.tell(host.entry(startedAtMs=iteration + 1, weight=1.0 + iteration))
             for number, client in enumerate(clients):
                 if number % 3:
                     await client.receive()
