--- a/quillroad/balancing/endpoint.py
+++ b/quillroad/balancing/endpoint.py
@@ -1,4 +1,4 @@
-"""One entry of the endpoint list, as discovery tells it."""
+"""An entry of the endpoint list that discovery reports."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EndpointStatus(Enum):
-    """What discovery says of an endpoint. The values are the platform's numbers."""
+    """Status of an endpoint as reported by discovery. The values are the platform's codes."""
 
     REMOVED = 0
     READY = 1
@@ -15,10 +15,10 @@
 
 
 class Endpoint(NamedTuple):
-    """One entry of the endpoint list, told by its number and never by its address.
+    """One entry of the endpoint list, identified by its number and never by its address.
 
-    `weight` is what the platform tells of its size. `started_us` on the balancer's clock; None or
-    0: long ago.
+    `weight` is the endpoint's size as the platform reports it. `started_us` is when the endpoint
+    started, on the balancer's clock; None or 0 means that it started long ago.
     """
 
     id: int
--- a/quillroad/balancing/gateways.py
+++ b/quillroad/balancing/gateways.py
@@ -1,7 +1,7 @@
-"""What is told of the other gateways, and of this gateway's other process.
+"""Updates about the other gateways, and about the sibling process of this gateway.
 
-Decides nothing; keeps the counts right that other rules go by. Inputs: the number of gateways and
-this one's index; the attempts of a sibling process during an upgrade.
+Makes no decision; maintains the counts that other rules read. Inputs: the number of gateways and
+this gateway's index; the attempts of a sibling process during an upgrade.
 """
 
 from __future__ import annotations
@@ -15,9 +15,10 @@
 
 
 def on_sibling_attempts(state: BalancerState, event: SiblingAttempts) -> None:
-    """Count the attempts of the sibling process as ours, in place of what was told before.
+    """Add the sibling process's attempts to this gateway's, in place of its previous report.
 
-    Without it both processes fill a host's limit each, and both use the same slow-start slot.
+    Otherwise each process would fill a host up to the limit of the whole gateway, and both would
+    use the same slow-start slot.
     """
     state.owns_slow_start = event.owns_slow_start
     state.sibling_in_flight = sum(
@@ -32,9 +33,10 @@
 
 
 def on_gateway_count_changed(state: BalancerState, event: GatewayCountChanged) -> None:
-    """Divide what was learned of a host's limit among the gateways that there are now.
+    """Divide the learned concurrency limit of a host among the current number of gateways.
 
-    Without it three gateways that are left of ten use a tenth each until they have learned anew.
+    Otherwise, when three of ten gateways remain, each would use a tenth of the limit until it has
+    learned a new one.
     """
     state.concurrency_limit *= state.gateway_count / event.gateway_count
     state.gateway_index = event.gateway_index
--- a/quillroad/balancing/latency_tracker.py
+++ b/quillroad/balancing/latency_tracker.py
@@ -1,4 +1,4 @@
-"""The latest latencies of a route, kept in order so that a percentile is one look-up."""
+"""The most recent latencies of a route, kept sorted so that a percentile is one index access."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class LatencyTracker:
-    """At most `capacity` latencies (us): `latest` in order of arrival, `ordered` by size.
+    """The last `capacity` latencies (us): `latest` in order of arrival, `ordered` ascending.
 
-    The oldest makes way for the newest. Percentiles are asked for with every attempt, so they are
-    not sorted out anew each time.
+    A new latency replaces the oldest one when the tracker is full. Percentiles are read for every
+    attempt, so the values are kept sorted instead of being sorted for each read.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -22,12 +22,12 @@
         return len(self.latest)
 
     def append(self, latency_us: int) -> None:
-        """Take one latency (us) in."""
+        """Record a latency (us); drop the oldest one if the tracker is full."""
         if len(self.latest) == self.capacity:
             del self.ordered[bisect_left(self.ordered, self.latest.popleft())]
         insort(self.ordered, latency_us)
         self.latest.append(latency_us)
 
     def percentile(self, quantile: float) -> int | None:
-        """The latency (us) at `quantile` (from 0 to below 1); None where there is none yet."""
+        """Return the latency (us) at `quantile` (0 <= quantile < 1); None if there is none yet."""
         return self.ordered[int(quantile * len(self.ordered))] if self.ordered else None
--- a/quillroad/balancing/learning.py
+++ b/quillroad/balancing/learning.py
@@ -1,8 +1,10 @@
-"""What an outcome says: of its host, its machine type, its route, and the load of others.
+"""What the gateway learns from the outcome of an attempt.
 
-Decides which rule learns what; the rules decide what follows. Inputs: an attempt with its outcome
-and its elapsed time (us). An attempt that was called off or never sent says nothing. An answer to a
-long body says that the host is well, but its time tells how fast the body is read.
+An outcome carries information about its host, machine type and route, and about the load from other
+gateways. This module decides which rule learns from it; the rules decide what follows. Inputs: an
+attempt, its outcome and its elapsed time (us). Cancelled and unsent attempts carry no information.
+An answer to a request with a long body shows that the host is healthy, but its elapsed time
+reflects how fast the body is transferred, not the host's latency.
 """
 
 from __future__ import annotations
@@ -15,7 +17,7 @@
 from quillroad.balancing.outlier_detection import FAILURE_REST_US, blame, credit, rest
 from quillroad.balancing.slow_start import is_warming
 from quillroad.balancing.subsetting import (
-    SLOW_ANSWER,
+    SLOW_ANSWER_RATIO,
     note_congestion,
     on_rejected_by_host,
     pause_after_attempt,
@@ -24,27 +26,27 @@
 if TYPE_CHECKING:
     from quillroad.balancing.state import Attempt, BalancerState, Request, RouteState
 
-SAY_NOTHING = (Outcome.CANCELLED, Outcome.NOT_SENT)
-"""Outcomes of attempts that the gateway itself ended or never began."""
+UNINFORMATIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)
+"""Outcomes of attempts that the gateway cancelled or never sent."""
 SLOWNESS_SMOOTHING = 0.12
-"""Weight of the newest answer in a machine type's slowness: as quick to learn as payoffs."""
-LEAST_SLOWNESS = 0.01
-"""Latency over the uncrowded one is taken to be at least this: an answer from a cache must not make
-its machine type look a thousand times faster."""
-FIRST_SAMPLES = 64
-"""Answers of a route before its uncrowded latency counts as known: until then crowded answers
-teach it, too, and limits are not moved."""
-MOST_SAMPLES = 1024
-"""Answers that the uncrowded latency is a mean of: slow enough that a jam of minutes does not
-become the yardstick that limits are measured with."""
-LEAST_LATENCY_US = 1.0
-"""Least uncrowded latency: other values are divided by it."""
-MEDIAN = 0.5
-"""Quantile that stands for the objective of a route that has none."""
+"""Weight of the newest answer in a machine type's slowness; the same rate as for payoffs."""
+MIN_LATENCY_RATIO = 0.01
+"""Lower bound of an answer's latency divided by the uncrowded latency: an answer from a cache must
+not make its machine type look a thousand times faster."""
+MIN_UNCROWDED_SAMPLES = 64
+"""Answers of a route before its uncrowded latency counts as known. Until then answers from crowded
+hosts contribute to it too, and the concurrency limit is not adjusted."""
+MAX_UNCROWDED_SAMPLES = 1024
+"""Number of answers that the uncrowded latency averages over: so many that congestion of some
+minutes does not become the baseline that limits are measured against."""
+MIN_UNCROWDED_LATENCY_US = 1.0
+"""Lower bound of the uncrowded latency: other values are divided by it."""
+MEDIAN_QUANTILE = 0.5
+"""Quantile of a route's latency that replaces the objective of a route without one."""
 
 
 def learn(state: BalancerState, request: Request, attempt: Attempt, event: AttemptFinished) -> None:
-    """Take in one outcome."""
+    """Release the attempt's permit and pass its outcome to the rules that learn from it."""
     host = attempt.host
     outcome = event.outcome
     host.overdue -= attempt.overdue
@@ -53,38 +55,50 @@
         state.concurrency_limit >= 1.0 or not keeps_permit(state, request, attempt, outcome)
     ):
         state.in_flight -= 1
-    if outcome in SAY_NOTHING:
+    if outcome in UNINFORMATIVE_OUTCOMES:
         return
-    # In a slot at a warming host nobody else sends: its answers say nothing of other gateways.
-    shared = state.concurrency_limit < 1.0 and not is_warming(state, host)
-    if shared and outcome is not Outcome.REJECTED:
+    # No other gateway sends to a warming host in this gateway's slot, so that its answers carry no
+    # information about the load from other gateways.
+    shows_shared_load = state.concurrency_limit < 1.0 and not is_warming(state, host)
+    if shows_shared_load and outcome is not Outcome.REJECTED:
         pause_after_attempt(state, min(event.elapsed_us, request.route.attempt_timeout_us))
     if outcome is Outcome.SUCCESS and _learn_from_answer(
-        state, request, attempt, event.elapsed_us, shared
+        state, request, attempt, event.elapsed_us, shows_shared_load
     ):
         return
-    _learn_from_failure(state, request, attempt, outcome, shared)
+    _learn_from_failure(state, request, attempt, outcome, shows_shared_load)
 
 
 def _learn_from_failure(
-    state: BalancerState, request: Request, attempt: Attempt, outcome: Outcome, shared: bool
+    state: BalancerState,
+    request: Request,
+    attempt: Attempt,
+    outcome: Outcome,
+    shows_shared_load: bool,
 ) -> None:
-    """Hold a failure, or an answer that missed the objective, against the host."""
+    """Record a failure of the host: an error, or an answer that missed the objective."""
     if request.long_body and outcome is Outcome.TIMEOUT:
-        return  # the client read or sent slowly
+        return  # the client read or sent the body slowly
     if state.concurrency_limit < 1.0 and outcome is not Outcome.TIMEOUT:
         rest(state, attempt.host, FAILURE_REST_US)
-        if outcome is Outcome.REJECTED and shared:
+        if outcome is Outcome.REJECTED and shows_shared_load:
             on_rejected_by_host(state)
     if not attempt.overdue:
-        # A failed connection says that this host is gone, not that the fleet is in a jam.
+        # A failed connection shows that this host is down, not that the fleet is overloaded.
         blame(state, attempt.host, outcome is not Outcome.CONNECT_FAILED)
 
 
 def _learn_from_answer(
-    state: BalancerState, request: Request, attempt: Attempt, elapsed_us: int, shared: bool
+    state: BalancerState,
+    request: Request,
+    attempt: Attempt,
+    elapsed_us: int,
+    shows_shared_load: bool,
 ) -> bool:
-    """Take in the time of an answer; False where it missed the objective, a failure of the host."""
+    """Learn from an answer and its time.
+
+    Return False if it missed the route's latency objective: the caller records it as a failure.
+    """
     host = attempt.host
     route = request.route
     host.ejections = 0
@@ -93,20 +107,23 @@
     state.consecutive_rejections = 0
     if request.long_body:
         return True
-    if shared:
-        note_congestion(state, elapsed_us > SLOW_ANSWER * route.uncrowded_latency_us)
-    slowness = math.log2(max(elapsed_us / route.uncrowded_latency_us, LEAST_SLOWNESS))
+    if shows_shared_load:
+        note_congestion(state, elapsed_us > SLOW_ANSWER_RATIO * route.uncrowded_latency_us)
+    slowness = math.log2(max(elapsed_us / route.uncrowded_latency_us, MIN_LATENCY_RATIO))
     machine_type = host.endpoint.machine_type
-    known = state.machine_slowness[machine_type]
-    state.machine_slowness[machine_type] = known + (slowness - known) * SLOWNESS_SMOOTHING
+    previous_slowness = state.machine_slowness[machine_type]
+    state.machine_slowness[machine_type] = (
+        previous_slowness + (slowness - previous_slowness) * SLOWNESS_SMOOTHING
+    )
     _learn_latency(state, route, attempt, elapsed_us)
     objective_us = route.settings.latency_objective_us
-    bound_us = objective_us or route.latency.percentile(MEDIAN) or elapsed_us
+    bound_us = objective_us or route.latency.percentile(MEDIAN_QUANTILE) or elapsed_us
     route.latency.append(elapsed_us)
     if elapsed_us > bound_us and objective_us is not None:
         return False
-    # With no objective half of all answers are slower than the median: no sign of a jam, nor of an
-    # outlier. Without this distinction such routes shed load and eject hosts on a quiet day.
+    # Without an objective the bound is the median, which half of all answers exceed: that is no
+    # sign of overload or of an outlier. If it counted as one, such routes would shed load and eject
+    # hosts under normal traffic.
     credit(state, host, float(elapsed_us <= bound_us), objective_us is not None)
     return True
 
@@ -114,11 +131,20 @@
 def _learn_latency(
     state: BalancerState, route: RouteState, attempt: Attempt, elapsed_us: int
 ) -> None:
-    """Take the time of an answer into the route's uncrowded latency and the concurrency limit."""
+    """Update the route's uncrowded latency and the concurrency limit by the time of an answer."""
     route.samples += 1
-    if attempt.alone or route.samples < FIRST_SAMPLES:
-        step_us = (elapsed_us - route.uncrowded_latency_us) / min(route.samples, MOST_SAMPLES)
-        route.uncrowded_latency_us = max(LEAST_LATENCY_US, route.uncrowded_latency_us + step_us)
-    # In a subset others fill a host: own answers do not tell how many attempts it bears.
-    if attempt.filled_host and route.samples >= FIRST_SAMPLES and state.concurrency_limit >= 1.0:
+    if attempt.alone or route.samples < MIN_UNCROWDED_SAMPLES:
+        step_us = (elapsed_us - route.uncrowded_latency_us) / min(
+            route.samples, MAX_UNCROWDED_SAMPLES
+        )
+        route.uncrowded_latency_us = max(
+            MIN_UNCROWDED_LATENCY_US, route.uncrowded_latency_us + step_us
+        )
+    # In a subset other gateways fill a host, so that this gateway's answers do not show how many
+    # attempts the host can handle.
+    if (
+        attempt.filled_host
+        and route.samples >= MIN_UNCROWDED_SAMPLES
+        and state.concurrency_limit >= 1.0
+    ):
         adjust_limit(state, elapsed_us / route.uncrowded_latency_us)
--- a/quillroad/balancing/state.py
+++ b/quillroad/balancing/state.py
@@ -1,8 +1,8 @@
-"""What the rules share: hosts, routes, requests, attempts, and the state of one balancer.
+"""State that the rules share: hosts, routes, requests, attempts, and the state of one balancer.
 
-Data and what keeps it consistent, no decision. Each rule is a module of functions over
-`BalancerState`; it says there which of these fields are its own. Times are whole microseconds of
-the balancer's clock, durations microseconds.
+This module holds data and keeps it consistent; it makes no decisions. Each rule is a module of
+functions over `BalancerState`, where comments name the rule that owns a field. Times are whole
+microseconds of the balancer's clock, durations are microseconds.
 """
 
 from __future__ import annotations
@@ -25,26 +25,30 @@
     from quillroad.balancing.zone_routing import CrossZoneBudget
 
 UNKNOWN_PAYOFF = 0.5
-"""Payoff (0 to 1) of a host nothing is known of: neither preferred nor passed over."""
+"""Payoff (0 to 1) of a host without known outcomes: neither preferred nor avoided."""
 LATENCY_SAMPLES = 128
-"""Latencies of a route that percentiles are taken from: enough for a 95th, soon forgotten."""
-INITIAL_LATENCY_PART = 0.25
-"""Guess of a route's uncrowded latency, as a part of its attempt timeout: a cautious one, since
-budgets of warming hosts and queue order count with it before the first answers."""
-POLLS_REMEMBERED = 0.25
-"""How long a host's record lasts, as a part of the poll interval: the endpoint list is the other
-source on hosts, and a record must not outlive several of its versions."""
+"""Latencies per route that percentiles are computed from: enough for the 95th percentile, and few
+enough that old ones soon drop out."""
+INITIAL_LATENCY_FRACTION = 0.25
+"""Initial estimate of a route's uncrowded latency, as a fraction of its attempt timeout. It is
+conservative, since the budgets of warming hosts and the queue order depend on it until the first
+answers arrive."""
+MEMORY_POLL_FRACTION = 0.25
+"""Decay time of what is learned of a host, as a fraction of the poll interval: the endpoint list is
+the other source of information on hosts, and what was learned must not outlive several versions of
+it."""
 
 
 class RouteState:
-    """What is known of one route.
-
-    `attempt_timeout_us` is its objective, or its deadline where it has none: an attempt that is in
-    flight for longer is overdue. `uncrowded_latency_us` is learned from `samples` answers,
-    `client_wait_us` is how long clients wait, smoothed. `overdue_schedule` holds the attempts by
-    the time at which they become overdue. `queues` holds the waiting requests: those within their
-    tenant's quota, then those beyond it. `cross_zone_denied`: at its last pick only remote zones
-    had room, and the cross-zone budget refused.
+    """State of one route.
+
+    `attempt_timeout_us` is the route's latency objective, or its deadline if it has none: an
+    attempt in flight for longer is overdue. `uncrowded_latency_us` is the latency at a host with
+    nothing else in flight from this gateway, learned from `samples` answers. `client_wait_us` is
+    the smoothed time that clients wait. `overdue_schedule` holds the attempts by the time at which
+    they become overdue. `queues` holds the waiting requests: first those within their tenant's
+    quota, then those beyond it. `cross_zone_denied`: when a host was last picked, only remote zones
+    had room and the cross-zone budget denied the attempt.
     """
 
     def __init__(self, settings: Route, hedging_allowed: bool) -> None:
@@ -55,7 +59,7 @@
         self.retry_budget = TokenBucket(1.0)
         self.latency = LatencyTracker(LATENCY_SAMPLES)
         self.attempt_timeout_us = settings.latency_objective_us or settings.deadline_us
-        self.uncrowded_latency_us = self.attempt_timeout_us * INITIAL_LATENCY_PART
+        self.uncrowded_latency_us = self.attempt_timeout_us * INITIAL_LATENCY_FRACTION
         self.samples = 0
         self.client_wait_us = 0.0
         self.overdue_schedule: deque[tuple[int, Attempt]] = deque()
@@ -64,14 +68,15 @@
 
 
 class HostState:
-    """What this gateway knows of one endpoint.
-
-    `payoff` is its smoothed share of attempts within the objective, as of `heard_us`: when it was
-    last heard of, or, for an ejected host, when it returns.
-    `ring_position` is its place in an order that all gateways have in common. `in_flight` and
-    `overdue` count attempts of this gateway; of them `sibling_in_flight` and `sibling_overdue` are
-    of another process of the same gateway. `slow_start_slot` is the last slot in which it was
-    used while warming up, `slot_work_left_us` the work that this slot still allows.
+    """State of one endpoint as seen by this gateway.
+
+    `payoff` is the smoothed share of attempts that met the objective, as of `heard_us`: the time of
+    the last outcome or, for an ejected host, of its return. `ring_position` is the host's place in
+    an order that all gateways share. `in_flight` and `overdue` count the attempts of this gateway;
+    of these, `sibling_in_flight` and `sibling_overdue` belong to the sibling process.
+    `newest_overdue_sent_us` and `newest_answered_sent_us` are the latest send times of an overdue
+    and of an answered attempt. `slow_start_slot` is the last slot in which the host was used while
+    it was warming up, `slot_work_left_us` the work that this slot still allows.
     """
 
     def __init__(self, endpoint: Endpoint) -> None:
@@ -92,19 +97,20 @@
         self.slot_work_left_us = 0.0
 
     def is_healthy(self, now_us: int) -> bool:
-        """Whether it is in rotation: not ejected and not silent."""
+        """Return whether the host is in rotation: not ejected and not silent."""
         return self.ejected_until_us <= now_us and not (self.overdue and self.is_silent())
 
     def is_silent(self) -> bool:
-        """Of a host with an overdue attempt: whether nothing sent after it was answered.
+        """Return whether no attempt sent after the newest overdue one was answered.
 
-        Where something was, that one attempt got lost. Without the distinction a few lost answers
-        take most hosts out of rotation at once.
+        Only meaningful for a host with an overdue attempt. If a later attempt was answered, only
+        the overdue one was lost. Without this distinction a few lost answers would take most hosts
+        out of rotation at once.
         """
         return self.newest_answered_sent_us <= self.newest_overdue_sent_us
 
     def permits_taken(self) -> int:
-        """Attempts that take a permit: all in flight, but for those that got lost."""
+        """Return how many attempts hold a permit: all in flight except lost ones."""
         if not self.overdue or self.is_silent():
             return self.in_flight
         return self.in_flight - self.overdue
@@ -113,8 +119,9 @@
 class Attempt:
     """One send of a request to a host.
 
-    `alone`: the host had no other attempt of ours. `filled_host`: it took the last permit there.
-    `overdue`: it passed the attempt timeout; `permit_released`: its permit was given back then.
+    `alone`: the host had no other attempt from this gateway when this one started. `filled_host`:
+    the attempt took the last permit at the host. `overdue`: the attempt exceeded the attempt
+    timeout; `permit_released`: its permit was released at that time.
     """
 
     def __init__(self, host: HostState, sent_us: int) -> None:
@@ -130,10 +137,10 @@
 class Request:
     """A client's request, kept until its final answer and the last outcome of its attempts.
 
-    `work_us` is the work that it is expected to cost a host. An answer after `useful_until_us` has
-    no value. `in_flight` counts its attempts without an outcome, `retry_groups` the groups of
-    attempts that failed. `closed`: it has its final answer, or needs none. `client_gone`: its
-    client has left.
+    `work_us` is the work that the request is expected to cost a host. An answer after
+    `useful_until_us` has no value. `in_flight` counts the attempts without an outcome,
+    `retry_groups` the groups of attempts that failed. `closed`: the final answer was sent, or none
+    is needed. `client_gone`: the client closed the connection.
     """
 
     def __init__(
@@ -159,24 +166,24 @@
         self.client_gone = False
 
     def may_have_run(self) -> list[Attempt]:
-        """The attempts whose work a host may have started, oldest first."""
-        return [a for a in self.attempts if a.outcome not in NEVER_RAN]
+        """Return the attempts that a host may have started to process, oldest first."""
+        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
 
 
 class BalancerState:
-    """The state of one balancer, which all rules read and each rule changes its part of.
+    """The state of one balancer: every rule reads all of it and changes the fields that it owns.
 
-    The groups below are named by the rule that owns them. Nothing is shared between balancers.
+    A comment above each group of fields names the rule that owns it. Balancers share no state.
     """
 
     def __init__(
-        self, settings: Settings, seed: int, crossing: CrossZoneBudget | None = None
+        self, settings: Settings, seed: int, cross_zone_budget: CrossZoneBudget | None = None
     ) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.now_us = 0  # time of the events being handled
-        self.started_us: int | None = None  # time of the first events; None: there were none yet
-        self.actions: list[Action] = []  # what was decided on the events being handled
+        self.now_us = 0  # time at which the current events are handled
+        self.started_us: int | None = None  # time of the first events; None before them
+        self.actions: list[Action] = []  # decisions on the current events
         self.counters: dict[str, int] = {}  # by RejectionReason and DecisionCounter
         self.routes = [
             RouteState(route, settings.hedging_allowed) for route in settings.routes or (Route(),)
@@ -184,60 +191,60 @@
         self.requests: dict[int, Request] = {}
         self.timers: dict[int, Timer] = {}
         self.last_timer_id = 0
-        self._set_endpoints()
-        self._set_admission()
-        self._set_limits()
+        self._init_endpoints()
+        self._init_admission()
+        self._init_limits()
         # zone_awareness
-        self.cross_zone = crossing  # None: traffic to other zones is not limited
+        self.cross_zone = cross_zone_budget  # None: cross-zone traffic is not limited
         # slow_start
-        self.owns_slow_start = True  # False: the slots are the sibling process's
+        self.owns_slow_start = True  # False: the sibling process uses the slots
         self.slot_us = slow_start.slot_length_us(settings, self.initial_work_us)
 
-    def _set_endpoints(self) -> None:
+    def _init_endpoints(self) -> None:
         # endpoints
         self.hosts: dict[int, HostState] = {}
-        self.candidates: list[HostState] = []  # ready hosts, in the order common to all gateways
-        self.warming: list[HostState] = []  # candidates that were warming up at the last update
+        self.candidates: list[HostState] = []  # ready hosts, by `ring_position`
+        self.warming: list[HostState] = []  # candidates warming up at the last refresh
         self.all_local = True  # no host is in a remote zone
-        self.failed_polls = 0  # in a row
+        self.failed_polls = 0  # consecutive
         # outlier_detection
-        self.memory_us = POLLS_REMEMBERED * self.settings.poll_interval_us
+        self.memory_us = MEMORY_POLL_FRACTION * self.settings.poll_interval_us
         self.mean_payoff = UNKNOWN_PAYOFF
         # learning: mean log2 of latency over the route's uncrowded latency, by machine type
         self.machine_slowness: dict[int, float] = {}
 
-    def _set_admission(self) -> None:
+    def _init_admission(self) -> None:
         latencies = [route.uncrowded_latency_us for route in self.routes]
         # admission, load_shedding
-        self.admitted_ratio = 1.0  # share of arrivals not shed
-        self.recent_requests = 0.0  # arrivals within `memory_us`, fading
-        self.recent_counted_us = 0  # when they were counted last
-        self.mean_work_us = min(latencies)  # of one request
-        self.initial_work_us = max(latencies)  # the same before anything is learned, cautiously
+        self.admitted_ratio = 1.0  # fraction of arrivals that load shedding admits
+        self.recent_requests = 0.0  # arrivals within `memory_us`, decaying exponentially
+        self.recent_counted_us = 0  # when `recent_requests` was last updated
+        self.mean_work_us = min(latencies)  # mean work of a request
+        self.initial_work_us = max(latencies)  # conservative value before any answers
         # tenant_quota
         self.tenant_buckets = [TokenBucket(quota) for quota in self.settings.tenant_quotas_per_s]
         # workload_isolation
         self.shortest_timeout_us = min(route.attempt_timeout_us for route in self.routes)
-        self.long_work_ratio = 0.0  # part of the work asked for that comes in long requests
+        self.long_work_ratio = 0.0  # fraction of the requested work in long routes
         # request_queue
-        self.queued = 0  # requests that wait
-        self.queue_sent_us = 0  # the last send from the queue
-        self.queue_interval_us = 0.0  # time between two of them, smoothed
+        self.queued = 0  # requests in the queues
+        self.queue_sent_us = 0  # time of the last send from the queue
+        self.queue_interval_us = 0.0  # smoothed time between sends from the queue
 
-    def _set_limits(self) -> None:
-        # gateways: the numbers as they are now; the settings have them as they were told
+    def _init_limits(self) -> None:
+        # gateways: the current numbers; `settings` keeps the configured ones
         self.gateway_index = self.settings.gateway_index
         self.gateway_count = self.settings.gateway_count
         # concurrency_limit
         self.concurrency_limit = concurrency_limit.initial_limit(self.gateway_count)
-        self.latency_inflation = 1.0  # latency in a full host over the uncrowded one, smoothed
+        self.latency_inflation = 1.0  # smoothed: latency at a full host / uncrowded
         # subsetting
         self.permits_per_host = max(1.0, self.concurrency_limit)
         self.subset_size = 0  # hosts in the subset at the last pick
-        self.permit_quota = 0.0  # this gateway's part of the permits at all hosts of the subset
-        self.permit_cap = 0.0  # own attempts in flight at most, however quick answers are
-        self.congestion_window = 1.0  # part of the subset's size that answers allow in flight
-        self.consecutive_rejections = 0  # by hosts since the last answer
+        self.permit_quota = 0.0  # this gateway's share of the permits at all hosts
+        self.permit_cap = 0.0  # maximum attempts in flight, however fast the answers
+        self.congestion_window = 1.0  # fraction of `subset_size` that may be in flight
+        self.consecutive_rejections = 0  # rejections by hosts since the last answer
         self.paused_until_us = 0
-        self.in_flight = 0  # own attempts that hold a permit
-        self.sibling_in_flight = 0  # the same of this gateway's other process
+        self.in_flight = 0  # attempts of this process that hold a permit
+        self.sibling_in_flight = 0  # the same for the sibling process
--- a/quillroad/balancing/subsetting.py
+++ b/quillroad/balancing/subsetting.py
@@ -1,23 +1,26 @@
-"""Which hosts this gateway draws from, and how many attempts it may have in flight.
-
-Decides, where gateways outnumber the places at a host (`concurrency_limit` below 1): the subset of
-hosts, the permits (attempts in flight at once), and pauses. Elsewhere every host is drawn from,
-with `concurrency_limit` permits at each. Inputs: gateway index and count, the gateway's own
-traffic, and what answers tell of the hosts' load.
-
-Subset: a part of the ring order that all gateways have in common, from a place set by the gateway
-index, as wide as the gateway's quota of permits; healthy hosts only. Without it each gateway puts
-one request on every host, and together they put many times on it what it bears. A gateway whose own
-traffic alone fills more than its part takes more hosts in: then others are gone.
-
-Permits: the width of the subset times the congestion window, which grows by quick answers and
-shrinks by slow ones (additive, as in TCP). The upper bound is what hosts bear from all gateways
-that do the same; the lower one is the gateway's quota. Under one permit means a pause between two
-attempts. Without it a choice of three hosts is taken for three permits, and once a zone is lost the
-gateways that are left hold several times what its hosts bear.
-
-Pauses: one host that rejects work may be alone in it; where one after another does, the fleet is
-full, and a pause that doubles costs less than what each further try costs hosts.
+"""Subsetting: which hosts this gateway draws from, and how many attempts it has in flight.
+
+Where gateways outnumber the permits at a host (`concurrency_limit` below 1) this module decides the
+subset of hosts, the permits (attempts in flight at once) and the pauses between attempts. Otherwise
+a gateway draws from every host, with `concurrency_limit` permits at each. Inputs: gateway index and
+count, the gateway's own traffic, and the load of the hosts as their answers show it.
+
+Subset: a section of the ring order that all gateways share. It starts at a position set by the
+gateway index, has as many hosts as the gateway's quota of permits, and consists of healthy hosts.
+Without subsets each gateway could send one request to every host, which together is many times what
+a host can handle. A gateway whose own traffic needs more than its share uses more hosts: so much
+traffic shows that other gateways are gone.
+
+Permits: the size of the subset times the congestion window, which grows with fast answers and
+shrinks with slow ones, like TCP's but by fixed steps in both directions. The upper bound is what
+hosts can handle when all gateways use it; the lower bound is the gateway's quota. Less than one
+permit means a pause between two attempts. If the minimum subset of three hosts counted as three
+permits, then after the loss of a zone the remaining gateways would hold several times the attempts
+that its hosts can handle.
+
+Pauses: a single host that rejects work may be the only full one. If several reject in a row the
+fleet is full, and a pause that doubles costs less than the work that each further attempt costs
+the hosts.
 """
 
 from __future__ import annotations
@@ -32,32 +35,36 @@
 if TYPE_CHECKING:
     from quillroad.balancing.state import BalancerState, HostState
 
-SMALLEST_SUBSET = 3
-"""Hosts in the smallest subset: one bad host must leave a choice of two."""
-MOST_PERMITS_PER_HOST = 3.5
-"""Attempts at a host at once by all gateways that share it, however quick answers are: the first
-answers that tell of a crowd come when it is there already."""
-LEAST_PERMITS = 0.25
-"""Permits of a gateway at the worst: an attempt in a quarter of the time notices hosts are back."""
-SLOW_ANSWER = 2.5
-"""An answer that took so many times the uncrowded latency tells of a crowd: more than the usual
-spread of latencies."""
-WINDOW_LOST = 0.1
-"""Part of the congestion window that a slow answer takes away."""
-WINDOW_GAINED = 0.033
-"""Part of it that a quick answer gives back: three quick ones outweigh a slow one."""
-MOST_LOCAL = 0.5
-"""Part of the subset that local hosts take at most, however dear cross-zone traffic is: all local,
-the zone's hosts would carry all gateways of a zone that has more of them."""
-GOLDEN_SECTION = 0.618
-"""Golden section: fractions of its multiples lie evenly, so that consecutive gateway indexes round
-their permits up and down in turn. All rounded up they are a tenth more than hosts bear."""
-MOST_PAUSE_DOUBLINGS = 3
-"""Doublings of the pause after rejections: a try costs a full host work, a pause idles hosts."""
+MIN_SUBSET_HOSTS = 3
+"""Minimum size of a subset: with one bad host there must be two others to choose from."""
+MAX_PERMITS_PER_HOST = 3.5
+"""Maximum attempts in flight at a host from all gateways that share it, however fast the answers
+are: the first slow answers arrive only when the host is already overloaded."""
+MIN_PERMITS = 0.25
+"""Minimum permits of a gateway: with one attempt in flight for a quarter of the time it still
+detects that hosts have recovered."""
+SLOW_ANSWER_RATIO = 2.5
+"""Latency of an answer, as a multiple of the uncrowded latency, above which it shows congestion:
+more than the usual spread of latencies."""
+WINDOW_DECREASE = 0.1
+"""Decrease of the congestion window (0 to 1) after a slow answer."""
+WINDOW_INCREASE = 0.033
+"""Increase of the congestion window after a fast answer: about three fast answers make up for a
+slow one."""
+MAX_LOCAL_FRACTION = 0.5
+"""Maximum fraction of local hosts in a subset, whatever cross-zone traffic costs: with local hosts
+only, the hosts of a zone with more gateways than others would serve all of these gateways."""
+GOLDEN_RATIO_CONJUGATE = 0.618
+"""1 / golden ratio: the fractional parts of its multiples are evenly spread, so that consecutive
+gateway indexes alternate between rounding their permits up and down. If all rounded up, hosts would
+get a tenth more than they can handle."""
+MAX_PAUSE_DOUBLINGS = 3
+"""Doublings of the pause after rejections. An attempt costs a full host work; a pause that is too
+long leaves hosts idle."""
 
 
 def update_subset(state: BalancerState) -> list[HostState] | None:
-    """The hosts to draw from, and with them the permits; None: all candidates."""
+    """Update the permits, and return the hosts to draw from; None means all candidates."""
     if state.concurrency_limit >= 1.0:
         state.permits_per_host = state.concurrency_limit
         return None
@@ -76,9 +83,10 @@
 
 
 def _warm_hosts(state: BalancerState) -> list[HostState]:
-    """The candidates that are not warming up; all of them where none is warm.
+    """Return the candidates that are not warming up; all candidates if every one is.
 
-    Warming hosts are for the owner of their slot: after a deploy subsets would hold little else.
+    Warming hosts serve only the owner of their slow-start slot. With them, subsets would consist of
+    little else after a deploy.
     """
     if not state.warming:
         return state.candidates
@@ -86,46 +94,51 @@
 
 
 def _prefer_local(state: BalancerState, ring: list[HostState], width: int) -> list[HostState]:
-    """`width` hosts of the ring, with local ones in proportion to the price of crossing zones.
+    """Return `width` hosts of the ring; the higher the cross-zone cost, the more local ones.
 
-    The price is held against the late answers that load shedding would bear.
+    The cost is weighed against the fraction of late answers that load shedding tolerates.
     """
     settings = state.settings
-    most = round(width * min(MOST_LOCAL, settings.cross_zone_cost / (1.0 - TARGET_IN_TIME)))
-    local = [host for host in ring if host.endpoint.zone == settings.zone][:most]
+    max_local = round(
+        width * min(MAX_LOCAL_FRACTION, settings.cross_zone_cost / (1.0 - TARGET_IN_TIME))
+    )
+    local = [host for host in ring if host.endpoint.zone == settings.zone][:max_local]
     return local + [host for host in ring if host not in local][: width - len(local)]
 
 
-def _update_permits(state: BalancerState, hosts: int) -> None:
-    """Quota, cap and width by the number of hosts and the gateway's own traffic."""
+def _update_permits(state: BalancerState, host_count: int) -> None:
+    """Update quota, cap and subset size by the number of hosts and the gateway's own traffic."""
     limit = state.concurrency_limit
     own_traffic = (
         state.recent_requests / state.memory_us * min(state.mean_work_us, state.initial_work_us)
     )
-    permits = max(hosts * limit, own_traffic)
-    state.permits_per_host = max(1.0, permits / max(1, hosts))
-    part = state.gateway_index * GOLDEN_SECTION % 1.0
-    state.subset_size = min(hosts, max(SMALLEST_SUBSET, int(permits + part)))
-    # Under one permit for each gateway the others are certainly there, however busy this one is
-    # with retries of the same requests.
-    state.permit_quota = hosts * limit if hosts * limit < 1.0 else float(int(permits + part))
-    together = hosts * MOST_PERMITS_PER_HOST / state.gateway_count
-    state.permit_cap = float(int(max(together, own_traffic) + part))
+    needed_permits = max(host_count * limit, own_traffic)
+    state.permits_per_host = max(1.0, needed_permits / max(1, host_count))
+    rounding = state.gateway_index * GOLDEN_RATIO_CONJUGATE % 1.0
+    state.subset_size = min(host_count, max(MIN_SUBSET_HOSTS, int(needed_permits + rounding)))
+    # A share of less than one permit stays as it is: so many other gateways certainly exist, and
+    # more traffic than this share may be retries of the same requests.
+    state.permit_quota = (
+        host_count * limit if host_count * limit < 1.0 else float(int(needed_permits + rounding))
+    )
+    max_share = host_count * MAX_PERMITS_PER_HOST / state.gateway_count
+    state.permit_cap = float(int(max(max_share, own_traffic) + rounding))
 
 
 def permits(state: BalancerState) -> float:
-    """Own attempts in flight at once while the subset is shared; under 1: pauses in between."""
+    """Return how many attempts may be in flight in a shared subset; below 1: with pauses."""
     return max(
-        LEAST_PERMITS,
+        MIN_PERMITS,
         state.permit_quota,
         min(state.permit_cap, state.congestion_window * state.subset_size),
     )
 
 
 def is_out_of_permits(state: BalancerState) -> bool:
-    """Whether one more attempt would be too many, or a pause is on, while a subset is drawn from.
+    """Return whether, in a subset, all permits are in use or attempts are paused.
 
-    Without it a subset that passes over hosts in trouble fills one host after another.
+    Without this limit a gateway whose subset skips unhealthy hosts would fill one host after
+    another.
     """
     if state.now_us < state.paused_until_us:
         return True
@@ -133,31 +146,31 @@
 
 
 def note_congestion(state: BalancerState, crowded: bool) -> None:
-    """What one answer tells of the load that other gateways put on the hosts."""
+    """Adjust the congestion window by one answer; `crowded`: it shows load from other gateways."""
     if crowded:
-        state.congestion_window = max(0.0, state.congestion_window - WINDOW_LOST)
+        state.congestion_window = max(0.0, state.congestion_window - WINDOW_DECREASE)
     else:
-        state.congestion_window = min(1.0, state.congestion_window + WINDOW_GAINED)
+        state.congestion_window = min(1.0, state.congestion_window + WINDOW_INCREASE)
 
 
 def suspend_attempts(state: BalancerState, wait_us: float) -> None:
-    """Start no attempt for `wait_us`; the queue goes on with the event that ends the pause."""
+    """Start no attempt for `wait_us`; the timer that ends the pause resumes the queue."""
     state.paused_until_us = max(state.paused_until_us, state.now_us + int(wait_us))
     set_timer(state, wait_us, TimerPurpose.RESUME_QUEUE)
 
 
-def pause_after_attempt(state: BalancerState, used_us: int) -> None:
-    """With less than one permit, pause in proportion to the time that an attempt has used it."""
-    own = permits(state)
-    if own < 1.0:
-        suspend_attempts(state, used_us * (1.0 / own - 1.0))
+def pause_after_attempt(state: BalancerState, attempt_us: int) -> None:
+    """With less than one permit, pause in proportion to the duration of the last attempt."""
+    own_permits = permits(state)
+    if own_permits < 1.0:
+        suspend_attempts(state, attempt_us * (1.0 / own_permits - 1.0))
 
 
 def on_rejected_by_host(state: BalancerState) -> None:
-    """A host of the subset was full: less in flight, and from the second in a row on a pause."""
+    """Shrink the congestion window; from the second consecutive rejection on, also pause."""
     note_congestion(state, True)
     state.consecutive_rejections += 1
     if state.consecutive_rejections > 1:
-        doubled = 2.0 ** min(state.consecutive_rejections - 2, MOST_PAUSE_DOUBLINGS)
+        pause_factor = 2.0 ** min(state.consecutive_rejections - 2, MAX_PAUSE_DOUBLINGS)
         work_us = min(state.mean_work_us, state.initial_work_us)
-        suspend_attempts(state, work_us * doubled * (0.5 + state.random.random()))
+        suspend_attempts(state, work_us * pause_factor * (0.5 + state.random.random()))
--- a/tests/balancing/test_platform_settings.py
+++ b/tests/balancing/test_platform_settings.py
@@ -14,7 +14,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from quillroad.balancing.platform_settings import MOST, read_settings
+from quillroad.balancing.platform_settings import MAX_NUMBER, read_settings
 from quillroad.config import ConfigError, load
 from tests.balancing.test_property import WORK_US, World
 from tests.net import Client, config_data, hang, on_loop, serve_ok, told_settings, world
@@ -191,7 +191,7 @@
         ({"lanes": {"a": 1}}, "lanes"),
         ({"balancers": 2, "my_number": 2}, "my_number"),
         ({"guarantees": {"tip_after": 0}}, "guarantees.tip_after"),
-        ({"guarantees": {"cold": MOST + 1}}, "guarantees.cold"),
+        ({"guarantees": {"cold": MAX_NUMBER + 1}}, "guarantees.cold"),
         ({"limits": {"attempts_cap": 0}}, "limits.attempts_cap"),
         ({"limits": {"attempts_cap": 1.5}}, "limits.attempts_cap"),
         ({"orgs": [{"name": "a", "quota_per_s": -3}]}, "orgs[].quota_per_s"),
--- a/tests/balancing/test_subsetting.py
+++ b/tests/balancing/test_subsetting.py
@@ -17,9 +17,9 @@
     Outcome,
 )
 from quillroad.balancing.subsetting import (
-    LEAST_PERMITS,
-    MOST_PERMITS_PER_HOST,
-    SMALLEST_SUBSET,
+    MAX_PERMITS_PER_HOST,
+    MIN_PERMITS,
+    MIN_SUBSET_HOSTS,
     note_congestion,
     permits,
     update_subset,
@@ -90,7 +90,7 @@
             or update_subset(driver.balancer) is None
         )
         together.update(out)
-    most = max(hosts * MANY_GATEWAYS_LIMIT + balancers, balancers * SMALLEST_SUBSET)
+    most = max(hosts * MANY_GATEWAYS_LIMIT + balancers, balancers * MIN_SUBSET_HOSTS)
     assert balancers <= FEW_GATEWAYS_LIMIT or sum(together.values()) <= most
 
 
@@ -124,7 +124,7 @@
     assert set(covered) == {s.id for s in hosts if not s.started_us}
     assert max(covered.values()) <= 4  # and no warm one has more gateways than it bears
     assert (
-        len(update_subset(gateway_of_40(3, hosts[::3])) or []) >= SMALLEST_SUBSET
+        len(update_subset(gateway_of_40(3, hosts[::3])) or []) >= MIN_SUBSET_HOSTS
     )  # where none is warm
 
 
@@ -183,7 +183,7 @@
         assert driver.balancer.congestion_window == 1.0
         together += burst_in_flight(driver)
     # Who has under one place has one for a part of the time: `max(1.0, ...)` in `pick`.
-    assert together <= max(balancers, (MOST_PERMITS_PER_HOST + 0.5) * hosts)
+    assert together <= max(balancers, (MAX_PERMITS_PER_HOST + 0.5) * hosts)
 
 
 def test_a_gateway_with_the_traffic_of_others_has_their_permits_too() -> None:
@@ -206,7 +206,7 @@
         one_of_many(gateway_count=balancers, gateway_index=0), three_zones(30)
     ).balancer
     update_subset(balancer)
-    least = max(LEAST_PERMITS, balancer.permit_quota)
+    least = max(MIN_PERMITS, balancer.permit_quota)
     for one in crowded:
         note_congestion(balancer, one)
         assert least <= permits(balancer) <= max(least, balancer.subset_size)
