--- a/tests/balancing/test_endpoints.py
+++ b/tests/balancing/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as held, and polls that fail."""
+"""Endpoint list updates and failed polls."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 
 
-def test_a_draining_or_removed_host_gets_no_further_attempt() -> None:
+def test_draining_or_removed_host_gets_no_further_attempt() -> None:
     driver = BalancerDriver(settings(), 3)
     driver.feed(
         EndpointUpdate(
@@ -31,24 +31,24 @@
     )
     for _ in range(20):
         driver.done(driver.arrive(), Outcome.SUCCESS)
-    assert {s for hosts in driver.sends.values() for s in hosts} == {102}
+    assert {host for hosts in driver.sends.values() for host in hosts} == {102}
 
 
-def test_discovery_is_polled_again_with_growing_jittered_waits() -> None:
+def test_failed_polls_are_retried_with_growing_jittered_waits() -> None:
     driver = BalancerDriver(settings(discovery_is_polled=True), 2)
     assert WatchEndpoints(True) in driver.log
     waits = []
     for _ in range(6):
         actions = driver.feed(EndpointUpdate(UpdateKind.FAILED))
-        waits += [a.delay_us for a in actions if isinstance(a, SetTimer)]
+        waits += [action.delay_us for action in actions if isinstance(action, SetTimer)]
         assert WatchEndpoints(True) in driver.pass_time(10_000_000)
     assert waits[0] < 500_000 and waits[4] > waits[0] * 3
-    assert all(w <= 10_000_000 / 2 for w in waits)
+    assert all(wait <= 10_000_000 / 2 for wait in waits)
 
 
-def test_an_empty_list_after_two_machine_types_is_no_error() -> None:
+def test_request_is_rejected_after_an_empty_list_replaces_two_machine_types() -> None:
     driver = BalancerDriver(
-        one_of_many(), [s._replace(machine_type=s.id % 2) for s in three_zones()]
+        one_of_many(), [host._replace(machine_type=host.id % 2) for host in three_zones()]
     )
     driver.feed(EndpointUpdate(UpdateKind.FULL, ()))
     request = driver.arrive()
--- a/tests/balancing/test_gateways.py
+++ b/tests/balancing/test_gateways.py
@@ -1,4 +1,4 @@
-"""What is told of the other gateways."""
+"""Changes of the number of gateways."""
 
 from __future__ import annotations
 
@@ -23,30 +23,32 @@
 
 
 @given(st.integers(1, 200), st.lists(st.integers(1, 200), max_size=6))
-def test_what_was_learned_of_all_gateways_stays_as_others_come_and_go(
-    told: int, live: list[int]
+def test_total_concurrency_limit_is_kept_when_the_gateway_count_changes(
+    configured_count: int, later_counts: list[int]
 ) -> None:
-    module = Balancer(settings(route(), gateway_count=told, gateway_index=told - 1), 1)
-    whole = module.concurrency_limit * told
-    for balancers in live:
-        module.handle(0, [GatewayCountChanged(balancers - 1, balancers)])
-        assert module.concurrency_limit * balancers == pytest.approx(whole)
+    balancer = Balancer(
+        settings(route(), gateway_count=configured_count, gateway_index=configured_count - 1), 1
+    )
+    total_limit = balancer.concurrency_limit * configured_count
+    for gateway_count_now in later_counts:
+        balancer.handle(0, [GatewayCountChanged(gateway_count_now - 1, gateway_count_now)])
+        assert balancer.concurrency_limit * gateway_count_now == pytest.approx(total_limit)
     assert (
-        module.settings.gateway_count == told
-    )  # quotas and turns at warming hosts stay by the told number
+        balancer.settings.gateway_count == configured_count
+    )  # tenant quotas and slow-start slots use the configured number
 
 
-def test_subsets_follow_the_live_number_and_slow_start_slots_the_told_one() -> None:
+def test_subsets_use_the_current_gateway_count_and_slow_start_slots_the_configured_one() -> None:
     hosts = tuple(Endpoint(n, started_us=1) for n in range(60))
-    module = Balancer(
+    balancer = Balancer(
         settings(route(), gateway_count=40, gateway_index=39, warm_up_us=8_000_000), 1
     )
-    module.handle(20_000_000, [EndpointUpdate(UpdateKind.FULL, hosts)])
-    before = update_subset(module)
+    balancer.handle(20_000_000, [EndpointUpdate(UpdateKind.FULL, hosts)])
+    before = update_subset(balancer)
     assert before is not None and len(before) <= 4
-    module.handle(20_000_000, [GatewayCountChanged(3, 4)])
-    after = update_subset(module)
+    balancer.handle(20_000_000, [GatewayCountChanged(3, 4)])
+    after = update_subset(balancer)
     assert after is None or len(after) >= 5 * len(
         before
-    )  # four that are left of forty: ten times the part
-    assert (module.settings.gateway_index, module.settings.gateway_count) == (39, 40)
+    )  # with four of forty gateways left, each has ten times its share
+    assert (balancer.settings.gateway_index, balancer.settings.gateway_count) == (39, 40)
--- a/tests/balancing/test_learning.py
+++ b/tests/balancing/test_learning.py
@@ -1,4 +1,4 @@
-"""What outcomes say."""
+"""Learning from the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 )
 
 
-def test_a_jam_does_not_become_the_uncrowded_latency() -> None:
-    """Limits grew to many times the start, because the latency of the jam itself became the
-    yardstick."""
+def test_uncrowded_latency_stays_low_under_congestion() -> None:
+    """If congestion raised the uncrowded latency, the limit that is measured against it would grow
+    to many times its initial value."""
     driver = BalancerDriver(settings(), 3)
     driver.warm_up(300, 10_000)
     route_state = driver.balancer.routes[0]
@@ -25,8 +25,9 @@
     assert route_state.uncrowded_latency_us < 3 * before
 
 
-def test_without_an_objective_slow_answers_neither_shed_load_nor_eject() -> None:
-    """Half of all answers are slower than the median: they used to eject new hosts and to shed."""
+def test_slow_answers_on_a_route_without_objective_neither_shed_load_nor_eject() -> None:
+    """Half of all answers are slower than the median. If these counted as failures on a route
+    without an objective, new hosts would be ejected and load shed."""
     driver = BalancerDriver(settings(route(latency_objective_us=None)), 3)
     for number in range(400):
         request = driver.arrive()
@@ -37,22 +38,25 @@
     assert not any(host.ejections for host in driver.balancer.hosts.values())
 
 
-def test_a_long_body_says_nothing_of_silence_or_crowding_and_is_not_hedged() -> None:
+def test_long_body_does_not_affect_health_or_limits_and_is_not_hedged() -> None:
     driver = BalancerDriver(settings(), hosts=2)
     driver.warm_up()
-    costs, limit = (
-        [r.uncrowded_latency_us for r in driver.balancer.routes],
+    latencies, limit = (
+        [each_route.uncrowded_latency_us for each_route in driver.balancer.routes],
         driver.balancer.concurrency_limit,
     )
     request = driver.arrive(long_body=True)
     driver.pass_time(4 * AIM_US)
     assert len(driver.sends[request]) == 1
-    assert all(not s.overdue and s.is_healthy(driver.now) for s in driver.balancer.candidates)
+    assert all(
+        not candidate.overdue and candidate.is_healthy(driver.now)
+        for candidate in driver.balancer.candidates
+    )
     assert driver.balancer.in_flight == 1
     driver.done(request, Outcome.SUCCESS, 4 * AIM_US)
     assert (driver.balancer.in_flight, driver.balancer.concurrency_limit) == (0, limit)
-    assert [r.uncrowded_latency_us for r in driver.balancer.routes] == costs
+    assert [each_route.uncrowded_latency_us for each_route in driver.balancer.routes] == latencies
     late = driver.arrive(long_body=True)
-    payoffs = [s.payoff for s in driver.balancer.candidates]
+    payoffs = [candidate.payoff for candidate in driver.balancer.candidates]
     driver.done(late, Outcome.TIMEOUT, DEADLINE_US)
-    assert [s.payoff for s in driver.balancer.candidates] == payoffs
+    assert [candidate.payoff for candidate in driver.balancer.candidates] == payoffs
--- a/tests/balancing/test_platform_settings.py
+++ b/tests/balancing/test_platform_settings.py
@@ -1,5 +1,5 @@
-"""Whole settings objects, of any customer: what can't work is named, what can is played and keeps
-the rules."""
+"""Complete settings objects of the platform: an invalid value is reported by its field, and with
+valid ones a balancer keeps the rules."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 @st.composite
-def lanes(draw: st.DrawFn) -> list[dict[str, Any]]:
-    found = []
+def route_lists(draw: st.DrawFn) -> list[dict[str, Any]]:
+    route_objects = []
     for name in draw(NAMES):
-        # Down to a deadline under the gateway's own margins, and a window of nothing.
+        # Includes deadlines below the gateway's own margins and an empty deduplication window.
         deadline = draw(st.one_of(st.integers(1, 40_000), st.integers(50_000, 1_000_000)))
         lane: dict[str, Any] = {
             "name": name,
@@ -40,17 +40,17 @@
         }
         if draw(st.booleans()):
             lane["goal_time"] = draw(st.integers(1, 2_000_000))
-        found.append(lane)
-    return found
+        route_objects.append(lane)
+    return route_objects
 
 
 @st.composite
-def objects(draw: st.DrawFn) -> dict[str, Any]:
+def settings_objects(draw: st.DrawFn) -> dict[str, Any]:
     balancers = draw(st.sampled_from([1, 2, 3, 7, 200]))
-    told: dict[str, Any] = {
+    raw_settings: dict[str, Any] = {
         "balancers": balancers,
         "my_number": draw(st.integers(0, balancers - 1)),
-        "lanes": draw(lanes()),
+        "lanes": draw(route_lists()),
         "discovery": draw(st.sampled_from(["push", "ask"])),
         "zone": draw(st.integers(0, 3)),
         "zones": ["r0", "r1"],
@@ -82,25 +82,29 @@
             "connect_timeout": 200_000,
         },
     }
-    if any(lane["deadline"] < 4 * WORK_US for lane in told["lanes"]):
-        # What is given up before its work is done teaches nothing of that, and the checker knows
-        # it: at cold hosts such a class is bounded by its guess alone (docs/design/crossings.md,
-        # Left).
-        told["guarantees"]["cold"] = 0
+    if any(lane["deadline"] < 4 * WORK_US for lane in raw_settings["lanes"]):
+        # Attempts that time out before their work is done do not show how much work it is, so that
+        # only the initial estimate bounds such a class at warming hosts. The checker knows the real
+        # work and would report the excess (docs/design/crossings.md, Left).
+        raw_settings["guarantees"]["cold"] = 0
     for key in draw(
-        st.sets(st.sampled_from(sorted(told.keys() - {"lanes", "guarantees"})), max_size=4)
+        st.sets(st.sampled_from(sorted(raw_settings.keys() - {"lanes", "guarantees"})), max_size=4)
     ):
         if key not in ("balancers", "my_number"):
-            del told[key]  # what is absent has a default
-    return told
+            del raw_settings[key]  # an absent field has a default
+    return raw_settings
 
 
 @settings(max_examples=40, derandomize=True, deadline=None, suppress_health_check=list(HealthCheck))
-@given(told=objects(), seed=st.integers(0, 1000), bad=st.sampled_from([0.05, 0.4, 1.0]))
-def test_any_customers_settings_are_played_and_keep_the_rules(
-    told: dict[str, Any], seed: int, bad: float
+@given(
+    raw_settings=settings_objects(),
+    seed=st.integers(0, 1000),
+    bad=st.sampled_from([0.05, 0.4, 1.0]),
+)
+def test_balancer_keeps_the_rules_with_any_valid_settings(
+    raw_settings: dict[str, Any], seed: int, bad: float
 ) -> None:
-    World(seed, False, 0, bad, read_settings(json.loads(json.dumps(told)))).play(600)
+    World(seed, False, 0, bad, read_settings(json.loads(json.dumps(raw_settings)))).play(600)
 
 
 WHOLE = told_settings(
@@ -122,8 +126,8 @@
     weight_kind="rough",
     discovery="push",
 )
-TEXTS = {"name", "semantics", "group", "weight_kind", "discovery"}
-FLAGS = {"cancelling", "parallel_tries", "retry_after", "marks_retry", "warm_keys"}
+TEXT_FIELDS = {"name", "semantics", "group", "weight_kind", "discovery"}
+FLAG_FIELDS = {"cancelling", "parallel_tries", "retry_after", "marks_retry", "warm_keys"}
 JUNK: list[Any] = [
     "abc",
     "",
@@ -138,44 +142,46 @@
 ]
 
 
-def fields(told: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+def field_paths(raw_settings: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
     pairs = (
-        told.items()
-        if isinstance(told, dict)
-        else enumerate(told)
-        if isinstance(told, list)
+        raw_settings.items()
+        if isinstance(raw_settings, dict)
+        else enumerate(raw_settings)
+        if isinstance(raw_settings, list)
         else ()
     )
     for key, value in pairs:
         if isinstance(value, dict | list):
-            yield from fields(value, (*path, key))
+            yield from field_paths(value, (*path, key))
         elif path[:1] not in (("models",), ("zones",)) and (path[:1] != ("orgs",) or key != "name"):
             yield (*path, key)
 
 
-@pytest.mark.parametrize("path", list(fields(WHOLE)), ids=lambda path: ".".join(map(str, path)))
+@pytest.mark.parametrize(
+    "path", list(field_paths(WHOLE)), ids=lambda path: ".".join(map(str, path))
+)
 def test_a_value_that_cannot_work_is_named_in_one_line(
     path: tuple[Any, ...], tmp_path: Path
 ) -> None:
-    """Of the wrong kind, no number at all, or beyond any clock: the gateway does not come up with
-    it, and says which field it is. Compared with a number, it was an error of the interpreter's
-    that named none."""
+    """The gateway must not start with a value of the wrong type, not a number or out of range, and
+    must name the field. Unchecked, the comparison with a number raised a `TypeError` that named no
+    field."""
     file = tmp_path / "config.json"
     refused = 0
-    for junk in JUNK:
-        told = copy.deepcopy(WHOLE)
-        part: Any = told
+    for invalid in JUNK:
+        raw_settings = copy.deepcopy(WHOLE)
+        parent: Any = raw_settings
         for key in path[:-1]:
-            part = part[key]
-        part[path[-1]] = junk
-        file.write_text(json.dumps(config_data(1, settings=told)))
+            parent = parent[key]
+        parent[path[-1]] = invalid
+        file.write_text(json.dumps(config_data(1, settings=raw_settings)))
         try:
             load({"GW_CONFIG": str(file)})
         except ConfigError as error:
             refused += 1
             assert str(path[-1]) in str(error) and "\n" not in str(error)
-    wanted = 6 if path[-1] in TEXTS else 0 if path[-1] in FLAGS else 9
-    assert refused >= wanted
+    expected_refusals = 6 if path[-1] in TEXT_FIELDS else 0 if path[-1] in FLAG_FIELDS else 9
+    assert refused >= expected_refusals
 
 
 @pytest.mark.parametrize(
@@ -200,42 +206,42 @@
 def test_settings_that_contradict_themselves_name_the_field(
     changes: dict[str, Any], field: str
 ) -> None:
-    with tempfile.TemporaryDirectory() as folder:
-        file = Path(folder) / "config.json"
+    with tempfile.TemporaryDirectory() as directory:
+        file = Path(directory) / "config.json"
         file.write_text(json.dumps(config_data(1, settings=told_settings(**changes))))
         with pytest.raises(ConfigError) as caught:
             load({"GW_CONFIG": str(file)})
         assert str(caught.value).startswith(f"settings.{field}: ")
 
 
-LANES = [
+ROUTE_OBJECTS = [
     {
         "name": "bare",
         "semantics": "safe",
         "deadline": 400_000,
-    },  # no aim, no group, no window, no worth
+    },  # without objective, scope, window and weights
     {
         "name": "brief",
         "semantics": "safe",
         "deadline": 20_000,
         "goal_time": 10_000,
-    },  # under the margins
+    },  # deadline below the gateway's margins
     {"name": "once", "semantics": "keyed", "deadline": 400_000, "memory_span": 0},
 ]
 
 
 @on_loop
-async def test_classes_with_little_told_are_served_and_refused_in_time() -> None:
-    """No tenants, no zones, no kinds; deadlines under the gateway's own margins; a window of
-    nothing."""
-    told = {"lanes": LANES}
-    async with world(serve_ok, settings=told) as w, w.client() as client:
+async def test_routes_with_minimal_settings_are_served_and_rejected_in_time() -> None:
+    """Settings without tenants, zones or machine types, with deadlines below the gateway's own
+    margins and an empty deduplication window, must neither fail nor delay answers."""
+    raw_settings = {"lanes": ROUTE_OBJECTS}
+    async with world(serve_ok, settings=raw_settings) as w, w.client() as client:
         for path in ("/bare", "/bare/k/", "/brief/k"):
             assert (await client.ask(path, method="GET", Tenant=None)).status == 200
         assert (
             await client.ask("/once/k", method="POST", Tenant=None, Idempotency_Key="k1")
         ).status == 200
-    async with world(hang, settings=told) as w, Client(w.gateway.port) as client:
+    async with world(hang, settings=raw_settings) as w, Client(w.gateway.port) as client:
         assert (await client.ask("/brief/k", method="GET", Request_Timeout_Ms="20")).status in (
             503,
             504,
--- a/tests/balancing/test_subsetting.py
+++ b/tests/balancing/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Which hosts a gateway draws from, and how many attempts it has in flight."""
+"""Subsets of hosts, and the permits of a gateway."""
 
 from __future__ import annotations
 
@@ -36,18 +36,19 @@
 )
 
 
-def test_with_little_traffic_a_gateway_keeps_to_its_subset() -> None:
-    """66 gateways that knew nothing of most hosts overloaded three of them."""
-    used: list[set[int]] = []
+def test_gateway_with_little_traffic_uses_only_its_subset() -> None:
+    """Gateways with little traffic know nothing of most hosts: without subsets 66 of them
+    overloaded three hosts."""
+    hosts_used: list[set[int]] = []
     for number in (0, 200):
         driver = BalancerDriver(one_of_many(gateway_index=number), three_zones())
         for _ in range(100):
             request = driver.arrive()
             driver.pass_time(150_000)
             driver.done(request, Outcome.SUCCESS, 10_000)
-        used.append({s for sent in driver.sends.values() for s in sent})
-    assert all(len(hosts) <= 16 for hosts in used)
-    assert not used[0] & used[1]
+        hosts_used.append({host for sent in driver.sends.values() for host in sent})
+    assert all(len(hosts) <= 16 for hosts in hosts_used)
+    assert not hosts_used[0] & hosts_used[1]
 
 
 def test_subsets_cover_the_hosts_evenly() -> None:
@@ -56,80 +57,93 @@
         balancer = BalancerDriver(
             one_of_many(gateway_count=120, gateway_index=number), three_zones()
         ).balancer
-        counts.update(s.endpoint.id for s in update_subset(balancer) or [])
+        counts.update(member.endpoint.id for member in update_subset(balancer) or [])
     assert len(counts) == 60 and max(counts.values()) == min(counts.values())
 
 
-def test_a_gateway_with_all_the_traffic_draws_from_all_hosts() -> None:
+def test_gateway_with_all_the_traffic_draws_from_all_hosts() -> None:
     driver = BalancerDriver(one_of_many(), three_zones())
     for _ in range(5000):
         driver.arrive()
         driver.pass_time(250)
     assert update_subset(driver.balancer) is None
-    assert driver.balancer.permits_per_host > 1.0  # and has more than one place at each host
+    assert driver.balancer.permits_per_host > 1.0  # more than one permit at each host
 
 
 @given(st.integers(4, 80), st.integers(3, 60), st.data())
-def test_subsets_of_many_gateways_fill_no_host_beyond_its_limit(
-    hosts: int, balancers: int, data: st.DataObject
+def test_attempts_of_many_gateways_stay_within_the_limit_of_the_hosts(
+    hosts: int, gateway_total: int, data: st.DataObject
 ) -> None:
-    """Forty gateways with one request each at every host put 600 on sixty hosts that bear 180."""
+    """Without subsets forty gateways, each with one request at every host, had 600 requests in
+    flight at sixty hosts that can handle 180."""
     bad = data.draw(st.sets(st.integers(0, hosts - 1), max_size=hosts // 4))
-    together: Counter[int] = Counter()
-    for number in range(balancers):
-        driver = BalancerDriver(settings(gateway_count=balancers, gateway_index=number), hosts)
-        for s in driver.balancer.candidates:
-            if s.endpoint.id - 100 in bad:
-                s.ejected_until_us = 10**9
-        for _ in range(hosts):  # nothing is answered
+    total_in_flight: Counter[int] = Counter()
+    for number in range(gateway_total):
+        driver = BalancerDriver(settings(gateway_count=gateway_total, gateway_index=number), hosts)
+        for candidate in driver.balancer.candidates:
+            if candidate.endpoint.id - 100 in bad:
+                candidate.ejected_until_us = 10**9
+        for _ in range(hosts):  # without answers
             driver.arrive()
-        out = [s for sent in driver.sends.values() for s in sent]
-        assert out and not {s - 100 for s in out} & bad
+        sent_to = [host for sent in driver.sends.values() for host in sent]
+        assert sent_to and not {host - 100 for host in sent_to} & bad
         assert (
-            len(out) <= driver.balancer.subset_size * driver.balancer.permits_per_host
+            len(sent_to) <= driver.balancer.subset_size * driver.balancer.permits_per_host
             or update_subset(driver.balancer) is None
         )
-        together.update(out)
-    most = max(hosts * MANY_GATEWAYS_LIMIT + balancers, balancers * MIN_SUBSET_HOSTS)
-    assert balancers <= FEW_GATEWAYS_LIMIT or sum(together.values()) <= most
+        total_in_flight.update(sent_to)
+    max_in_flight = max(
+        hosts * MANY_GATEWAYS_LIMIT + gateway_total, gateway_total * MIN_SUBSET_HOSTS
+    )
+    assert gateway_total <= FEW_GATEWAYS_LIMIT or sum(total_in_flight.values()) <= max_in_flight
 
 
 @given(st.integers(4, 48))
-def test_permits_are_dealt_out_in_whole_ones_that_add_up(balancers: int) -> None:
-    """Rounded up by every gateway they were 3.3 a host where 3 were meant."""
-    told = [settings(gateway_count=balancers, gateway_index=number) for number in range(balancers)]
-    widths = [len(update_subset(BalancerDriver(one, 2 * balancers).balancer) or ()) for one in told]
-    assert abs(sum(widths) / (2 * balancers) - MANY_GATEWAYS_LIMIT) < 0.5
-    assert max(widths) - min(widths) <= 1
-
-
-def test_a_subset_that_passes_over_unhealthy_hosts_does_not_fill_one_after_another() -> None:
-    """Large fleet: every gateway passed over what it took for bad, and 14 requests each were out
-    where 5 may be."""
+def test_rounded_permits_of_all_gateways_add_up_to_the_limit(gateway_total: int) -> None:
+    """If every gateway rounded its permits up there would be 3.3 per host instead of 3."""
+    gateways = [
+        settings(gateway_count=gateway_total, gateway_index=number)
+        for number in range(gateway_total)
+    ]
+    subset_sizes = [
+        len(update_subset(BalancerDriver(one, 2 * gateway_total).balancer) or ())
+        for one in gateways
+    ]
+    assert abs(sum(subset_sizes) / (2 * gateway_total) - MANY_GATEWAYS_LIMIT) < 0.5
+    assert max(subset_sizes) - min(subset_sizes) <= 1
+
+
+def test_permits_hold_when_a_subset_skips_unhealthy_hosts() -> None:
+    """In a large fleet every gateway skipped hosts that it considered unhealthy and had 14 requests
+    in flight instead of at most 5."""
     driver = BalancerDriver(one_of_many(gateway_count=40, gateway_index=3), three_zones())
     for _ in range(60):
         driver.arrive()
-        for s in driver.balancer.candidates:
-            if s.in_flight:
-                s.ejected_until_us = driver.now + 10_000_000
+        for candidate in driver.balancer.candidates:
+            if candidate.in_flight:
+                candidate.ejected_until_us = driver.now + 10_000_000
     assert len(driver.sends) == driver.balancer.subset_size < 12
 
 
-def test_a_subset_holds_no_warming_hosts_while_others_are_warm() -> None:
-    """16 of 55 hosts were warming up, and some subsets held little else."""
+def test_subset_contains_no_warming_hosts_while_others_are_warm() -> None:
+    """Warming hosts serve only the owner of their slot. When 16 of 55 hosts were warming up, some
+    subsets contained little else."""
     hosts = tuple(Endpoint(100 + i, started_us=STARTED if i % 3 == 0 else None) for i in range(60))
     covered: Counter[int] = Counter()
     for number in range(40):
-        covered.update(s.endpoint.id for s in update_subset(gateway_of_40(number, hosts)) or [])
-    assert set(covered) == {s.id for s in hosts if not s.started_us}
-    assert max(covered.values()) <= 4  # and no warm one has more gateways than it bears
+        covered.update(
+            member.endpoint.id for member in update_subset(gateway_of_40(number, hosts)) or []
+        )
+    assert set(covered) == {listed.id for listed in hosts if not listed.started_us}
+    assert max(covered.values()) <= 4  # no warm host is in the subsets of too many gateways
     assert (
         len(update_subset(gateway_of_40(3, hosts[::3])) or []) >= MIN_SUBSET_HOSTS
-    )  # where none is warm
+    )  # where every host is warming up
 
 
-def test_a_subset_keeps_to_its_local_hosts_while_they_serve_as_well() -> None:
-    """Eight points of the result were lost to crossings that no state of a host called for."""
+def test_subset_prefers_local_hosts_that_perform_equally_well() -> None:
+    """Cross-zone attempts cost part of an answer's value: attempts that the state of the hosts did
+    not require cost eight points of the overall result."""
     driver = BalancerDriver(one_of_many(cross_zone_cost=0.1), three_zones())
     for _ in range(80):
         request = driver.arrive()
@@ -140,24 +154,26 @@
     assert zones[0] > 45
 
 
-def test_dear_crossings_bring_local_hosts_into_the_subset_and_cheap_ones_do_not() -> None:
-    """Subsets with no local host paid five points of the result for crossings."""
-    dear, cheap = (
-        BalancerDriver(one_of_many(cross_zone_cost=p), three_zones()).balancer for p in (0.3, 0.01)
+def test_subset_has_more_local_hosts_when_cross_zone_traffic_is_expensive() -> None:
+    """Subsets without local hosts lost five points of the overall result to cross-zone costs."""
+    expensive, inexpensive = (
+        BalancerDriver(one_of_many(cross_zone_cost=cost), three_zones()).balancer
+        for cost in (0.3, 0.01)
     )
-    shares = []
-    for balancer in (dear, cheap):
+    local_counts = []
+    for balancer in (expensive, inexpensive):
         balancer.recent_requests = 12.0
         balancer.concurrency_limit = 0.2
-        window = update_subset(balancer) or []
-        assert len(window) == len({s.endpoint.id for s in window}) == 12
-        shares.append(sum(s.endpoint.zone == 0 for s in window))
-    assert shares[0] >= 6 and shares[0] > shares[1]
+        subset = update_subset(balancer) or []
+        assert len(subset) == len({member.endpoint.id for member in subset}) == 12
+        local_counts.append(sum(member.endpoint.zone == 0 for member in subset))
+    assert local_counts[0] >= 6 and local_counts[0] > local_counts[1]
 
 
-def test_a_subset_of_three_hosts_is_no_right_to_three_permits_in_a_crowd() -> None:
-    """When a zone was lost, 182 gateways with three permits each held 9 requests at each of the 83
-    hosts left: answers went from 77 to 448 ms, and of 2,000 requests a second 700 were served."""
+def test_slow_answers_reduce_permits_below_the_subset_size() -> None:
+    """If the minimum subset of three hosts gave three permits, a fleet that lost a zone would stay
+    overloaded: 182 gateways had 9 requests in flight at each of the 83 remaining hosts, latency
+    rose from 77 to 448 ms, and 700 of 2,000 requests a second were served."""
     driver = warm_gateway_of_200(150)
     assert burst_in_flight(driver) == 2
     driver.warm_up(12, 60_000)
@@ -167,29 +183,31 @@
     assert burst_in_flight(driver) == 2
 
 
-@pytest.mark.parametrize(("balancers", "hosts"), [(32, 12), (200, 119), (200, 48), (40, 60)])
-def test_quick_answers_give_no_right_to_more_than_hosts_bear_from_all(
-    balancers: int, hosts: int
+@pytest.mark.parametrize(("gateway_total", "hosts"), [(32, 12), (200, 119), (200, 48), (40, 60)])
+def test_fast_answers_do_not_raise_permits_above_what_hosts_can_handle(
+    gateway_total: int, hosts: int
 ) -> None:
-    """32 gateways with a subset of three hosts each held 8 requests at each of 12 hosts, before any
-    answer told of a crowd."""
-    together = 0
-    for number in range(balancers):
+    """The cap must hold before any slow answer shows congestion: 32 gateways with a subset of three
+    hosts each had 8 requests in flight at each of 12 hosts."""
+    total_in_flight = 0
+    for number in range(gateway_total):
         driver = BalancerDriver(
-            one_of_many(gateway_count=balancers, gateway_index=number), three_zones(hosts)
+            one_of_many(gateway_count=gateway_total, gateway_index=number), three_zones(hosts)
         )
         driver.warm_up(20)
         driver.pass_time(3_000_000)
         assert driver.balancer.congestion_window == 1.0
-        together += burst_in_flight(driver)
-    # Who has under one place has one for a part of the time: `max(1.0, ...)` in `pick`.
-    assert together <= max(balancers, (MAX_PERMITS_PER_HOST + 0.5) * hosts)
+        total_in_flight += burst_in_flight(driver)
+    # A gateway with less than one permit uses a whole one part of the time: `max(1.0, ...)` in
+    # `is_out_of_permits`.
+    assert total_in_flight <= max(gateway_total, (MAX_PERMITS_PER_HOST + 0.5) * hosts)
 
 
-def test_a_gateway_with_the_traffic_of_others_has_their_permits_too() -> None:
-    """Seven gateways in ten had gone, nobody told of it, and the others kept to their own part."""
+def test_gateway_with_the_traffic_of_others_also_gets_their_permits() -> None:
+    """When seven of ten gateways are gone and the gateway count was not updated, the others must
+    not stay limited to their old share: their own traffic raises their permits."""
     driver = BalancerDriver(one_of_many(gateway_count=32, gateway_index=0), three_zones(12))
-    for _ in range(4000):  # 500 a second of 10 ms each are nearly five at work at once
+    for _ in range(4000):  # 500 a second of 10 ms each: nearly five in flight
         driver.arrive()
         driver.pass_time(2_000)
         for waiting in [r for r in driver.balancer.requests.values() if r.in_flight]:
@@ -200,26 +218,27 @@
 
 @given(st.lists(st.booleans(), max_size=200), st.integers(4, 300))
 def test_permits_lie_between_the_quota_and_the_size_of_the_subset(
-    crowded: list[bool], balancers: int
+    crowded: list[bool], gateway_total: int
 ) -> None:
     balancer = BalancerDriver(
-        one_of_many(gateway_count=balancers, gateway_index=0), three_zones(30)
+        one_of_many(gateway_count=gateway_total, gateway_index=0), three_zones(30)
     ).balancer
     update_subset(balancer)
-    least = max(MIN_PERMITS, balancer.permit_quota)
-    for one in crowded:
-        note_congestion(balancer, one)
-        assert least <= permits(balancer) <= max(least, balancer.subset_size)
+    min_permits = max(MIN_PERMITS, balancer.permit_quota)
+    for is_slow in crowded:
+        note_congestion(balancer, is_slow)
+        assert min_permits <= permits(balancer) <= max(min_permits, balancer.subset_size)
     for _ in range(30):
         note_congestion(balancer, True)
-    assert permits(balancer) == least
+    assert permits(balancer) == min_permits
 
 
-def test_half_a_permit_is_used_half_of_the_time() -> None:
-    """With a permit each, 182 gateways held 4 requests at each of 48 hosts that bore 2.5."""
+def test_half_a_permit_is_in_use_half_of_the_time() -> None:
+    """With a whole permit each, 182 gateways had 4 requests in flight at each of 48 hosts that can
+    handle 2.5."""
     driver = BalancerDriver(
         one_of_many(gateway_count=200, gateway_index=0), three_zones(40)
-    )  # 40 times 2.5 / 200 of a place
+    )  # 40 * 2.5 / 200 = 0.5 permits
     driver.warm_up(60)
     driver.balancer.congestion_window = 0.0
     busy = sent = 0
--- a/tests/balancing/test_subsetting_pauses.py
+++ b/tests/balancing/test_subsetting_pauses.py
@@ -1,4 +1,4 @@
-"""Pauses between attempts, and what answers say of the load of other gateways."""
+"""Pauses between attempts, and the congestion window."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 )
 
 
-def test_a_pause_ends_soon_after_an_attempt_that_timed_out() -> None:
-    driver = warm_gateway_of_200(10)  # an eighth of a place: a quarter is the least
+def test_pause_after_a_timeout_is_bounded_by_the_attempt_timeout() -> None:
+    driver = warm_gateway_of_200(10)  # an eighth of a permit, raised to the minimum of a quarter
     request = driver.arrive()
     driver.pass_time(DEADLINE_US - 1000)
     driver.balancer.congestion_window = 0.0
@@ -27,16 +27,16 @@
     assert driver.arrive() in driver.sends
 
 
-def test_answers_of_warming_hosts_say_nothing_of_the_crowd_at_warm_ones() -> None:
-    told = one_of_many(
+def test_answers_of_warming_hosts_do_not_change_the_congestion_window() -> None:
+    gateway_settings = one_of_many(
         gateway_count=40,
         gateway_index=0,
         warm_up_us=10_000_000,
         initial_capacity=0.5,
         overload_multiple=3.0,
     )
-    warming = [s._replace(started_us=900_000) for s in three_zones(30)]
-    driver = BalancerDriver(told, warming + three_zones(60)[30:])
+    warming = [host._replace(started_us=900_000) for host in three_zones(30)]
+    driver = BalancerDriver(gateway_settings, warming + three_zones(60)[30:])
     driver.balancer.congestion_window = 0.5
     for _ in range(400):
         request = driver.arrive()
@@ -50,28 +50,29 @@
     assert any(sent[0] < 130 for sent in driver.sends.values())
 
 
-def test_one_full_host_after_another_brings_a_pause_that_grows_and_ends() -> None:
-    """182 gateways were rejected 7,300 times a second by hosts that served 500."""
+def test_consecutive_rejections_cause_a_growing_pause_that_one_answer_ends() -> None:
+    """Without a pause full hosts spend their time on rejections: 182 gateways were rejected 7,300
+    times a second by hosts that served 500 requests a second."""
     driver = warm_gateway_of_200()
     before = len(driver.sends)
-    for tick in range(1500):  # 25 requests a second for 3 s, and nobody takes one
+    for tick in range(1500):  # 25 requests a second for 3 s, all rejected by the hosts
         if tick % 20 == 0:
             driver.arrive()
         for waiting in list(driver.balancer.requests.values()):
             if waiting.in_flight:
                 driver.done(waiting.id, Outcome.REJECTED, 1000)
         driver.pass_time(2_000)
-    tries = sum(len(sent) for sent in list(driver.sends.values())[before:])
-    assert tries <= 75 / 2  # 115 with no pause
+    attempt_count = sum(len(sent) for sent in list(driver.sends.values())[before:])
+    assert attempt_count <= 75 / 2  # 115 without the pause
     assert driver.balancer.paused_until_us - driver.now < 1_000_000
     driver.pass_time(1_000_000)
     request = driver.arrive()
-    assert request in driver.sends  # what waits goes on by itself, and one answer ends it
+    assert request in driver.sends  # the queue resumes by itself; one answer resets the count
     driver.done(request, Outcome.SUCCESS)
     assert driver.balancer.consecutive_rejections == 0
 
 
-def test_where_no_subset_is_shared_a_full_host_brings_no_pause() -> None:
+def test_rejections_cause_no_pause_without_a_subset() -> None:
     driver = BalancerDriver(settings(), 3)
     for _ in range(20):
         request = driver.arrive()
--- a/tests/balancing/test_workload_isolation.py
+++ b/tests/balancing/test_workload_isolation.py
@@ -1,4 +1,4 @@
-"""Hosts of their own for long requests."""
+"""Separate hosts for long requests."""
 
 from __future__ import annotations
 
@@ -14,28 +14,30 @@
 )
 
 
-def test_long_requests_keep_to_the_same_hosts_at_every_gateway() -> None:
+def test_long_requests_use_separate_hosts_that_are_the_same_at_every_gateway() -> None:
     short, long = (
         route(latency_objective_us=100_000),
         route(latency_objective_us=2_000_000, deadline_us=4_000_000),
     )
-    used: list[set[int]] = []
+    hosts_of_long_route: list[set[int]] = []
     for seed in (1, 2):
         driver = BalancerDriver(settings(short, long), 6, seed)
-        lanes: tuple[set[int], set[int]] = (set(), set())
+        hosts_by_route: tuple[set[int], set[int]] = (set(), set())
         for turn in range(150):
-            for kind, count, elapsed_us in ((0, 30, 10_000), (1, 1, 300_000)):
-                driver.warm_up(count, elapsed_us, kind)
+            for route_index, count, elapsed_us in ((0, 30, 10_000), (1, 1, 300_000)):
+                driver.warm_up(count, elapsed_us, route_index)
                 if turn > 100:
-                    lanes[kind].update(s[0] for s in list(driver.sends.values())[-count:])
-        assert lanes[1] and not lanes[0] & lanes[1]
-        used.append(lanes[1])
-    assert used[0] & used[1]
+                    hosts_by_route[route_index].update(
+                        hosts[0] for hosts in list(driver.sends.values())[-count:]
+                    )
+        assert hosts_by_route[1] and not hosts_by_route[0] & hosts_by_route[1]
+        hosts_of_long_route.append(hosts_by_route[1])
+    assert hosts_of_long_route[0] & hosts_of_long_route[1]
 
 
-def test_in_a_subset_no_hosts_are_kept_for_long_requests() -> None:
-    """One host kept for long requests, the same at all gateways, drew 150 of 363 of them within 3
-    s."""
+def test_no_hosts_are_reserved_for_long_requests_in_a_subset() -> None:
+    """If gateways with a subset also reserved a host for long requests, it would be the same one at
+    every gateway: it received 150 of 363 such requests within 3 s."""
     short, long = (
         route(latency_objective_us=100_000),
         route(latency_objective_us=2_000_000, deadline_us=4_000_000),
@@ -49,4 +51,4 @@
         request = driver.arrive(1)
         driver.pass_time(200_000)
         driver.done(request, Outcome.SUCCESS, 150_000)
-    assert len({s for sent in driver.sends.values() for s in sent}) >= 2
+    assert len({host for sent in driver.sends.values() for host in sent}) >= 2
