--- a/quillroad/errors.py
+++ b/quillroad/errors.py
@@ -1,19 +1,18 @@
-"""What can be wrong with a request.
+"""Exceptions for requests that cannot be served.
 
-One tree of errors, each with the status that its client is told.
-
-The text of an error goes to the log; the client sees the status alone.
+Each exception has the HTTP status of the answer. Its message is only logged; the client receives
+only the status.
 """
 
 from __future__ import annotations
 
 
 class BadRequestError(Exception):
-    """A request that cannot be served as it came.
+    """The base class: a request that cannot be served as received.
 
-    `status` is the HTTP status of the answer, `field` the part of the request that is at fault (a
-    header's name, "path", "method", "body", "head") and `expected` what would have been right
-    there; both are empty where there is no single such part.
+    `status` is the HTTP status of the answer, `field` the invalid part of the request (the name of
+    a header, "path", "method", "body", "head", "version") and `expected` a description of a valid
+    value. Both are empty if the error does not concern a single part.
     """
 
     def __init__(self, status: int, message: str, field: str = "", expected: str = "") -> None:
@@ -24,80 +23,82 @@
 
 
 class HttpSyntaxError(BadRequestError):
-    """The bytes are no HTTP request."""
+    """The received bytes are not a valid HTTP request."""
 
     def __init__(self, message: str) -> None:
-        super().__init__(400, message, expected="a request of HTTP/1.0 or HTTP/1.1")
+        super().__init__(400, message, expected="an HTTP/1.0 or HTTP/1.1 request")
 
 
 class FramingError(BadRequestError):
-    """It is in doubt where the request ends."""
+    """The end of the request is ambiguous, or its framing is not supported."""
 
     def __init__(self, message: str, field: str, expected: str) -> None:
         super().__init__(400, message, field, expected)
 
 
 class HeadTooLongError(BadRequestError):
-    """Request line and headers are longer than the limit."""
+    """The request line and headers exceed the size limit."""
 
-    def __init__(self, most: int) -> None:
-        super().__init__(431, "head too long", "head", f"at most {most} bytes")
+    def __init__(self, max_bytes: int) -> None:
+        super().__init__(431, "head too long", "head", f"at most {max_bytes} bytes")
 
 
 class BodyTooLongError(BadRequestError):
-    """The body, or its framing, is longer than the limit."""
+    """The body, or its chunked framing, exceeds the size limit."""
 
-    def __init__(self, message: str, most: int) -> None:
-        super().__init__(413, message, "body", f"at most {most} bytes")
+    def __init__(self, message: str, max_bytes: int) -> None:
+        super().__init__(413, message, "body", f"at most {max_bytes} bytes")
 
 
 class UnknownPathError(BadRequestError):
-    """The path names nothing that is served here."""
+    """The path is not of a form that the gateway serves."""
 
     def __init__(self) -> None:
         super().__init__(404, "no such path", "path", "/ROUTE or /ROUTE/KEY")
 
 
 class UnknownRouteError(BadRequestError):
-    """The first part of the path names no route.
+    """The first segment of the path is not the name of a route.
 
-    Status 400 where the path has the shape of a route's.
+    `status` is 400 if the path otherwise has the form of a route's path, else 404.
     """
 
     def __init__(self, status: int) -> None:
-        super().__init__(status, "no such class", "path", "a route of the settings as first part")
+        super().__init__(
+            status, "no such route", "path", "the name of a configured route as first segment"
+        )
 
 
 class WrongMethodError(BadRequestError):
-    """The method does not go with the route's idempotency."""
+    """The method does not match the idempotency of the route."""
 
     def __init__(self, expected: str) -> None:
-        super().__init__(400, "wrong method for the class", "method", expected)
+        super().__init__(400, "wrong method for the route", "method", expected)
 
 
 class UnexpectedBodyError(BadRequestError):
-    """A request with GET has a body."""
+    """A GET request has a body."""
 
     def __init__(self) -> None:
-        super().__init__(400, "a body with GET", "body", "no body")
+        super().__init__(400, "GET request has a body", "body", "no body")
 
 
 class HeaderError(BadRequestError):
-    """A header is missing, stands twice, cannot be read, or does not go with the route."""
+    """A header is missing, duplicated, malformed, or not valid for the route."""
 
     def __init__(self, message: str, field: str, expected: str) -> None:
         super().__init__(400, message, field, expected)
 
 
 class BodyMemoryError(BadRequestError):
-    """All memory for long bodies is in use: nothing is wrong with the request, a retry may pass."""
+    """The memory budget for long bodies is exhausted; the request is valid and may be retried."""
 
     def __init__(self) -> None:
         super().__init__(503, "no memory for a body", "body")
 
 
 class RequestTimeoutError(BadRequestError):
-    """The request did not come in whole within the time limit."""
+    """The request was not received completely within the time limit."""
 
     def __init__(self) -> None:
-        super().__init__(408, "request not whole in time")
+        super().__init__(408, "request not received completely within the time limit")
--- a/quillroad/framing.py
+++ b/quillroad/framing.py
@@ -1,8 +1,8 @@
-"""Where a request ends, beyond doubt. No I/O.
+"""Message framing: determines where a request ends and rejects ambiguous requests. No I/O.
 
-Two headers that name different ends let a request hide in the body of another (request smuggling):
-a host that goes by the other header would run it. The parser has checks of its own, but what it is
-lenient about changes with its version.
+If Content-Length and Transfer-Encoding disagree, a request can be hidden in the body of another
+one (request smuggling, RFC 9112 section 11.2): a host that obeys the other header would execute
+it. The HTTP parser checks this too, but which deviations it tolerates depends on its version.
 """
 
 from __future__ import annotations
@@ -11,25 +11,26 @@
 
 __all__ = ["FRAMED", "HEAD_LIMIT", "BadRequestError", "FramingError", "check_framing"]
 
-# Bytes of a start line and all headers, of a request or a response: far more than clients and hosts
-# send.
+# Maximum size in bytes of a start line and all headers, of a request or a response. Clients and
+# hosts send far less.
 HEAD_LIMIT = 16 * 1024
-# Bytes of a message at most for each byte of its head's limit and body: chunk extensions and
-# trailers reach no callback of the parser, and without this one without end would be read for ever.
+# Maximum ratio of the raw bytes of a message to its head limit plus its decoded body. The parser
+# reports chunk extensions and trailers to no callback, so without this limit an endless one would
+# be read forever.
 FRAMED = 8
 
-_LENGTH = b"content-length"
-_CODING = b"transfer-encoding"
-_LENGTH_DIGITS = 19  # of a Content-Length at most: more than any body, and within 64 bits
+_CONTENT_LENGTH = b"content-length"
+_TRANSFER_ENCODING = b"transfer-encoding"
+_MAX_CONTENT_LENGTH_DIGITS = 19  # exceeds any body size and still fits into 64 bits
 
 
 def check_framing(version: str, headers: list[tuple[bytes, bytes]]) -> int:
-    """The length of the body in bytes as its header tells it.
+    """Return the body length in bytes that the framing header declares.
 
-    0 without one, -1 for a body in chunks.
+    0 without a framing header, -1 for a chunked body.
 
-    `version` is the protocol's ("1.0" or "1.1"). Raises `FramingError` unless it is beyond doubt
-    where the request ends.
+    `version` is the HTTP version ("1.0" or "1.1"). Raises `FramingError` if the end of the request
+    is ambiguous or the version is unsupported.
     """
     framing = _framing_headers(headers)
     length = 0
@@ -37,39 +38,49 @@
         for _, name, _ in framing:
             if b"_" in name or name != name.strip():
                 raise FramingError(
-                    "a framing header spelt oddly", name.decode("latin-1"), "its usual spelling"
+                    "framing header name contains an underscore or whitespace",
+                    name.decode("latin-1"),
+                    "Content-Length or Transfer-Encoding",
                 )
         if len(framing) > 1:
-            raise FramingError("two framing headers", "Content-Length, Transfer-Encoding", "one")
-        plain, _, value = framing[0]
-        length = _content_length(value) if plain == _LENGTH else _chunked(value, version)
+            raise FramingError(
+                "more than one framing header", "Content-Length, Transfer-Encoding", "exactly one"
+            )
+        canonical_name, _, value = framing[0]
+        length = (
+            _content_length(value)
+            if canonical_name == _CONTENT_LENGTH
+            else _chunked(value, version)
+        )
     if version not in ("1.0", "1.1"):
-        raise FramingError("unknown version of HTTP", "version", "1.0 or 1.1")
+        raise FramingError("unsupported HTTP version", "version", "1.0 or 1.1")
     return length
 
 
 def _content_length(value: bytes) -> int:
-    if value.isdigit() and len(value) <= _LENGTH_DIGITS:
+    if value.isdigit() and len(value) <= _MAX_CONTENT_LENGTH_DIGITS:
         return int(value)
-    raise FramingError("bad Content-Length", "Content-Length", "decimal digits")
+    raise FramingError("invalid Content-Length", "Content-Length", "1 to 19 decimal digits")
 
 
 def _chunked(value: bytes, version: str) -> int:
-    """-1, the length of a body in chunks."""
+    """Return -1, the length that stands for a chunked body."""
     if value.lower() == b"chunked" and version == "1.1":
         return -1
-    raise FramingError("unknown Transfer-Encoding", "Transfer-Encoding", "chunked, with HTTP/1.1")
+    raise FramingError(
+        "unsupported Transfer-Encoding", "Transfer-Encoding", "chunked, with HTTP/1.1"
+    )
 
 
 def _framing_headers(headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes, bytes]]:
-    """The headers that frame a body, also those that only a lenient host takes for such.
+    """Return the framing headers as (canonical name, name as received, value).
 
-    Plain name, name as it came, value.
+    Includes variants that only a lenient host would accept, such as `content_length`.
     """
     found: list[tuple[bytes, bytes, bytes]] = []
     for name, value in headers:
         if name[:1] in b"cCtT":
-            plain = name.lower().replace(b"_", b"-").strip()
-            if plain in (_LENGTH, _CODING):
-                found.append((plain, name, value))
+            canonical_name = name.lower().replace(b"_", b"-").strip()
+            if canonical_name in (_CONTENT_LENGTH, _TRANSFER_ENCODING):
+                found.append((canonical_name, name, value))
     return found
--- a/quillroad/overload/accept_backoff.py
+++ b/quillroad/overload/accept_backoff.py
@@ -1,29 +1,30 @@
-"""How long to leave the listening socket alone after an accept that failed. Free of I/O."""
+"""Exponential backoff after a failed accept. No I/O."""
 
 from __future__ import annotations
 
-# A descriptor is free again within some turns of the event loop: the first retry comes soon.
+# Short, because a descriptor is usually freed within a few iterations of the event loop.
 FIRST_DELAY_S = 0.005
-# Longest time for which a gateway that has descriptors again still takes no connections.
+# Upper bound of the time in which a gateway accepts no connections although descriptors are
+# available again.
 MAX_DELAY_S = 1.0
 
 
 class AcceptBackoff:
-    """Delays in seconds that double while accepts fail, and start anew once one works.
+    """Delays that double with each failed accept and are reset by a successful one.
 
-    Without them the event loop spins when a process has no descriptors left (EMFILE): the listening
-    socket stays readable, each accept fails at once, and a core is spent on nothing.
+    Without a delay the event loop would spin when the process has no descriptors left (EMFILE): the
+    listening socket stays readable, each accept fails immediately, and a full core is wasted.
     """
 
     def __init__(self) -> None:
         self._next_s = FIRST_DELAY_S
 
     def next_delay_s(self) -> float:
-        """An accept has failed; returns the seconds to wait before the next one."""
+        """Return the seconds to wait after a failed accept, and double the next delay."""
         delay_s = self._next_s
         self._next_s = min(MAX_DELAY_S, 2 * self._next_s)
         return delay_s
 
     def reset(self) -> None:
-        """An accept has worked: the next failure waits for the first delay again."""
+        """Start again from the first delay, after a successful accept."""
         self._next_s = FIRST_DELAY_S
--- a/quillroad/overload/acceptor.py
+++ b/quillroad/overload/acceptor.py
@@ -1,11 +1,12 @@
-"""Takes connections from the listening socket: in batches, within limits, and never spinning.
-
-The event loop's own server accepts one connection a turn, while a turn serves every connection that
-has sent something: when many clients connect at once, those outside wait for as long as those
-inside keep the loop busy. The acceptor takes as many a turn as fit into a fraction of the time that
-turns take. A core with time to spare accepts a crowd within a few turns. A core without is not
-filled with connections whose requests it cannot read; those wait in the kernel, where they cost
-nothing and where their age is counted all the same (`socket_age`).
+"""Accepts connections from the listening socket in batches, within a time and capacity limit.
+
+The event loop's own server accepts one connection per loop iteration, while an iteration serves
+every connection that has sent data: when many clients connect at once, the connections in the
+backlog wait for as long as the accepted ones keep the loop busy. The acceptor accepts as many
+connections per iteration as fit into a fraction of the time since its last batch. An idle core
+accepts a burst within a few iterations. A busy core does not accept connections whose requests it
+has no time to read: they stay in the kernel's backlog, where they cost nothing and where the kernel
+still records the age of their data (`socket_age`).
 """
 
 from __future__ import annotations
@@ -22,34 +23,36 @@
 
 log = logging.getLogger("quillroad.overload")
 
-# Connections that may wait in the kernel; the kernel holds it to net.core.somaxconn.
+# Maximum length of the kernel's accept queue; the kernel limits it to net.core.somaxconn.
 BACKLOG = 4096
-# Fraction of the time since the last accepts that the next ones may take. Bringing a connection up
-# takes as long again, so accepting and starting together take a quarter of the core at the most.
+# Fraction of the time since the last batch that the next batch may take. Setting up the transport
+# of a connection takes about as long as accepting it, so both together use at most a quarter of
+# the core.
 TIME_FRACTION = 0.125
-# The same while clients outside have waited for long: rejections reach them sooner then. Not used
-# at all times, since it leaves less time for the requests that are already inside.
+# The same while clients in the backlog have waited for long, so that they are rejected sooner. Not
+# used at other times, since it leaves less time for requests that were already accepted.
 TIME_FRACTION_LATE = 0.25
-# Time for accepts after a turn that was short, so that a calm loop accepts without delay.
-MIN_TIME_S = 0.002
-# Longest time since the last accepts that counts: after a pause accepts do not hold up a whole
-# turn.
-MAX_PASSED_S = 1.0
-# Accepts a turn at the most, however long the last turn took.
+# Minimum duration of a batch, so that a lightly loaded loop accepts without delay.
+MIN_BATCH_S = 0.002
+# Upper bound of the time since the last batch that is counted: after a pause, a batch must not
+# block the loop for a whole iteration.
+MAX_COUNTED_INTERVAL_S = 1.0
+# Maximum number of accepts per loop iteration, however long the last iteration took.
 MAX_BATCH = 256
-# Wait before capacity is asked for again: a descriptor is freed by some other event meanwhile.
+# Delay before the capacity is checked again; other events free descriptors in the meantime.
 NO_CAPACITY_DELAY_S = 0.010
-# Accepts at most when the listener closes; at least BACKLOG, so that nobody who waits is reset.
-MAX_LAST_ACCEPTS = 4096
+# Maximum number of accepts when the listener closes; at least BACKLOG, so that no connection in the
+# backlog is reset.
+MAX_ACCEPTS_ON_CLOSE = 4096
 
 P = TypeVar("P", bound=asyncio.Protocol)
 
 
 def open_listener(host: str, port: int, shared: bool = False) -> socket.socket:
-    """A listening socket, not blocking.
+    """Return a non-blocking listening socket.
 
-    `shared`: other processes of the same user that ask for it too may listen on the same address
-    (SO_REUSEPORT). Raises OSError where the address cannot be used.
+    With `shared`, other processes of the same user that also set SO_REUSEPORT may listen on the
+    same address. Raises OSError if the address cannot be bound.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
@@ -67,12 +70,12 @@
 
 
 class Acceptor(Generic[P]):
-    """Accepts from one listening socket, and brings the connections up on the event loop.
+    """Accepts connections from one listening socket and attaches them to the event loop.
 
-    `make_protocol` gets each accepted socket and returns its protocol, or None where it has dealt
-    with the connection and closed it. `has_capacity` is asked before each accept, when no
-    descriptor is taken yet; while it says no, connections wait in the kernel. `on_lost` is told of
-    protocols whose connection never came up, and of no others.
+    `make_protocol` is called with each accepted socket and returns its protocol, or None if it has
+    handled and closed the connection itself. `has_capacity` is called before each accept, before a
+    descriptor is allocated; while it returns False, connections wait in the kernel's backlog.
+    `on_lost` is called only with protocols whose transport could not be set up.
     """
 
     def __init__(
@@ -89,30 +92,30 @@
         self._listener: socket.socket | None = None
         self._backoff = AcceptBackoff()
         self._resume_timer: asyncio.TimerHandle | None = None
-        self._last_accepts_end = 0.0  # monotonic time
-        # Set by the owner: clients outside have waited for long.
+        self._last_batch_end = 0.0  # monotonic time
+        # Set by the owner: clients in the backlog have waited for long.
         self.clients_waited_long = False
-        # Set by the owner: descriptors are about to be free, so that the next turn may accept.
+        # Set by the owner: descriptors are being closed, so the next iteration can accept.
         self.descriptors_freeing = False
-        self._starting: set[asyncio.Task[object]] = set()
+        self._bring_up_tasks: set[asyncio.Task[object]] = set()
 
     def listen(self, listener: socket.socket) -> None:
-        """Accept from a socket that listens; the acceptor owns and closes it from now on."""
+        """Start accepting from a listening socket, which the acceptor now owns and closes."""
         self._listener = listener
         self._loop.add_reader(listener.fileno(), self._accept_batch)
 
     def detach(self) -> None:
-        """Accept nothing until `listen` is called again.
+        """Stop accepting until `listen` is called again.
 
-        Connections wait in the kernel, and the socket is the caller's.
+        The caller owns the socket again; connections wait in the kernel's backlog.
         """
         self._detach()
 
     def close(self) -> None:
-        """Accept all that the kernel holds, with or without capacity, and close the listener.
+        """Accept all connections in the backlog, regardless of capacity, and close the listener.
 
-        Closing a listener resets the connections that wait in it, also those whose clients have
-        sent a whole request: they would get no answer.
+        Closing a listening socket resets the connections in its backlog, including those whose
+        clients have sent a complete request and would then get no answer.
         """
         if self._listener is None:
             return
@@ -122,7 +125,7 @@
             listener.close()
 
     def _detach(self) -> socket.socket | None:
-        """Let go of the listener, which the loop no longer watches; None where there is none."""
+        """Stop watching the listener and return it; None if there is none."""
         listener = self._listener
         if listener is None:
             return None
@@ -134,45 +137,45 @@
         return listener
 
     def _accept_batch(self) -> None:
-        """Accept for a fraction of the time since the last accepts, while there is capacity."""
+        """Accept for a fraction of the time since the last batch, while there is capacity."""
         listener = self._listener
         if listener is None:
             return
-        began = monotonic()
+        batch_start = monotonic()
         fraction = TIME_FRACTION_LATE if self.clients_waited_long else TIME_FRACTION
-        passed_s = min(MAX_PASSED_S, began - self._last_accepts_end)
-        end = began + max(MIN_TIME_S, fraction * passed_s)
+        elapsed_s = min(MAX_COUNTED_INTERVAL_S, batch_start - self._last_batch_end)
+        batch_end = batch_start + max(MIN_BATCH_S, fraction * elapsed_s)
         self.descriptors_freeing = False
         for _ in range(MAX_BATCH):
-            if monotonic() >= end:
+            if monotonic() >= batch_end:
                 break
             if not self._has_capacity():
-                # Without a rest the listener, still readable, is looked at in the next turn.
+                # Without a pause the next iteration polls the listener, which is still readable.
                 if not self.descriptors_freeing:
                     self._rest(NO_CAPACITY_DELAY_S)
                 break
             if not self._accept_one(listener):
                 break
-        self._last_accepts_end = monotonic()
+        self._last_batch_end = monotonic()
 
     def _accept_all(self, listener: socket.socket) -> None:
-        """Accept whatever the kernel holds, without asking for capacity."""
-        for _ in range(MAX_LAST_ACCEPTS):
+        """Accept all connections in the backlog without checking the capacity."""
+        for _ in range(MAX_ACCEPTS_ON_CLOSE):
             if not self._accept_one(listener):
                 break
 
     def _accept_one(self, listener: socket.socket) -> bool:
-        """Accept and start one connection; False where no further accept makes sense now."""
+        """Accept and set up one connection; return False if the batch has to end."""
         try:
             sock, _address = listener.accept()
         except (BlockingIOError, InterruptedError):
             return False
         except ConnectionAbortedError:
-            return True  # this client has gone already; the next one may wait
+            return True  # this client disconnected; others may be in the backlog
         except OSError as error:
-            # EMFILE, ENFILE, ENOBUFS, ENOMEM: the listener stays readable, so leave it alone.
+            # EMFILE, ENFILE, ENOBUFS, ENOMEM: the listener stays readable, so back off.
             delay_s = self._backoff.next_delay_s()
-            log.error("accept failed, next in %d ms: %s", delay_s * 1000, error)
+            log.error("accept failed, retrying in %d ms: %s", delay_s * 1000, error)
             self._rest(delay_s)
             return False
         self._backoff.reset()
@@ -182,21 +185,23 @@
         return True
 
     def bring_up(self, sock: socket.socket, protocol: P) -> None:
-        """Bring up a connection that was accepted; `on_lost` hears of it where that fails."""
+        """Set up the transport of an accepted connection; call `on_lost` if that fails."""
         task: asyncio.Task[object] = self._loop.create_task(
             self._loop.connect_accepted_socket(lambda: protocol, sock)
         )
-        self._starting.add(task)
-        task.add_done_callback(partial(self._started, sock, protocol))
+        self._bring_up_tasks.add(task)
+        task.add_done_callback(partial(self._on_bring_up_done, sock, protocol))
 
-    def _started(self, sock: socket.socket, protocol: P, task: asyncio.Task[object]) -> None:
-        self._starting.discard(task)
+    def _on_bring_up_done(
+        self, sock: socket.socket, protocol: P, task: asyncio.Task[object]
+    ) -> None:
+        self._bring_up_tasks.discard(task)
         if task.cancelled() or task.exception() is not None:
             sock.close()
             self._on_lost(protocol)
 
     def _rest(self, delay_s: float) -> None:
-        """Leave the listener alone for a while; connections wait in the kernel meanwhile."""
+        """Stop accepting for `delay_s`; connections wait in the kernel's backlog meanwhile."""
         if self._listener is not None and self._resume_timer is None:
             self._loop.remove_reader(self._listener.fileno())
             self._resume_timer = self._loop.call_later(delay_s, self._resume)
--- a/quillroad/overload/admission_tuning.py
+++ b/quillroad/overload/admission_tuning.py
@@ -1,6 +1,6 @@
-"""Constants of the admission queue, each with its unit and its reason.
+"""Constants of the admission queue, with their units and reasons.
 
-Which of them were set by a measurement, and by which, is in `docs/design/overload-constants.md`.
+`docs/design/overload-constants.md` describes the measurements behind them.
 """
 
 from __future__ import annotations
@@ -10,47 +10,49 @@
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
-    """How the admission queue predicts, decides and divides the core's time.
+    """Parameters of the admission queue's wait prediction, admission decisions and time slices.
 
     Fractions are 0 to 1, times are seconds.
     """
 
-    # Fraction of a latency objective that predicted times may fill: the rest is for their errors.
+    # Fraction of a latency objective that predicted times may use; the rest is a margin for
+    # prediction errors.
     objective_fraction: float = 0.8
-    # Fraction of a latency objective that the time of hosts counts for at the most: slow hosts are
-    # no reason to reject, the balancer judges them.
+    # Maximum fraction of a latency objective that is reserved for the hosts' response time: slow
+    # hosts are no reason to reject here, the balancer handles them.
     max_host_fraction: float = 0.5
-    # Fraction of the time left that the queue may take. Were it all of it, what waits at the end of
-    # the queue would be due at once, and no request with a shorter objective could pass it.
+    # Fraction of the remaining time that the predicted wait may use. With all of it, a request at
+    # the end of the queue would have no slack, and none with a shorter objective could overtake it.
     max_queue_fraction: float = 0.8
-    # Fraction of what a priority level may take, from which on requests with less priority make
-    # room for it: early enough that the level itself need not be rejected first.
+    # Fraction of a priority level's share above which the level counts as contended and lower
+    # levels are squeezed: early enough that the level's own requests are not rejected first.
     contended_fraction: float = 0.75
-    # How far one request of a contended level squeezes those with less priority: fifty in a row
-    # give it all that they may lose.
+    # Amount by which one request of a contended level squeezes the lower levels: after fifty
+    # consecutive requests the squeeze is at its maximum.
     squeeze_step: float = 0.02
-    # Time in which most of the squeeze is forgotten: lower levels have their room back within
+    # Time constant of the exponential decay of the squeeze: lower levels regain their share within
     # seconds after an overload.
     squeeze_decay_s: float = 2.0
-    # Time for which requests begin in one turn of the loop, before sockets are read again: a turn
-    # stays short, so that answers of hosts are read in time.
+    # Minimum time for starting requests in one loop iteration, before sockets are read again.
+    # Iterations stay short, so that answers of hosts are read in time.
     min_slice_s: float = 0.002
     # Fraction of the time since the last slice that the next one may take. Reading answers takes as
-    # long as beginning requests, so these get about 40% of the core, however many arrivals there
-    # are to reject.
+    # long as starting requests, so both together get about 40% of the core, however many arrivals
+    # have to be rejected.
     slice_fraction: float = 0.25
-    # Time of work from which on the time of a request counts as known: no request is rejected for
-    # a predicted wait before, since the first few tell too little.
+    # Minimum observed working time for a valid estimate of the time per request. Before that, no
+    # request is rejected for its predicted wait, since the first few samples are unreliable.
     min_known_s: float = 0.05
-    # Time over which the time of a request is averaged: several periods of a container's CPU quota,
-    # so that the average does not swing with the pauses that the quota makes.
+    # Averaging period of the time per request: several periods of a container's CPU quota, so that
+    # the average does not oscillate with the throttling pauses.
     averaging_s: float = 0.5
-    # Time over which the core's share in use is counted.
+    # Window over which CPU utilization is measured.
     cpu_window_s: float = 0.1
-    # Fraction of the CPU time allowed, from which on answers of hosts are read late.
+    # Fraction of the allowed CPU time above which answers of hosts may be read late.
     busy_fraction: float = 0.5
-    # Longest time that one slice counts for: a process that was stopped says nothing about
-    # how long a request takes.
+    # Maximum time that is counted for one slice: the time in which the process was stopped says
+    # nothing about the time per request.
     max_counted_slice_s: float = 0.1
-    # Time that a client must still wait for a request to be let in: two turns of a calm loop.
+    # Minimum time that must be left until a request's answer loses its value, for the request to be
+    # admitted: two iterations of a lightly loaded loop.
     min_left_s: float = 0.002
--- a/quillroad/overload/body_budget.py
+++ b/quillroad/overload/body_budget.py
@@ -1,24 +1,25 @@
-"""How many bytes of long bodies the gateway holds at once. Free of I/O."""
+"""Limit on the bytes of long bodies that the gateway buffers at once. No I/O."""
 
 from __future__ import annotations
 
 
 class BodyBudget:
-    """A budget in bytes (0 or more) that all connections share.
+    """A memory budget in bytes (0 or more) that all connections share.
 
-    Without it, clients that read slowly make the gateway hold whole bodies for all of them, until
-    the system ends the process for its memory. Whoever took bytes gives them back.
+    Without it, slow-reading clients would make the gateway buffer whole bodies for all of them,
+    until the kernel's OOM killer ends the process. Each caller of `take` must return its bytes with
+    `give`.
     """
 
     __slots__ = ("limit", "peak", "used")
 
     def __init__(self, limit: int) -> None:
-        self.limit = limit  # bytes at the most
-        self.used = 0  # bytes held now
-        self.peak = 0  # the most bytes that were held at once
+        self.limit = limit  # maximum bytes
+        self.used = 0  # bytes currently reserved
+        self.peak = 0  # highest value of `used` so far
 
     def take(self, size: int) -> bool:
-        """Hold `size` bytes more if they fit into the budget; returns whether they did."""
+        """Reserve `size` bytes; return False if they exceed the budget."""
         if self.used + size > self.limit:
             return False
         self.used += size
@@ -26,5 +27,5 @@
         return True
 
     def give(self, size: int) -> None:
-        """Give back `size` bytes that were taken."""
+        """Release `size` reserved bytes."""
         self.used -= size
--- a/quillroad/overload/event_loop_lag.py
+++ b/quillroad/overload/event_loop_lag.py
@@ -1,36 +1,37 @@
-"""Whether the event loop comes round in time, and the clock while it catches up. Free of I/O.
+"""Detects event loop lag and stalls, and provides the clock while the loop catches up. No I/O.
 
-A process that was stopped, or whose turns are long, finds many things due at once: timers that ran
-out, and answers that lay in the kernel all that time. Taken in the order in which the loop meets
-them, time-outs would come before the answers that made them void, and healthy hosts would be
-ejected for a gateway that read late.
+After a process was stopped, or after a long loop iteration, expired timers and answers that waited
+in the kernel's socket buffers are due at the same time. The loop would run the time-outs before it
+reads the answers that arrived in time, and healthy hosts would be ejected because the gateway read
+late.
 """
 
 from __future__ import annotations
 
-# Between two ticks while there is work: short enough to see a lag before it reaches LATE_S.
+# Interval of ticks while there is work: short enough to detect a lag before it reaches LATE_S.
 TICK_S = 0.025
-# Since the last tick: what is read now may have waited, so that its age is asked of the kernel.
+# Time since the last tick after which data being read may have waited in the kernel, so that its
+# age is queried.
 LATE_S = 0.040
-# Since the last tick: timers wait until all that the kernel holds has been read.
+# Time since the last tick after which timers are deferred until all sockets have been read.
 STALL_S = 0.150
 
 
 class EventLoopLag:
-    """Ticks of one event loop, and what their absence means.
+    """Detects lag and stalls of one event loop from missing ticks.
 
-    Times are seconds of one clock that never goes back. Ticks are due only while there is work;
-    without work their absence says nothing.
+    Times are seconds of a monotonic clock. Ticks are expected only while there is work; without
+    work, missing ticks mean nothing.
     """
 
     def __init__(self, now: float) -> None:
         self.last_tick = now  # time of the last tick
         self._ticking = False
-        self.catching_up = False  # a stall was seen, and not all has been read yet
-        self.stalls = 0  # how many were seen
+        self.catching_up = False  # a stall was detected; not all sockets have been read yet
+        self.stalls = 0  # number of stalls detected
 
     def begin(self, now: float) -> bool:
-        """Work begins: ticks are due. Returns whether they were not due before."""
+        """Expect ticks from now on; return False if they were already expected."""
         if self._ticking:
             return False
         self._ticking = True
@@ -38,37 +39,37 @@
         return True
 
     def end(self) -> None:
-        """Work has ended: no ticks are due."""
+        """Expect no more ticks because there is no more work."""
         self._ticking = False
 
     def tick(self, now: float) -> None:
-        """The loop has come round."""
+        """Record that the loop ran the tick timer."""
         self.last_tick = now
 
     def late(self, now: float) -> bool:
-        """Whether what is read now may have waited for longer than a healthy loop takes.
+        """Return whether data read now may have waited longer than in a healthy loop.
 
-        Also true where no ticks were due: nothing is known then, and asking for an age costs little
-        where there is no work.
+        Also True while no ticks are expected: the lag is unknown then, and querying the age of data
+        is cheap while there is no work.
         """
         return now - self.last_tick > LATE_S
 
     def stalled(self, now: float) -> bool:
-        """Whether timers must wait: the loop did not come round for long, and has not caught up."""
+        """Return whether timers must be deferred: the loop stalled and has not caught up yet."""
         if not self.catching_up and self._ticking and now - self.last_tick > STALL_S:
             self.catching_up = True
             self.stalls += 1
         return self.catching_up
 
     def caught_up(self, now: float) -> None:
-        """All that the kernel held has been read."""
+        """End the stall, after all sockets have been read."""
         self.catching_up = False
         self.last_tick = now
 
     def clock(self, now: float) -> float:
-        """The time by which outcomes are judged.
+        """Return the time against which attempts are judged.
 
-        After a stall it stands still at the last tick until all outcomes have been read, so that
-        none of the time in which nothing could be read counts against a host.
+        After a stall it stays at the last tick until all sockets have been read, so that the time
+        in which the gateway read nothing does not count against a host.
         """
         return self.last_tick if self.catching_up else now
--- a/quillroad/overload/event_loop_monitor.py
+++ b/quillroad/overload/event_loop_monitor.py
@@ -1,4 +1,4 @@
-"""Ticks of one event loop while there is work, and callbacks that wait for it to catch up."""
+"""Ticks on the event loop while there is work, and defers callbacks after a stall."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class EventLoopMonitor:
-    """Sees that one event loop stood still, and holds timers until what came meanwhile is read."""
+    """Detects stalls of one event loop, and defers timers until all sockets have been read."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._has_work: Callable[[], bool] = bool
         self.loop_lag = EventLoopLag(time.monotonic())
-        self.busy = False  # set by the owner: the loop has much to do, and its turns are long
-        self._held_back: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
+        self.busy = False  # set by the owner: the loop is loaded and its iterations are long
+        self._deferred: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
 
-    def work_begins(self, working: Callable[[], bool]) -> None:
-        """Tick from now on, for as long as `working` returns True."""
-        self._has_work = working
+    def work_begins(self, has_work: Callable[[], bool]) -> None:
+        """Tick from now on, for as long as `has_work` returns True."""
+        self._has_work = has_work
         now = time.monotonic()
         if self.loop_lag.begin(now):
             self._loop.call_at(now + TICK_S, self._tick)
@@ -41,35 +41,33 @@
             self.loop_lag.end()
 
     def late(self) -> bool:
-        """Whether what is read now may have waited, so that its age has to be asked for."""
+        """Return whether data read now may have waited, so that its age has to be queried."""
         return self.busy or self.loop_lag.late(time.monotonic())
 
     def stalled(self) -> bool:
-        """Whether callbacks have to wait with `defer`.
+        """Return whether callbacks have to be postponed with `defer`.
 
-        A stall is found by whoever comes first after it, a timer or a socket.
+        The first timer or socket callback after a stall detects it here.
         """
         before = self.loop_lag.catching_up
         stalled = self.loop_lag.stalled(time.monotonic())
         if stalled and not before:
-            log.warning(
-                "the loop stood still: what was due meanwhile waits until all that came is read"
-            )
-            # The next turn polls before it runs what a callback of this turn asked for; the turn
-            # behind that one has then read from every socket at least once.
+            log.warning("event loop stalled: timers are deferred until all sockets have been read")
+            # The next loop iteration polls the sockets before it runs callbacks scheduled in this
+            # one. In the iteration after it, every readable socket has been read at least once.
             self._loop.call_soon(self._loop.call_soon, self._loop.call_soon, self._caught_up)
         return stalled
 
-    def defer(self, act: Callable[..., None], *args: Any) -> None:
-        """Call `act(*args)` once the loop has caught up; calls keep their order."""
-        self._held_back.append((act, args))
+    def defer(self, callback: Callable[..., None], *args: Any) -> None:
+        """Call `callback(*args)` once the loop has caught up; calls keep their order."""
+        self._deferred.append((callback, args))
 
     def _caught_up(self) -> None:
         self.loop_lag.caught_up(time.monotonic())
-        held_back = self._held_back
-        self._held_back = deque()
-        for act, args in held_back:
+        deferred = self._deferred
+        self._deferred = deque()
+        for callback, args in deferred:
             try:
-                act(*args)
-            except Exception:  # one request's fault must not keep the others from being served
-                log.exception("what had waited for the loop failed")
+                callback(*args)
+            except Exception:  # an error in one request must not affect the others
+                log.exception("a callback deferred by an event loop stall failed")
--- a/quillroad/overload/fast_path_parse.py
+++ b/quillroad/overload/fast_path_parse.py
@@ -1,8 +1,8 @@
-"""Reads route, tenant and time-out of a request off its bytes, without a parser. Free of I/O.
+"""Extracts route, tenant and time-out from the bytes of a request without a full parse. No I/O.
 
-For rejections alone, which must cost a small part of what they save. Only what is plainly one whole
-request and nothing else is read. All the rest gives None, and goes to the parser with its checks.
-Nothing that is read here is ever passed on to a host.
+Used only to reject requests, which must cost a small fraction of the work that it saves. Only
+input that is unambiguously one complete request is accepted. For all other input the result is
+None, and the HTTP parser with its checks handles it. Nothing extracted here is sent to a host.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import re
 from typing import NamedTuple
 
-# Bytes of a head that is read here: longer ones are rare, and the search for their end is dear.
+# Maximum head size for this fast path: longer heads are rare, and finding their end is expensive.
 MAX_HEAD_BYTES = 4096
 _CONTENT_LENGTH = re.compile(rb"\r\ncontent-length:[ \t]*([0-9]{1,6})[ \t]*\r\n")
 _TENANT = re.compile(rb"\r\ntenant:[ \t]*([^\r\n]*?)[ \t]*\r\n", re.IGNORECASE)
@@ -18,11 +18,11 @@
 
 
 class RequestPreview(NamedTuple):
-    """What admission asks of a request.
+    """The properties of a request that admission needs.
 
-    `route_name` is the first part of its path, which names the route; `tenant` is empty where none
-    is named; `wait_ms` is how long its client waits for the answer in milliseconds, None where that
-    is not plainly there.
+    `route_name` is the first segment of the path; `tenant` is empty if there is not exactly one
+    Tenant header; `wait_ms` is the client's time-out in milliseconds, None if there is not exactly
+    one valid Request-Timeout-Ms header.
     """
 
     route_name: bytes
@@ -31,10 +31,10 @@
 
 
 def preview_request(data: bytes) -> RequestPreview | None:
-    """What admission asks of a request; None where that is not plain.
+    """Return the properties of a request that admission needs, or None if they are not certain.
 
-    It is plain where `data` is exactly one GET or POST request of HTTP/1.1, whole, on a connection
-    that stays open after it.
+    They are certain if `data` is exactly one complete HTTP/1.1 GET or POST request without a
+    Connection, Expect or Transfer-Encoding header.
     """
     head_end = data.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES)
     if head_end < 0:
@@ -46,12 +46,14 @@
     path = _path(line)
     if path is None:
         return None
-    lower = head.lower()
-    size = _body_size(lower)
+    lower_case_head = head.lower()
+    size = _body_size(lower_case_head)
     if size is None or len(data) != head_end + 4 + size:
         return None
-    tenants = _TENANT.findall(head) if b"\r\ntenant" in lower else ()
-    timeouts = _TIMEOUT_MS.findall(lower) if b"\r\nrequest-timeout-ms" in lower else ()
+    tenants = _TENANT.findall(head) if b"\r\ntenant" in lower_case_head else ()
+    timeouts = (
+        _TIMEOUT_MS.findall(lower_case_head) if b"\r\nrequest-timeout-ms" in lower_case_head else ()
+    )
     return RequestPreview(
         path.partition(b"/")[0],
         tenants[0] if len(tenants) == 1 else b"",
@@ -60,7 +62,7 @@
 
 
 def _path(line: bytes) -> bytes | None:
-    """The path of a request line, without its first slash; None for other methods than two."""
+    """Return the path of a request line without its leading slash; None unless GET or POST."""
     if line.startswith(b"GET /"):
         return line[len(b"GET /") : -len(b" HTTP/1.1")]
     if line.startswith(b"POST /"):
@@ -69,7 +71,7 @@
 
 
 def _body_size(lower_head: bytes) -> int | None:
-    """Bytes of the body that a head in lower case announces; None where that is not plain."""
+    """Return the declared body size of a lower-case head in bytes; None if not certain."""
     if b"transfer-encoding" in lower_head:
         return None
     if b"\r\nconnection" in lower_head or b"\r\nexpect" in lower_head:
--- a/quillroad/overload/heap.py
+++ b/quillroad/overload/heap.py
@@ -1,4 +1,4 @@
-"""Memory of long bodies goes back to the system as soon as they are freed."""
+"""Makes the C library return the memory of long bodies to the system when they are freed."""
 
 from __future__ import annotations
 
@@ -8,21 +8,24 @@
 
 log = logging.getLogger("quillroad.overload")
 
-M_MMAP_THRESHOLD = -3  # parameter number of mallopt(3)
-# Blocks of at least so many bytes are mapped one by one, and unmapped when freed. The C library
-# raises its own threshold with each long block that is freed, up to 32 MB, and keeps such blocks in
-# a heap from then on, where bodies of many sizes leave holes that never go back to the system.
+M_MMAP_THRESHOLD = -3  # parameter number, see mallopt(3)
+# Blocks of at least this size get a memory mapping of their own, which is removed when the block is
+# freed. By default glibc raises the threshold whenever a larger mapped block is freed, up to 32 MB,
+# and allocates smaller blocks on the heap from then on, where bodies of many sizes cause
+# fragmentation that is never returned to the system.
 MMAP_THRESHOLD_BYTES = 64 * 1024
 
 
 @cache
 def fix_mmap_threshold() -> None:
-    """Fix the size from which on freed blocks go back to the system; called with a long body.
+    """Set a fixed mmap threshold for the process; called when the first long body is handled.
 
-    The first call sets it for the process, later ones do nothing. Where the C library has no such
-    call, a line in the log says so and memory stays with the process.
+    Later calls do nothing. If the C library has no mallopt, this is logged, and the process may
+    keep the memory of freed bodies.
     """
     try:
         ctypes.CDLL(None).mallopt(M_MMAP_THRESHOLD, MMAP_THRESHOLD_BYTES)
     except (OSError, AttributeError):
-        log.info("the C library keeps memory of long bodies")
+        log.info(
+            "mallopt is not available: memory of long bodies may not be returned to the system"
+        )
--- a/quillroad/overload/quota_bucket.py
+++ b/quillroad/overload/quota_bucket.py
@@ -1,4 +1,4 @@
-"""A tenant's quota at this gateway, as a token bucket. Free of I/O."""
+"""Token bucket for a tenant's request quota at this gateway. No I/O."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class BucketState(NamedTuple):
-    """What a bucket holds: `tokens` at the time `counted_at` (seconds of the gateway's clock)."""
+    """The state of a bucket: `tokens` at time `counted_at` (monotonic clock, seconds)."""
 
     tokens: float
     counted_at: float
 
 
 class QuotaBucket:
-    """Tokens at `rate` a second, one for each request within the quota.
+    """A token bucket that is refilled at `rate` tokens per second; each request uses one token.
 
-    One second's worth of tokens may be used at once, and one token at the least. Times are seconds
-    of one clock that never goes back.
+    The burst is one second's worth of tokens, at least one token. Times are seconds of a monotonic
+    clock.
     """
 
     __slots__ = ("_burst", "_counted_at", "_rate", "_tokens")
@@ -28,20 +28,20 @@
         self._counted_at = 0.0
 
     def state(self) -> BucketState:
-        """The tokens and when they were counted, for a successor of this process."""
+        """Return the state for hand-over to the successor of this process."""
         return BucketState(self._tokens, self._counted_at)
 
     def resume(self, state: tuple[float, float]) -> None:
-        """Go on with the tokens that a predecessor of this process had."""
+        """Restore the state that the predecessor of this process handed over."""
         self._tokens, self._counted_at = state
 
-    def admits(self, now: float, takes: bool) -> bool:
-        """Whether one more request is within the quota; takes a token for it if `takes`."""
-        earned = self._rate * (now - self._counted_at)
-        self._tokens = min(self._burst, self._tokens + earned)
+    def admits(self, now: float, consume_token: bool) -> bool:
+        """Return whether one more request is within the quota; use a token if `consume_token`."""
+        refill = self._rate * (now - self._counted_at)
+        self._tokens = min(self._burst, self._tokens + refill)
         self._counted_at = now
         if self._tokens < 1.0:
             return False
-        if takes:
+        if consume_token:
             self._tokens -= 1.0
         return True
--- a/quillroad/overload/route_queue.py
+++ b/quillroad/overload/route_queue.py
@@ -1,6 +1,6 @@
-"""The requests of one route that wait in the admission queue, and what each priority retains of it.
+"""The waiting requests of one route, and the queue share that each priority level retains.
 
-Free of I/O; times are seconds of one clock that never goes back.
+No I/O; times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 class QueuedRequest:
     """One request in the queue.
 
-    It has to begin at `begin_by`, and its answer has value until `useful_until`. `item` is the
-    caller's, and None once the request has left or begun.
+    `begin_by` is the latest time at which it should start, `useful_until` the time until which its
+    answer has value. `item` is the caller's object, None once the request has started or left.
     """
 
     __slots__ = ("begin_by", "item", "useful_until")
@@ -25,22 +25,22 @@
 
 
 class RouteQueue:
-    """The requests of one route, in the order of their arrival, and what was learned of them."""
+    """The waiting requests of one route in order of arrival, and the route's statistics."""
 
     __slots__ = ("begun", "entries", "host_time_s", "rate", "slack_s", "useful_s")
 
     def __init__(self, useful_s: float) -> None:
         self.entries: deque[QueuedRequest] = deque()
-        self.useful_s = useful_s  # from arrival, in which an answer has value
-        self.host_time_s = 0.0  # from a request's beginning to its answer, smoothed; 0: not known
-        self.slack_s = useful_s  # between arrival and `begin_by` of the request that came last
-        self.begun = 0  # requests in this slice
-        self.rate = 0.0  # requests begun a second while there was a queue, smoothed
+        self.useful_s = useful_s  # time from arrival in which an answer has value
+        self.host_time_s = 0.0  # smoothed time from start to answer; 0: not known
+        self.slack_s = useful_s  # of the last request: `begin_by` minus arrival
+        self.begun = 0  # requests started in the current slice
+        self.rate = 0.0  # smoothed requests started per second while any were waiting
 
     def due_before(self, begin_by: float) -> float:
-        """About how many requests have to begin before that time.
+        """Estimate how many requests have an earlier latest start time than `begin_by`.
 
-        Their times are taken to lie evenly between those of the first and the last one.
+        Assumes that their times are evenly distributed between those of the first and the last one.
         """
         entries = self.entries
         if not entries or begin_by <= (first := entries[0].begin_by):
@@ -52,10 +52,11 @@
 
 
 def retained_fractions(weights: Sequence[float], over_quota_weight: float) -> list[float]:
-    """What each priority level retains of the queue when squeezed (above 0, up to 1).
+    """Return the fraction of the queue that each priority level retains when fully squeezed.
 
-    Levels are the routes within quota, then the routes beyond it. Even steps from the highest
-    weight to the lowest, equal for equal weights.
+    The levels are the routes for requests within quota, followed by the routes for requests beyond
+    quota. Fractions are above 0, at most 1, and decrease in even steps from the highest weight to
+    the lowest; equal weights have equal fractions.
     """
     levels = [*weights, *(weight * over_quota_weight for weight in weights)]
     distinct = sorted(set(levels), reverse=True)
--- a/quillroad/overload/socket_age.py
+++ b/quillroad/overload/socket_age.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a connection: the age of its bytes, and whether its peer has gone."""
+"""Kernel state of a connection: age of received data, closed by the peer, unacknowledged bytes."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 import termios
 from typing import Protocol
 
-# struct tcp_info of Linux's tcp.h: eight single bytes, the first of them `tcpi_state`, then 32-bit
-# fields, the twelfth of them `tcpi_last_data_recv` (milliseconds). Offsets are in bytes.
+# struct tcp_info of Linux's tcp.h: eight single bytes, of which the first is `tcpi_state`, followed
+# by 32-bit fields, of which the twelfth is `tcpi_last_data_recv` (milliseconds). Offsets in bytes.
 STATE_OFFSET = 0
 LAST_DATA_RECV_OFFSET = 52
 LAST_DATA_RECV_END = 56
-# States of the same header: the peer has reset the connection; the peer has ended it, whatever
-# bytes of it are still to be read.
+# TCP states of the same header. CLOSE: the peer has reset the connection. CLOSE_WAIT: the peer has
+# sent a FIN, even if data received before it is still unread.
 TCP_CLOSE = 7
 TCP_CLOSE_WAIT = 8
 _UINT32 = struct.Struct("I")
 _INT = struct.Struct("i")
-_NO_BYTES = _INT.pack(0)
+_ZERO_INT = _INT.pack(0)
 
 
 class Socket(Protocol):
-    """What is asked of a socket; the event loop's stand-in for a socket has it too."""
+    """The part of a socket used here, which the event loop's `TransportSocket` also has."""
 
     def getsockopt(self, level: int, option: int, size: int, /) -> bytes:
-        """The value of a socket option, as `size` bytes at the most."""
+        """Return the value of a socket option, at most `size` bytes."""
 
 
 def data_age(sock: Socket) -> float:
-    """Seconds since the last data came in on this TCP connection (`TCP_INFO`, tcp(7)).
+    """Return the seconds since this connection last received data (`TCP_INFO`, tcp(7)).
 
-    Whole milliseconds, as exact as the kernel's tick. 0 where the system does not tell: a request
-    then counts from when it was read.
+    The resolution is 1 ms, limited by the kernel's tick. 0 if the system does not provide it: the
+    age of a request then counts from when it was read.
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECV_END)
@@ -43,10 +43,10 @@
 
 
 def has_ended(sock: Socket) -> bool:
-    """Whether the peer has ended or reset this connection (`TCP_INFO`, tcp(7)).
+    """Return whether the peer has closed or reset this connection (`TCP_INFO`, tcp(7)).
 
-    Seen also where bytes that came before are still unread, or nobody reads. False where the system
-    does not tell.
+    Detects this also while earlier data is unread or reading is paused. False if the system does
+    not provide the state.
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECV_END)
@@ -56,13 +56,13 @@
 
 
 def unacknowledged(sock: socket.socket) -> int:
-    """Bytes written to a connection that the peer's machine has not taken (`SIOCOUTQ`, tcp(7)).
+    """Return the bytes written that the peer has not acknowledged (`SIOCOUTQ`, tcp(7)).
 
-    The kernel buffers megabytes and asks for more in large steps: of a slow reader this alone shows
-    that it reads. 0 where the system does not tell.
+    The kernel buffers megabytes and signals writability in large steps, so for a slow reader this
+    is the only sign of progress. 0 if the system does not provide it.
     """
     try:
-        size = fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, _NO_BYTES)
+        size = fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, _ZERO_INT)
         return int(_INT.unpack(size)[0])
     except OSError:
         return 0
--- a/tests/overload/support.py
+++ b/tests/overload/support.py
@@ -1,10 +1,10 @@
-"""What several tests of overload protection use."""
+"""Helpers shared by the overload tests."""
 
 from __future__ import annotations
 
 import time
 
 
-def stand_still(seconds: float) -> None:
-    """Hold up the whole process, as a stopped machine or a long turn does."""
+def block_process(seconds: float) -> None:
+    """Block the whole process, as SIGSTOP or a long loop iteration does."""
     time.sleep(seconds)
--- a/tests/overload/test_acceptor.py
+++ b/tests/overload/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting connections: in batches, within the descriptors, through failures and at the end."""
+"""Accepting connections: batches, descriptor limits, failed accepts and closing the listener."""
 
 from __future__ import annotations
 
@@ -18,50 +18,50 @@
 from tests.net import on_loop, until
 
 
-class Echo(asyncio.Protocol):
-    """Counts the connections that came up."""
+class EchoProtocol(asyncio.Protocol):
+    """Echoes data, and counts the connections that were set up."""
 
-    def __init__(self, bench: Bench) -> None:
-        self._bench = bench
+    def __init__(self, harness: AcceptorHarness) -> None:
+        self._harness = harness
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._bench.up.append(self._transport)
+        self._harness.transports.append(self._transport)
 
     def data_received(self, data: bytes) -> None:
         self._transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._bench.used -= 1
+        self._harness.open_count -= 1
 
 
-class Bench:
-    """An acceptor with a count of descriptors."""
+class AcceptorHarness:
+    """An acceptor with a simulated limit of descriptors, and its clients."""
 
-    def __init__(self, most: int = 10_000) -> None:
-        self.up: list[asyncio.Transport] = []
-        self.used, self.most, self.worst = 0, most, 0
+    def __init__(self, descriptor_limit: int = 10_000) -> None:
+        self.transports: list[asyncio.Transport] = []
+        self.open_count, self.descriptor_limit, self.max_open_count = 0, descriptor_limit, 0
         self.acceptor = Acceptor(
             asyncio.get_running_loop(),
-            self._take,
-            lambda: self.used < self.most,
-            lambda _: self._given_up(),
+            self._make_protocol,
+            lambda: self.open_count < self.descriptor_limit,
+            lambda _: self._on_lost(),
         )
         listener = open_listener("127.0.0.1", 0)
         self.port = listener.getsockname()[1]
         self.acceptor.listen(listener)
         self.clients: list[socket.socket] = []
 
-    def _take(self, _: socket.socket) -> Echo:
-        self.used += 1
-        self.worst = max(self.worst, self.used)
-        return Echo(self)
+    def _make_protocol(self, _: socket.socket) -> EchoProtocol:
+        self.open_count += 1
+        self.max_open_count = max(self.max_open_count, self.open_count)
+        return EchoProtocol(self)
 
-    def _given_up(self) -> None:
-        self.used -= 1
+    def _on_lost(self) -> None:
+        self.open_count -= 1
 
     def connect(self, count: int) -> None:
-        """So many connects in one instant; the kernel accepts them, whatever the loop does."""
+        """Connect `count` clients at once; the kernel queues them without the event loop."""
         for _ in range(count):
             client = socket.create_connection(("127.0.0.1", self.port))
             client.setblocking(False)
@@ -71,53 +71,54 @@
         self.acceptor.close()
         for client in self.clients:
             client.close()
-        for transport in self.up:
+        for transport in self.transports:
             transport.abort()
 
 
 @on_loop
-async def test_many_connects_at_once_are_accepted_in_batches() -> None:
-    """1,024 clients connect in one instant.
-
-    With one accept a turn their wait grew with the square of their number, since each turn also
-    serves all those that are already inside."""
-    bench = Bench()
-    bench.connect(4 * MAX_BATCH)
-    turns = 0
-    while len(bench.up) < 4 * MAX_BATCH:
+async def test_simultaneous_connects_are_accepted_in_batches() -> None:
+    """1,024 clients connect at the same instant.
+
+    With one accept per loop iteration, their wait grew with the square of their number, since each
+    iteration also serves all connections accepted before."""
+    harness = AcceptorHarness()
+    harness.connect(4 * MAX_BATCH)
+    iterations = 0
+    while len(harness.transports) < 4 * MAX_BATCH:
         await asyncio.sleep(0)
-        turns += 1
-    assert turns < 100  # slices of 2 ms on a slow core; one for each connection would be 1,024
-    bench.close()
-    await until(lambda: bench.used == 0)
+        iterations += 1
+    # Batches of 2 ms on a slow core; with one accept per iteration it would be 1,024.
+    assert iterations < 100
+    harness.close()
+    await until(lambda: harness.open_count == 0)
 
 
 @on_loop
-async def test_connections_beyond_the_descriptors_wait_in_the_kernel() -> None:
+async def test_connections_beyond_the_descriptor_limit_wait_in_the_backlog() -> None:
     """Twelve clients connect to a gateway that has five descriptors.
 
-    Accepting the sixth would fail, or take the descriptor that an answer needs. It waits in the
-    kernel, and is accepted when one of the five has ended."""
-    bench = Bench(most=5)
-    bench.connect(12)
-    await until(lambda: len(bench.up) == 5)
-    while len(bench.up) < 12:
-        bench.up[len(bench.up) - 5].abort()
-        seen = len(bench.up)
-        await until(lambda seen=seen: len(bench.up) > seen)  # type: ignore[misc]
-    assert bench.worst == 5
-    bench.close()
-    await until(lambda: bench.used == 0)
+    Accepting the sixth would fail, or use the descriptor that an answer needs. It must wait in the
+    kernel's backlog until one of the five connections is closed."""
+    harness = AcceptorHarness(descriptor_limit=5)
+    harness.connect(12)
+    await until(lambda: len(harness.transports) == 5)
+    while len(harness.transports) < 12:
+        harness.transports[len(harness.transports) - 5].abort()
+        accepted = len(harness.transports)
+        await until(lambda accepted=accepted: len(harness.transports) > accepted)  # type: ignore[misc]
+    assert harness.max_open_count == 5
+    harness.close()
+    await until(lambda: harness.open_count == 0)
 
 
 class FailingListener:
-    """A listening socket whose accepts fail in a given way first."""
+    """A listening socket whose first accepts fail with the given errno values."""
 
     def __init__(self, listener: socket.socket, *errors: int) -> None:
-        self._listener, self._errors, self.asked = listener, list(errors), 0
+        self._listener, self._errors, self.accept_calls = listener, list(errors), 0
 
     def accept(self) -> tuple[socket.socket, Any]:
-        self.asked += 1
+        self.accept_calls += 1
         if self._errors:
             raise OSError(self._errors.pop(0), "injected")
         return self._listener.accept()
@@ -129,69 +130,68 @@
         self._listener.close()
 
 
-@pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
+@pytest.mark.parametrize("error_number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
 @on_loop
-async def test_failed_accepts_back_off_and_the_listener_recovers(number: int) -> None:
-    """Accepts fail four times for want of descriptors or memory, then they work.
-
-    The listener stays readable meanwhile: without a wait after each failure the loop would spin.
-    With an error that ended it, nobody would be served again."""
-    bench = Bench()
-    assert bench.acceptor._listener is not None
-    failing = FailingListener(bench.acceptor._listener, *[number] * 4)
-    bench.acceptor._listener = cast(Any, failing)
+async def test_failed_accepts_back_off_and_the_listener_recovers(error_number: int) -> None:
+    """Accepts fail four times for lack of descriptors or memory, then succeed.
+
+    The listener stays readable meanwhile: without a delay after each failure the loop would spin.
+    If the error stopped the acceptor, no client would be served again."""
+    harness = AcceptorHarness()
+    assert harness.acceptor._listener is not None
+    failing = FailingListener(harness.acceptor._listener, *[error_number] * 4)
+    harness.acceptor._listener = cast(Any, failing)
     began = time.monotonic()
-    bench.connect(3)
-    await until(lambda: len(bench.up) == 3)
-    assert (
-        failing.asked == 4 + 3 + 1
-    )  # four failures with a wait after each, three that worked, none left
+    harness.connect(3)
+    await until(lambda: len(harness.transports) == 3)
+    # Four failures, three successful accepts, one that finds the backlog empty.
+    assert failing.accept_calls == 4 + 3 + 1
     assert time.monotonic() - began > (1 + 2 + 4 + 8) * FIRST_DELAY_S / 2
-    bench.close()
-    await until(lambda: bench.used == 0)
+    harness.close()
+    await until(lambda: harness.open_count == 0)
 
 
 @on_loop
-async def test_an_aborted_connection_does_not_delay_the_next() -> None:
-    """Two clients go before they are accepted (ECONNABORTED); those behind them come at once."""
-    bench = Bench()
-    assert bench.acceptor._listener is not None
-    failing = FailingListener(bench.acceptor._listener, errno.ECONNABORTED, errno.ECONNABORTED)
-    bench.acceptor._listener = cast(Any, failing)
-    bench.connect(2)
-    await until(lambda: len(bench.up) == 2)
-    assert failing.asked == 2 + 2 + 1
-    bench.close()
+async def test_aborted_connections_do_not_delay_the_next_accepts() -> None:
+    """Two clients disconnect before accept (ECONNABORTED); the next ones are accepted at once."""
+    harness = AcceptorHarness()
+    assert harness.acceptor._listener is not None
+    failing = FailingListener(harness.acceptor._listener, errno.ECONNABORTED, errno.ECONNABORTED)
+    harness.acceptor._listener = cast(Any, failing)
+    harness.connect(2)
+    await until(lambda: len(harness.transports) == 2)
+    assert failing.accept_calls == 2 + 2 + 1
+    harness.close()
 
 
 @on_loop
-async def test_closing_the_listener_accepts_all_that_wait() -> None:
-    """The listener closes while more clients than one batch wait in the kernel with data sent.
+async def test_closing_the_listener_accepts_the_whole_backlog() -> None:
+    """The listener closes while more than one batch of clients with sent data is in the backlog.
 
-    A listener that closes resets what waits in it: whole requests would be lost."""
-    bench = Bench()
-    bench.connect(MAX_BATCH + 10)
-    for client in bench.clients:
+    Closing a listening socket resets the connections in its backlog: requests would be lost."""
+    harness = AcceptorHarness()
+    harness.connect(MAX_BATCH + 10)
+    for client in harness.clients:
         client.send(b"x")
-    bench.acceptor.close()
-    await until(lambda: len(bench.up) == MAX_BATCH + 10)
+    harness.acceptor.close()
+    await until(lambda: len(harness.transports) == MAX_BATCH + 10)
     loop = asyncio.get_running_loop()
-    assert {await loop.sock_recv(client, 10) for client in bench.clients} == {b"x"}
-    bench.close()
-    await until(lambda: bench.used == 0)
+    assert {await loop.sock_recv(client, 10) for client in harness.clients} == {b"x"}
+    harness.close()
+    await until(lambda: harness.open_count == 0)
 
 
 @given(st.lists(st.booleans(), max_size=60))
-def test_accept_backoff_doubles_is_bounded_and_resets(works: list[bool]) -> None:
-    backoff, run = AcceptBackoff(), 0
-    for worked in works:
-        if worked:
+def test_accept_backoff_doubles_is_bounded_and_resets(outcomes: list[bool]) -> None:
+    backoff, failures = AcceptBackoff(), 0
+    for succeeded in outcomes:
+        if succeeded:
             backoff.reset()
-            run = 0
+            failures = 0
         else:
-            assert backoff.next_delay_s() == min(MAX_DELAY_S, FIRST_DELAY_S * 2**run)
-            run += 1
+            assert backoff.next_delay_s() == min(MAX_DELAY_S, FIRST_DELAY_S * 2**failures)
+            failures += 1
 
 
-def test_the_last_accepts_empty_the_backlog() -> None:
-    assert acceptor.MAX_LAST_ACCEPTS >= acceptor.BACKLOG
+def test_accepts_on_close_cover_the_whole_backlog() -> None:
+    assert acceptor.MAX_ACCEPTS_ON_CLOSE >= acceptor.BACKLOG
--- a/tests/overload/test_turns.py
+++ b/tests/overload/test_turns.py
@@ -1,4 +1,4 @@
-"""Who gets a turn of the event loop, and what a rejection under pressure costs; on sockets."""
+"""Fairness between connections on the event loop, and the cost of rejections under pressure."""
 
 from __future__ import annotations
 
@@ -18,64 +18,64 @@
 async def test_pipelined_requests_do_not_hold_up_other_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One client sends 300 requests at once, another sends one.
+    """One client pipelines 300 requests, another client sends one.
 
-    All requests of one read used to be answered in one turn of the loop, and everyone else waited.
-    """
-    order: list[ClientConnection] = []
-    answer_one = ClientConnection.answer
+    When all requests of one read were answered in a single loop iteration, other clients had to
+    wait."""
+    answered_connections: list[ClientConnection] = []
+    original_answer = ClientConnection.answer
 
-    def note(self: ClientConnection, reply: Reply) -> None:
-        order.append(self)
-        answer_one(self, reply)
+    def record_answer(self: ClientConnection, reply: Reply) -> None:
+        answered_connections.append(self)
+        original_answer(self, reply)
 
-    monkeypatch.setattr(ClientConnection, "answer", note)
-    async with world(serve_ok) as w, w.client() as flood, w.client() as other:
-        for client in (flood, other):
+    monkeypatch.setattr(ClientConnection, "answer", record_answer)
+    async with world(serve_ok) as w, w.client() as pipelining_client, w.client() as other_client:
+        for client in (pipelining_client, other_client):
             assert (await client.ask("/no-such/k")).status == 400
-        first, second = order
-        order.clear()
+        pipelining_connection, other_connection = answered_connections
+        answered_connections.clear()
         for _ in range(300):
-            flood.send("/no-such/k")
-        other.send("/no-such/k")
-        assert (await other.receive()).status == 400
-        assert order.index(second) <= 8  # one in a turn
+            pipelining_client.send("/no-such/k")
+        other_client.send("/no-such/k")
+        assert (await other_client.receive()).status == 400
+        assert answered_connections.index(other_connection) <= 8  # one per loop iteration
         for _ in range(300):
-            assert (await flood.receive()).status == 400
-        assert order.count(first) == 300
+            assert (await pipelining_client.receive()).status == 400
+        assert answered_connections.count(pipelining_connection) == 300
 
 
 @on_loop
 async def test_rejections_under_pressure_are_cheap_and_counted_once() -> None:
-    """The queue is full, empty and full again; two requests come each time, one for the cheap path.
+    """The queue is full, empty and full again; of two requests each time, one takes the fast path.
 
-    Under pressure a rejection costs no parser, no decision and no host. It is counted once, tells
-    a Retry-After, and leaves the connection open."""
+    Under pressure a rejection must not use the parser, the balancer or a host. It must be counted
+    once, have a Retry-After header, and leave the connection open."""
     async with world(serve_ok) as w, w.client() as client:
         assert (await client.ask()).status == 200
         admission = w.gateway.server.admission
-        for pressed, cost_s, status in (
+        for under_pressure, cost_s, status in (
             (True, 1000.0, 503),
             (False, 0.001, 200),
             (True, 1000.0, 503),
         ):
-            admission.waiting = int(pressed)  # one that is not there, ahead of all
+            admission.waiting = int(under_pressure)  # a simulated request ahead of all others
             w.gateway.server.scheduler.scheduled = (
-                pressed  # an alarm of the module must not take it out
+                under_pressure  # the scheduler must not take it from the queue
             )
-            admission._queues[0].entries.extend([QueuedRequest(None, 0.0, 0.0)] * pressed)
+            admission._queues[0].entries.extend([QueuedRequest(None, 0.0, 0.0)] * under_pressure)
             admission._cost_s, admission._learned_s = cost_s, 1.0
-            before, refused = len(w.hosts[0].seen), admission.rejected
-            # The second says `Connection`, so the glance leaves it to the parser.
-            asked = (("/status-check/k", b"", None), ("/status-check/k", b"", "keep-alive"))
-            for path, body, more in asked:
-                got = await client.ask(path, body, Connection=more)
-                assert got.status == status
-                if pressed:
-                    assert 0.3 <= float(got.headers["retry-after"]) <= 0.6
-                    assert got.headers["connection"] == "keep-alive"
-            assert len(w.hosts[0].seen) - before == (0 if pressed else 2)
-            assert admission.rejected - refused == (2 if pressed else 0)
+            requests_before, rejected_before = len(w.hosts[0].seen), admission.rejected
+            # The second request has a Connection header, so the fast path leaves it to the parser.
+            requests = (("/status-check/k", b"", None), ("/status-check/k", b"", "keep-alive"))
+            for path, body, connection_header in requests:
+                response = await client.ask(path, body, Connection=connection_header)
+                assert response.status == status
+                if under_pressure:
+                    assert 0.3 <= float(response.headers["retry-after"]) <= 0.6
+                    assert response.headers["connection"] == "keep-alive"
+            assert len(w.hosts[0].seen) - requests_before == (0 if under_pressure else 2)
+            assert admission.rejected - rejected_before == (2 if under_pressure else 0)
             assert (await client.ask("/no-such/k")).status == 400
             assert (await client.ask("/up", method="GET")).status == 200
             admission.waiting, w.gateway.server.scheduler.scheduled = 0, False
@@ -84,53 +84,55 @@
 
 @on_loop
 async def test_a_short_client_deadline_is_judged_at_arrival() -> None:
-    """Half a second of work is ahead; one client waits 0.2 s for its answer, another 9 s.
+    """Half a second of work is queued; one client waits 0.2 s for its answer, another one 9 s.
 
-    Under pressure requests are judged by their head alone, and the client's own deadline was not
-    looked at there: it was rejected only at its turn, after its deadline."""
+    Under pressure, admission is decided from the head of a request. Without the client's own
+    deadline there, the request was rejected only when its turn came, after its deadline."""
     async with world(serve_ok) as w, w.client() as client:
         admission = w.gateway.server.admission
-        for wait, status in (("200", 503), ("9000", 200), ("200", 503)):
+        for wait_ms, status in (("200", 503), ("9000", 200), ("200", 503)):
             admission.waiting, admission._cost_s, admission._learned_s = 1, 0.5, 1.0
             admission._queues[0].entries.append(
                 QueuedRequest(None, 0.0, 0.0)
-            )  # half a second of work ahead
-            got = await client.ask(Request_Timeout_Ms=wait)
-            assert got.status == status
+            )  # half a second of queued work
+            response = await client.ask(Request_Timeout_Ms=wait_ms)
+            assert response.status == status
             admission.waiting = 0
             admission._queues[0].entries.clear()
 
 
 @pytest.mark.plain
 @on_loop
-async def test_turns_that_begin_nothing_do_not_multiply(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Twenty requests wait while the hosts have no room, so that turns of the queue begin nothing.
+async def test_slices_that_start_no_request_do_not_multiply(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Twenty requests wait while the hosts have no capacity, so that slices start no request.
 
-    Each such turn used to set a timer of its own, and each timer made another such turn."""
+    Each such slice set its own timer, and each timer caused another slice."""
     async with world(serve_ok) as w:
-        server, turns = w.gateway.server, list[float]()
-        held = True
-        monkeypatch.setattr(server.scheduler, "_holds", lambda: held)
-        monkeypatch.setattr(server.admission, "slice_ended", turns.append)
+        server, slice_ends = w.gateway.server, list[float]()
+        is_held = True
+        monkeypatch.setattr(server.scheduler, "_holds", lambda: is_held)
+        monkeypatch.setattr(server.admission, "slice_ended", slice_ends.append)
         clients = [await w.client().__aenter__() for _ in range(20)]
         for number, client in enumerate(clients):
             client.send()
             await until(lambda number=number: server.admission.waiting == number + 1)  # type: ignore[misc]
-        turns.clear()
-        await until(lambda: len(turns) > 10)
-        assert turns[10] - turns[0] > 5 * HOLD_S
-        held = False
+        slice_ends.clear()
+        await until(lambda: len(slice_ends) > 10)
+        assert slice_ends[10] - slice_ends[0] > 5 * HOLD_S
+        is_held = False
         assert {(await client.receive()).status for client in clients} == {200}
         for client in clients:
             await client.__aexit__()
 
 
 @on_loop
-async def test_an_aborted_connection_tells_its_client_at_once() -> None:
-    """The gateway ends a connection for another one.
+async def test_an_aborted_connection_is_closed_immediately() -> None:
+    """The gateway closes a connection to make room for another one.
 
-    The loop closes it a turn later: on a busy core requests came in that gap, and were lost with a
-    reset."""
+    The event loop closes the socket one iteration later. On a busy core, requests that arrived in
+    between were lost with a reset."""
     async with world(serve_ok) as w:
         loop = asyncio.get_running_loop()
         with socket.socket() as client:
@@ -140,4 +142,4 @@
             assert (await loop.sock_recv(client, 4096)).startswith(b"HTTP/1.1 200")
             (connection,) = w.gateway.server.connection_limit.connections()
             connection.abort()
-            assert client.recv(1) == b""  # with no turn of the loop in between
+            assert client.recv(1) == b""  # without a loop iteration in between
