--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -1,4 +1,4 @@
-"""A small driver for the balancer: settings, hosts and a clock, no network and no bench."""
+"""A driver that runs one balancer in tests, with a simulated clock and without a network."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 DEADLINE_US = 1_000_000
 
 
-def route(effect: Idempotency = Idempotency.IDEMPOTENT, **changes: Any) -> Route:
+def route(idempotency: Idempotency = Idempotency.IDEMPOTENT, **changes: Any) -> Route:
     values: dict[str, Any] = {
         "latency_objective_us": AIM_US,
         "deadline_us": DEADLINE_US,
         "deduplication_window_us": 2_000_000,
     }
     values.update(changes)
-    return Route(name="r", idempotency=effect, **values)
+    return Route(name="r", idempotency=idempotency, **values)
 
 
 def settings(*routes: Route, **changes: Any) -> Settings:
@@ -40,7 +40,7 @@
 
 
 class BalancerDriver:
-    """Feeds one balancer events, keeps its timers and remembers its actions."""
+    """Passes events to one balancer, fires its timers and records its actions."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
         self.log: list[Action] = []
         self.timers: list[tuple[int, int]] = []
         self.sends: dict[int, list[int]] = {}
-        self.next = 0
-        listed = [Endpoint(100 + i) for i in range(hosts)] if isinstance(hosts, int) else hosts
-        self.feed(EndpointUpdate(UpdateKind.CACHED, tuple(listed)))
+        self.last_request = 0
+        endpoints = [Endpoint(100 + i) for i in range(hosts)] if isinstance(hosts, int) else hosts
+        self.feed(EndpointUpdate(UpdateKind.CACHED, tuple(endpoints)))
 
     def feed(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
@@ -70,8 +70,8 @@
         return actions
 
     def pass_time(self, us: int) -> list[Action]:
-        """Let time pass and deliver the timers that fall due, each at its time."""
-        end, seen = self.now + us, len(self.log)
+        """Advance the clock and fire each timer when it is due."""
+        end, log_length = self.now + us, len(self.log)
         while True:
             due = min((t for t in self.timers if t[0] <= end), default=None)
             if due is None:
@@ -80,12 +80,12 @@
             self.now = max(self.now, due[0])
             self.feed(TimerFired(due[1]))
         self.now = end
-        return self.log[seen:]
+        return self.log[log_length:]
 
     def arrive(self, route: int = 0, give_up_us: int = DEADLINE_US, **more: Any) -> int:
-        self.next += 1
-        self.feed(RequestArrived(self.next, route, self.now + give_up_us, **more))
-        return self.next
+        self.last_request += 1
+        self.feed(RequestArrived(self.last_request, route, self.now + give_up_us, **more))
+        return self.last_request
 
     def done(
         self, request: int, outcome: Outcome, elapsed_us: int = 10_000, attempt: int | None = None
@@ -95,7 +95,7 @@
         return self.feed(AttemptFinished(request, number, outcome, elapsed_us, closed))
 
     def warm_up(self, count: int = 200, elapsed_us: int = 10_000, route: int = 0) -> None:
-        """Teach the balancer what a healthy day looks like."""
+        """Send and answer requests, so that the balancer learns latencies and payoffs."""
         for _ in range(count):
             request = self.arrive(route)
             self.pass_time(elapsed_us)
@@ -107,7 +107,7 @@
 
 
 def one_of_many(**changes: Any) -> Settings:
-    """Settings of one gateway of many on a large fleet, with a little of the traffic."""
+    """Return the settings of one of 400 gateways, which has a small share of the traffic."""
     return settings(**{"gateway_count": 400, "gateway_index": 100, **changes})
 
 
@@ -116,7 +116,7 @@
 
 
 def warm_gateway_of_200(hosts: int = 100) -> BalancerDriver:
-    """One gateway of 200 that share these hosts, warmed up: it has 2.5 / 200 permits at each."""
+    """Return a warmed-up gateway, one of 200 that share these hosts: 2.5 / 200 permits per host."""
     driver = BalancerDriver(one_of_many(gateway_count=200, gateway_index=0), three_zones(hosts))
     driver.warm_up(60)
     driver.pass_time(3_000_000)
@@ -124,7 +124,7 @@
 
 
 def burst_in_flight(driver: BalancerDriver) -> int:
-    """How many requests of a burst go out; they end after that."""
+    """Return how many requests of a burst are sent at once, then end them."""
     before = len(driver.sends)
     burst = [driver.arrive() for _ in range(8)]
     count = len(driver.sends) - before
@@ -137,7 +137,7 @@
 
 
 def gateway_of_40(number: int, hosts: tuple[Endpoint, ...]) -> Balancer:
-    """One of forty balancers, as the warming ones among its hosts start."""
+    """Return one of 40 balancers at the time at which its warming hosts start."""
     warming = {"warm_up_us": 10_000_000, "initial_capacity": 0.5, "overload_multiple": 3.0}
     balancer = Balancer(settings(gateway_count=40, gateway_index=number, **warming), number)
     balancer.routes[0].uncrowded_latency_us = 10_000.0
--- a/tests/balancing/test_attempts.py
+++ b/tests/balancing/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts from start to end."""
+"""Attempts: their start, their outcome, and the end of their request."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 
 
-def test_with_no_routes_all_requests_are_of_one_non_idempotent_route() -> None:
+def test_without_configured_routes_all_requests_are_non_idempotent() -> None:
     driver = BalancerDriver(Settings(), 3)
     request = driver.arrive()
     driver.done(request, Outcome.ERROR)
@@ -29,7 +29,7 @@
     assert driver.log[-1] == Fail(request)
 
 
-def test_events_of_finished_requests_change_nothing() -> None:
+def test_events_of_finished_requests_are_ignored() -> None:
     driver = BalancerDriver(settings(), 2)
     request = driver.arrive()
     driver.done(request, Outcome.SUCCESS)
@@ -41,12 +41,14 @@
     assert Reject(other) in driver.pass_time(1_000_000)
 
 
-def test_no_attempt_starts_after_the_final_answer() -> None:
+def test_no_attempt_starts_after_final_answer() -> None:
     driver = BalancerDriver(settings(), 1)
     request = driver.arrive()
     while request in driver.balancer.requests:
         driver.done(request, Outcome.ERROR)
         driver.pass_time(300_000)
-    ends = [a for a in driver.log if isinstance(a, Reject | Fail)]
-    assert len(ends) == 1
-    assert not any(isinstance(a, SendAttempt) for a in driver.log[driver.log.index(ends[0]) :])
+    final_answers = [a for a in driver.log if isinstance(a, Reject | Fail)]
+    assert len(final_answers) == 1
+    assert not any(
+        isinstance(a, SendAttempt) for a in driver.log[driver.log.index(final_answers[0]) :]
+    )
--- a/tests/balancing/test_hedging.py
+++ b/tests/balancing/test_hedging.py
@@ -1,4 +1,4 @@
-"""Second attempts."""
+"""Hedged attempts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 
-def test_a_hedge_is_sent_once_and_the_slower_attempt_is_cancelled() -> None:
+def test_hedge_is_sent_once_and_slower_attempt_is_cancelled() -> None:
     driver = BalancerDriver(settings(hedging_allowed=True), 4)
     for elapsed_us in range(4000, 6000, 20):
         driver.done(driver.arrive(), Outcome.SUCCESS, elapsed_us)
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize(
     "told", [settings(route(Idempotency.NON_IDEMPOTENT), hedging_allowed=True), settings(route())]
 )
-def test_no_hedge_of_non_idempotent_routes_or_where_hedging_is_not_allowed(told: Settings) -> None:
+def test_no_hedge_of_non_idempotent_route_or_without_permission(told: Settings) -> None:
     driver = BalancerDriver(told, 4)
     driver.warm_up(100, 5000)
     request = driver.arrive()
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""The share of arrivals that is admitted."""
+"""Load shedding."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 )
 
 
-def test_in_a_subset_failing_hosts_do_not_make_it_shed_load() -> None:
-    """With errors at most hosts 430 of 520 requests a second were rejected while 30 of 200 permits
-    were taken."""
+def test_gateway_with_subset_sheds_no_load_at_low_admitted_ratio() -> None:
+    """While most hosts returned errors, 430 of 520 requests per second were rejected although only
+    30 of 200 permits were taken."""
     driver = BalancerDriver(one_of_many(gateway_count=40, gateway_index=3), three_zones())
     driver.balancer.admitted_ratio = 0.1
     for _ in range(50):
@@ -32,8 +32,9 @@
         driver.pass_time(30_000)
 
 
-def test_a_gateway_whose_attempts_fail_sheds_load_and_recovers() -> None:
-    """When all hosts slowed down, all requests were sent and none was answered in time."""
+def test_admitted_ratio_falls_with_failures_and_recovers() -> None:
+    """When all hosts slowed down, all requests were sent instead of some being shed, and none was
+    answered in time."""
     balancer = BalancerDriver(settings(), 3).balancer
     host = balancer.candidates[0]
     for _ in range(20):
@@ -44,7 +45,7 @@
     assert balancer.admitted_ratio == 1.0
 
 
-def test_shed_requests_are_rejected_before_they_cost_work() -> None:
+def test_shed_request_is_rejected_without_attempt() -> None:
     driver = BalancerDriver(settings(), 3)
     driver.balancer.admitted_ratio = 0.0
     request = driver.arrive()
--- a/tests/balancing/test_overdue.py
+++ b/tests/balancing/test_overdue.py
@@ -1,4 +1,4 @@
-"""Attempts in flight for longer than the attempt timeout."""
+"""Overdue attempts: in flight for longer than the attempt timeout."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 )
 
 
-def test_a_silent_host_is_left_alone_before_its_attempts_time_out() -> None:
+def test_silent_host_gets_no_attempts_before_its_attempts_time_out() -> None:
     driver = BalancerDriver(settings(route(Idempotency.NON_IDEMPOTENT)), 3)
     driver.warm_up(100)
-    silent = 101
+    silent_host = 101
     for _ in range(200):
         request = driver.arrive()
         driver.pass_time(10_000)
-        if driver.sends[request] != [silent]:
+        if driver.sends[request] != [silent_host]:
             driver.done(request, Outcome.SUCCESS, 10_000)
-    late = list(driver.sends.values())[-150:]
-    assert sum(s == [silent] for s in late) <= 2
+    last_sends = list(driver.sends.values())[-150:]
+    assert sum(s == [silent_host] for s in last_sends) <= 2
--- a/tests/balancing/test_property.py
+++ b/tests/balancing/test_property.py
@@ -1,4 +1,4 @@
-"""Random legal histories against the independent checker, and the checker against broken rules."""
+"""The balancer in random valid event histories, and the independent checker with broken rules."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 WORK_US = 20_000
 TICK_US = 5_000
-ANSWER_SLACK_US = 2 * TICK_US  # after a deadline: timers and events are a tick late each
+ANSWER_SLACK_US = 2 * TICK_US  # after a deadline: a timer and an event may each be one tick late
 
 
-def routes(memory_us: int) -> tuple[Route, ...]:
+def routes(window_us: int) -> tuple[Route, ...]:
     base: dict[str, Any] = {
         "latency_objective_us": 200_000,
         "deadline_us": 600_000,
-        "deduplication_window_us": memory_us,
+        "deduplication_window_us": window_us,
     }
     return (
         Route("safe", Idempotency.IDEMPOTENT, priority_weight=2.0, **base),
@@ -60,22 +60,27 @@
 
 
 class World:
-    """Plays a legal, troubled history: hosts that err, hang, die, drain, restart; clients that
-    leave."""
+    """Simulates a valid event history with faults: hosts fail, hang, crash, drain and restart, and
+    clients disconnect."""
 
     def __init__(
-        self, seed: int, parallel: bool, memory_us: int, bad: float, told: Settings | None = None
+        self,
+        seed: int,
+        may_hedge: bool,
+        window_us: int,
+        fault_ratio: float,
+        told: Settings | None = None,
     ) -> None:
         self.rng = random.Random(seed)
-        self.bad = bad
+        self.fault_ratio = fault_ratio
         self.told = told or Settings(
-            routes=routes(memory_us),
+            routes=routes(window_us),
             gateway_count=self.rng.choice([1, 2, 3]),
             discovery_is_polled=self.rng.random() < 0.5,
             tenant_quotas_per_s=(40.0, 20.0),
             over_quota_weight=0.1,
             max_attempts=self.rng.choice([1, 2, 4]),
-            hedging_allowed=parallel,
+            hedging_allowed=may_hedge,
             cancellation_allowed=self.rng.random() < 0.8,
             retry_after_allowed=True,
             max_retry_after_us=500_000,
@@ -91,17 +96,17 @@
         self.due: list[tuple[int, int, Event]] = []
         self.count = 0
         self.next_request = 0
-        self.tries: dict[int, int] = {}
-        self.give_up: dict[int, int] = {}
+        self.attempt_counts: dict[int, int] = {}
+        self.deadlines: dict[int, int] = {}
         self.ended: set[int] = set()
-        self.out: set[tuple[int, int]] = set()
+        self.in_flight_attempts: set[tuple[int, int]] = set()
         self.hosts = [
             Endpoint(50 + i, zone=i % 2, cell=i % 4, machine_type=i % 2) for i in range(7)
         ]
         started = self.now - 500_000
         self.hosts[0] = self.hosts[0]._replace(started_us=started)
 
-    def later(self, delay_us: int, event: Event) -> None:
+    def schedule(self, delay_us: int, event: Event) -> None:
         self.count += 1
         self.due.append((self.now + max(delay_us, TICK_US), self.count, event))
 
@@ -111,9 +116,9 @@
             self.now += TICK_US
             events: list[Event] = []
             if tick < ticks - 250:
-                events += self.trouble()
+                events += self.endpoint_faults()
                 for _ in range(self.rng.choice([0, 0, 1, 1, 2])):
-                    events.append(self.arrival())
+                    events.append(self.next_arrival())
             ready = sorted(d for d in self.due if d[0] <= self.now)
             self.due = [d for d in self.due if d[0] > self.now]
             for _, _, event in ready:
@@ -121,40 +126,42 @@
             if events:
                 self.step(events)
             else:
-                self.checker.after(self.now, [])
-        assert self.give_up.keys() == self.ended
+                self.checker.check_actions(self.now, [])
+        assert self.deadlines.keys() == self.ended
         assert not self.balancer.requests and self.balancer.queued == 0
         assert all(s.in_flight == s.overdue == 0 for s in self.balancer.hosts.values())
 
-    def trouble(self) -> list[Event]:
-        roll = self.rng.random()
+    def endpoint_faults(self) -> list[Event]:
+        draw = self.rng.random()
         index = self.rng.randrange(len(self.hosts))
-        line = self.hosts[index]
-        if roll < 0.01:
+        endpoint = self.hosts[index]
+        if draw < 0.01:
             state = self.rng.choice(
                 [EndpointStatus.DRAINING, EndpointStatus.REMOVED, EndpointStatus.READY]
             )
-            fresh = line.status is not EndpointStatus.READY and state is EndpointStatus.READY
-            line = line._replace(status=state, started_us=self.now if fresh else line.started_us)
-            self.hosts[index] = line
-            return [EndpointUpdate(UpdateKind.INCREMENTAL, (line,))]
-        if roll < 0.015:
+            fresh = endpoint.status is not EndpointStatus.READY and state is EndpointStatus.READY
+            endpoint = endpoint._replace(
+                status=state, started_us=self.now if fresh else endpoint.started_us
+            )
+            self.hosts[index] = endpoint
+            return [EndpointUpdate(UpdateKind.INCREMENTAL, (endpoint,))]
+        if draw < 0.015:
             return [
                 EndpointUpdate(
                     UpdateKind.FULL,
                     tuple(s for s in self.hosts if s.status is not EndpointStatus.REMOVED),
                 )
             ]
-        return [EndpointUpdate(UpdateKind.FAILED)] if roll < 0.02 else []
+        return [EndpointUpdate(UpdateKind.FAILED)] if draw < 0.02 else []
 
-    def arrival(self) -> Event:
+    def next_arrival(self) -> Event:
         self.next_request += 1
         number, route = self.next_request, self.rng.randrange(len(self.told.routes))
         wait = max(1, int(self.told.routes[route].deadline_us * self.rng.choice([0.5, 1.0, 1.0])))
-        self.give_up[number] = self.now + wait
-        self.tries[number] = 0
+        self.deadlines[number] = self.now + wait
+        self.attempt_counts[number] = 0
         if self.rng.random() < 0.03:
-            self.later(self.rng.randrange(wait), ClientDisconnected(number))
+            self.schedule(self.rng.randrange(wait), ClientDisconnected(number))
         key = self.rng.choice([None, "a", "b", "c"])
         return RequestArrived(number, route, self.now + wait, key, tenant=self.rng.randrange(3))
 
@@ -164,9 +171,9 @@
                 return []
             self.ended.add(event.request)
         if isinstance(event, AttemptFinished):
-            if (event.request, event.attempt) not in self.out:
+            if (event.request, event.attempt) not in self.in_flight_attempts:
                 return []
-            self.out.discard((event.request, event.attempt))
+            self.in_flight_attempts.discard((event.request, event.attempt))
             closed = event.request in self.ended or event.outcome is Outcome.SUCCESS
             if closed:
                 self.ended.add(event.request)
@@ -174,34 +181,36 @@
         return [event]
 
     def step(self, events: list[Event]) -> None:
-        self.checker.before(self.now, events)
+        self.checker.record_events(self.now, events)
         actions = self.balancer.handle(self.now, events)
-        self.checker.after(self.now, actions)
+        self.checker.check_actions(self.now, actions)
         for action in actions:
             if isinstance(action, SetTimer):
-                self.later(action.delay_us, TimerFired(action.timer_id))
+                self.schedule(action.delay_us, TimerFired(action.timer_id))
             elif isinstance(action, SendAttempt):
                 self.sent(action)
             elif isinstance(action, CancelAttempt):
                 done = AttemptFinished(action.request, action.attempt, Outcome.CANCELLED, TICK_US)
-                self.later(TICK_US, done)
+                self.schedule(TICK_US, done)
             elif isinstance(action, Reject | Fail):
                 self.ended.add(action.request)
 
     def sent(self, action: SendAttempt) -> None:
-        number = self.tries[action.request]
-        self.tries[action.request] += 1
-        self.out.add((action.request, number))
-        left = self.give_up[action.request] - self.now
-        if self.rng.random() < self.bad:
+        number = self.attempt_counts[action.request]
+        self.attempt_counts[action.request] += 1
+        self.in_flight_attempts.add((action.request, number))
+        remaining_us = self.deadlines[action.request] - self.now
+        if self.rng.random() < self.fault_ratio:
             outcome: Outcome = self.rng.choice([o for o in Outcome if o is not Outcome.SUCCESS])
-            elapsed = left if outcome is Outcome.TIMEOUT else self.rng.randrange(TICK_US, 150_000)
+            elapsed = (
+                remaining_us if outcome is Outcome.TIMEOUT else self.rng.randrange(TICK_US, 150_000)
+            )
         else:
             outcome = Outcome.SUCCESS
             elapsed = int(self.rng.expovariate(1 / WORK_US)) + TICK_US
-        if elapsed >= left:
-            outcome, elapsed = Outcome.TIMEOUT, left
-        self.later(
+        if elapsed >= remaining_us:
+            outcome, elapsed = Outcome.TIMEOUT, remaining_us
+        self.schedule(
             max(1, elapsed), AttemptFinished(action.request, number, outcome, max(1, elapsed))
         )
 
@@ -246,7 +255,9 @@
     on_endpoint_update = endpoints.on_endpoint_update
 
     def keep_all(state: BalancerState, event: EndpointUpdate) -> None:
-        lines = tuple(line._replace(status=EndpointStatus.READY) for line in event.endpoints)
+        lines = tuple(
+            endpoint._replace(status=EndpointStatus.READY) for endpoint in event.endpoints
+        )
         on_endpoint_update(state, event._replace(endpoints=lines))
 
     monkeypatch.setattr(balancer, "on_endpoint_update", keep_all)
@@ -268,16 +279,16 @@
         (break_slow_start, "warm-up budget: "),
     ],
 )
-def test_the_checker_sees_each_broken_rule(
+def test_checker_detects_each_broken_rule(
     breaking: Callable[[pytest.MonkeyPatch], None], rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     breaking(monkeypatch)
     with pytest.raises(RuleBroken, match=f"^{rule}"):
         for seed in range(40):
-            World(seed, parallel=seed % 2 == 0, memory_us=60_000, bad=0.3).play(1000)
+            World(seed, may_hedge=seed % 2 == 0, window_us=60_000, fault_ratio=0.3).play(1000)
 
 
-def test_refusals_name_a_wait_only_where_told() -> None:
+def test_rejection_without_hosts_announces_no_retry_delay() -> None:
     balancer = Balancer(Settings(routes=routes(1)), 1)
     assert Reject(1) in balancer.handle(
         5, [RequestArrived(1, 0, 6), EndpointUpdate(UpdateKind.FULL, ())]
--- a/tests/balancing/test_rejection.py
+++ b/tests/balancing/test_rejection.py
@@ -1,11 +1,11 @@
-"""Reasons of rejections and the other counted decisions."""
+"""Reasons for rejections, and the other counted decisions."""
 
 from __future__ import annotations
 
 from quillroad.balancing.rejection import DecisionCounter, RejectionReason, count
 
 
-def test_the_values_are_the_counters_that_programs_read() -> None:
+def test_values_are_external_counter_names() -> None:
     assert {reason.value for reason in RejectionReason} == {
         "refused_late",
         "refused_share",
@@ -18,7 +18,7 @@
     assert {counter.value for counter in DecisionCounter} == {"copies", "ejections"}
 
 
-def test_counters_are_plain_texts_and_hold_what_happened_only() -> None:
+def test_counters_have_plain_str_keys_and_no_zero_entries() -> None:
     counters: dict[str, int] = {}
     for reason in (RejectionReason.NO_RETRY, DecisionCounter.HEDGES, RejectionReason.NO_RETRY):
         count(counters, reason)
--- a/tests/balancing/test_retry.py
+++ b/tests/balancing/test_retry.py
@@ -36,7 +36,7 @@
     assert waits[0] * 1.2 < waits[2]
 
 
-def test_retries_end_with_the_budget_when_every_host_fails() -> None:
+def test_retries_are_limited_by_budget_when_all_hosts_fail() -> None:
     driver = BalancerDriver(settings(), 5)
     for _ in range(400):
         request = driver.arrive()
@@ -44,7 +44,7 @@
             if len(driver.sends.get(request, [])) and request in driver.balancer.requests:
                 driver.done(request, Outcome.ERROR, 1000)
             driver.pass_time(10_000)
-    for request in list(driver.balancer.requests):  # sent again after the last look at it
+    for request in list(driver.balancer.requests):  # retried after the last check above
         driver.done(request, Outcome.ERROR, 1000)
     attempts = sum(map(len, driver.sends.values()))
     driver.pass_time(2_000_000)
@@ -54,8 +54,8 @@
     assert attempts <= len(driver.sends) * (1 + TOKENS_EARNED) + 2
 
 
-def test_a_non_idempotent_request_is_retried_only_when_it_never_ran() -> None:
-    for outcome, again in [
+def test_non_idempotent_request_is_retried_only_if_it_never_ran() -> None:
+    for outcome, is_retried in [
         (Outcome.REJECTED, True),
         (Outcome.CONNECT_FAILED, True),
         (Outcome.ERROR, False),
@@ -66,11 +66,11 @@
         request = driver.arrive()
         driver.done(request, outcome, 1000)
         driver.pass_time(100_000)
-        assert len(driver.sends[request]) == (2 if again else 1)
-        assert (Fail(request) in driver.log) is not again
+        assert len(driver.sends[request]) == (2 if is_retried else 1)
+        assert (Fail(request) in driver.log) is not is_retried
 
 
-def test_a_keyed_request_stays_in_its_deduplication_scope_and_window() -> None:
+def test_keyed_request_stays_in_deduplication_scope_and_window() -> None:
     hosts = [Endpoint(100 + i, cell=i % 2) for i in range(6)]
     keyed = route(
         Idempotency.KEYED,
@@ -91,13 +91,13 @@
     assert len(driver.sends[request]) == 2
 
 
-def test_lost_answers_do_not_use_up_the_retry_budget_of_idle_hosts() -> None:
-    """While a quarter of the answers got lost, 26 requests a second were refused for want of
-    tokens."""
+def test_retry_budget_is_enough_for_a_quarter_of_lost_answers() -> None:
+    """While a quarter of the answers got lost, 26 requests per second were rejected because the
+    retry budget had no tokens left."""
     driver = BalancerDriver(settings(), 9)
     driver.warm_up(200)
     for number in range(1000):
-        driver.balancer.admitted_ratio = 1.0  # load shedding is not what is tested
+        driver.balancer.admitted_ratio = 1.0  # disable load shedding
         request = driver.arrive()
         if number % 4 == 0:
             assert not any(
@@ -108,8 +108,8 @@
             driver.done(request, Outcome.SUCCESS)
 
 
-def test_many_small_retry_budgets_hold_no_storm() -> None:
-    """441 gateways with full retry budgets sent 981 attempts at one full host of two within 5 s."""
+def test_retry_budget_of_gateway_with_little_traffic_stays_small() -> None:
+    """441 gateways with full retry budgets sent 981 attempts to one full host of two within 5 s."""
     driver = BalancerDriver(one_of_many(), three_zones())
     for _ in range(50):
         request = driver.arrive()
--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -1,4 +1,4 @@
-"""Which host an attempt goes to."""
+"""Host selection."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 
-def test_a_better_payoff_wins_and_the_other_host_is_still_explored() -> None:
+def test_host_with_better_payoff_is_preferred_and_the_other_explored() -> None:
     driver = BalancerDriver(settings(), 2)
     driver.warm_up(50)
     good, bad = driver.balancer.candidates
@@ -32,9 +32,9 @@
     assert 3 <= counts[bad.endpoint.id] <= 40
 
 
-def test_in_a_subset_hosts_of_a_slow_machine_type_are_drawn_less() -> None:
-    """At even parts the hosts of a slow machine type were overloaded while those of a fast one
-    idled."""
+def test_hosts_of_slow_machine_type_are_picked_less_in_a_subset() -> None:
+    """With equal shares the hosts of a slow machine type were overloaded while those of a fast one
+    were idle."""
     driver = BalancerDriver(
         one_of_many(), [s._replace(machine_type=s.id % 2) for s in three_zones()]
     )
@@ -45,26 +45,26 @@
             driver.done(
                 request, Outcome.SUCCESS, 90_000 if driver.sends[request][0] % 2 else 10_000
             )
-    late = Counter(sent[0] % 2 for sent in list(driver.sends.values())[-100:])
-    assert late[1] < late[0] / 2
+    last_sends = Counter(sent[0] % 2 for sent in list(driver.sends.values())[-100:])
+    assert last_sends[1] < last_sends[0] / 2
 
 
-def test_a_remote_host_is_scored_less_by_the_price_of_crossing_zones() -> None:
+def test_cross_zone_cost_lowers_score_of_remote_host() -> None:
     driver = BalancerDriver(one_of_many(cross_zone_cost=0.1), three_zones())
-    here, there = (
+    local, remote = (
         next(s for s in driver.balancer.candidates if s.endpoint.zone == z) for z in (0, 1)
     )
-    assert score(driver.balancer, here) > score(driver.balancer, there)
-    here.payoff, here.heard_us = 0.3, driver.now
-    assert score(driver.balancer, here) < score(driver.balancer, there)
+    assert score(driver.balancer, local) > score(driver.balancer, remote)
+    local.payoff, local.heard_us = 0.3, driver.now
+    assert score(driver.balancer, local) < score(driver.balancer, remote)
 
 
-def test_no_host_of_a_zone_in_which_all_are_ejected_is_picked() -> None:
-    """Where one zone is ejected as a whole its hosts are not taken for healthy: the other zone
-    serves."""
-    here = [Endpoint(i, zone=0) for i in range(1, 4)]
-    there = [Endpoint(i, zone=1) for i in range(11, 14)]
-    driver = BalancerDriver(settings(route(Idempotency.NON_IDEMPOTENT)), here + there)
+def test_no_host_is_picked_in_a_zone_whose_hosts_are_all_ejected() -> None:
+    """If all hosts of one zone are ejected they do not count as healthy, and the other zone gets
+    the requests."""
+    local = [Endpoint(i, zone=0) for i in range(1, 4)]
+    remote = [Endpoint(i, zone=1) for i in range(11, 14)]
+    driver = BalancerDriver(settings(route(Idempotency.NON_IDEMPOTENT)), local + remote)
     driver.warm_up(60)
     for s in driver.balancer.hosts.values():
         if s.endpoint.zone == 0:
--- a/tests/balancing/test_simulator.py
+++ b/tests/balancing/test_simulator.py
@@ -1,4 +1,4 @@
-"""The wire, through the real process."""
+"""The simulator's protocol, spoken with a real process."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     ],
     "limits": {"attempts_cap": 3, "cancelling": True},
 }
-START = ["provision", 5, PROFILE]
-LISTED = [["ledger", 0, [[51, None, 0, 0, 1, 1, 0], [52]]], ["endpoints", 0, 1, 1]]
+START_MESSAGE = ["provision", 5, PROFILE]
+ENDPOINT_MESSAGES = [["ledger", 0, [[51, None, 0, 0, 1, 1, 0], [52]]], ["endpoints", 0, 1, 1]]
 
 
 def batch(moment: int, *news: list[Any], gateway: int = 0) -> str:
@@ -41,13 +41,13 @@
     return done.returncode, [json.loads(line) for line in done.stdout.splitlines()], done.stderr
 
 
-def test_round_trip_and_end_of_input() -> None:
+def test_process_answers_batches_until_end_of_input() -> None:
     status, replies, errors = run(
         '{"moment":1,"parts":[]}',
-        batch(1000, START, *LISTED),
+        batch(1000, START_MESSAGE, *ENDPOINT_MESSAGES),
         batch(2000, ["job_in", 9, 0, 500000, 0, None]),
         batch(3000, ["verdict", 9, 51, True, "success", 0, 900]),
-        batch(4000, ["detach"], START, *LISTED),
+        batch(4000, ["detach"], START_MESSAGE, *ENDPOINT_MESSAGES),
     )
     assert (status, errors) == (0, "")
     assert replies[0] == {"parts": []}
@@ -56,8 +56,8 @@
     assert replies[3] == {"parts": []}
 
 
-def test_bad_lines_end_with_one_plain_line_and_status_2() -> None:
-    start = batch(1000, START, *LISTED)
+def test_invalid_line_ends_process_with_one_error_line_and_status_2() -> None:
+    start = batch(1000, START_MESSAGE, *ENDPOINT_MESSAGES)
     for bad in [
         "{",
         "[]",
@@ -86,9 +86,9 @@
 
 
 class BrokenBalancer:
-    """Fails at each call, as a balancer with a fault would.
+    """A balancer whose `handle` always raises an exception.
 
-    It stands in for a whole balancer: a method of a compiled one cannot be replaced.
+    It replaces the whole balancer, because a method of a compiled class cannot be replaced.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -98,32 +98,32 @@
         raise KeyError("broken")
 
 
-def test_a_fault_of_one_instance_is_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
-    host = SimulatedGateways()
-    host.reply(json.loads(batch(1000, START, *LISTED)))
-    host.reply(json.loads(batch(1000, START, *LISTED, gateway=1)))
-    monkeypatch.setitem(host.balancers, 0, BrokenBalancer(host.balancers[0].settings))
+def test_fault_of_one_balancer_does_not_affect_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    gateways = SimulatedGateways()
+    gateways.reply(json.loads(batch(1000, START_MESSAGE, *ENDPOINT_MESSAGES)))
+    gateways.reply(json.loads(batch(1000, START_MESSAGE, *ENDPOINT_MESSAGES, gateway=1)))
+    monkeypatch.setitem(gateways.balancers, 0, BrokenBalancer(gateways.balancers[0].settings))
     news = [["job_in", 9, 0, 500000]]
     parts = [{"gateway": g, "news": news} for g in (0, 1)]
-    reply = host.reply({"moment": 2000, "parts": parts})
+    reply = gateways.reply({"moment": 2000, "parts": parts})
     assert reply["parts"][0]["decisions"][0][0] == "bug"
     assert reply["parts"][1]["decisions"][0][:2] == ["route", 9]
 
 
-def test_class_and_tenant_0_are_legal_where_none_are_told() -> None:
+def test_route_0_and_tenant_0_are_valid_without_configured_ones() -> None:
     bare = {key: value for key, value in PROFILE.items() if key != "lanes"}
     status, replies, errors = run(
-        batch(1000, ["provision", 5, bare], *LISTED),
+        batch(1000, ["provision", 5, bare], *ENDPOINT_MESSAGES),
         batch(2000, ["job_in", 9, 0, 500000, 0, None, None, 0]),
     )
     assert (status, errors) == (0, "")
     assert replies[1]["parts"][0]["decisions"][0][:2] == ["route", 9]
 
 
-def test_two_groupings_of_the_same_events_act_alike() -> None:
+def test_decisions_do_not_depend_on_grouping_of_gateways_in_batches() -> None:
     def news(moment: int) -> list[list[Any]]:
         if moment == 1000:
-            return [START, *LISTED]
+            return [START_MESSAGE, *ENDPOINT_MESSAGES]
         return [["job_in", moment + k, 0, moment + 400000] for k in range(3)]
 
     moments = range(1000, 30000, 1000)
@@ -134,5 +134,5 @@
     _, together, _ = run(*joined)
     for g in (0, 1):
         _, alone, _ = run(*[batch(m, *news(m), gateway=g) for m in moments])
-        mine = [[p for p in reply["parts"] if p["gateway"] == g] for reply in together]
-        assert mine == [reply["parts"] for reply in alone]
+        own_parts = [[p for p in reply["parts"] if p["gateway"] == g] for reply in together]
+        assert own_parts == [reply["parts"] for reply in alone]
--- a/tests/balancing/test_timers.py
+++ b/tests/balancing/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers: what they are for, and what follows when they fire."""
+"""Timers: their stored values, and what happens when they fire."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.balancing.helpers import BalancerDriver, settings
 
 
-def test_the_values_are_those_of_stored_snapshots() -> None:
-    """A gateway takes over the timers of the version before it: a renamed value would lose them."""
+def test_timer_purposes_keep_their_stored_values() -> None:
+    """A new version adopts the stored timers of the old one; a renamed value would lose them."""
     assert {purpose.value for purpose in TimerPurpose} == {
         "hedge",
         "shed",
@@ -21,7 +21,7 @@
     }
 
 
-def test_a_time_in_the_past_is_now() -> None:
+def test_negative_delay_counts_as_zero() -> None:
     driver = BalancerDriver(settings())
     driver.balancer.actions = []
     set_timer(driver.balancer, -5.0, TimerPurpose.RESUME_QUEUE)
@@ -32,20 +32,20 @@
     )
 
 
-def test_a_timer_that_nobody_set_changes_nothing() -> None:
+def test_unknown_timer_is_ignored() -> None:
     driver = BalancerDriver(settings())
     assert driver.feed(TimerFired(999)) == []
 
 
 @pytest.mark.parametrize("purpose", TimerPurpose)
-def test_every_timer_may_fire_after_its_request_has_ended(purpose: TimerPurpose) -> None:
-    """Requests end while their timers are set: none of them may start an attempt or answer
+def test_timer_of_ended_request_is_ignored(purpose: TimerPurpose) -> None:
+    """A request can end while its timers are set. They must not start an attempt or answer it
     again.
     """
     driver = BalancerDriver(settings(hedging_allowed=True))
     request = driver.arrive()
-    ended = driver.balancer.requests[request]
+    ended_request = driver.balancer.requests[request]
     driver.done(request, Outcome.SUCCESS)
-    driver.balancer.timers[7_000] = Timer(purpose, ended)
+    driver.balancer.timers[7_000] = Timer(purpose, ended_request)
     assert driver.feed(TimerFired(7_000)) == []
     assert 7_000 not in driver.balancer.timers
--- a/tests/balancing/test_token_bucket.py
+++ b/tests/balancing/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The capped token bucket."""
+"""The token bucket."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from quillroad.balancing.token_bucket import TokenBucket
 
 
-def test_bucket_is_capped_and_spends_whole_tokens() -> None:
+def test_bucket_has_capacity_and_spends_whole_tokens() -> None:
     bucket = TokenBucket(5.0)
     while bucket.spend():
         pass
