--- a/quillroad/balancing/admission.py
+++ b/quillroad/balancing/admission.py
@@ -17,7 +17,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from quillroad.balancing.attempts import place
+from quillroad.balancing.attempts import try_send
 from quillroad.balancing.events import RequestArrived
 from quillroad.balancing.final_answer import finish
 from quillroad.balancing.load_shedding import is_shed
@@ -65,5 +65,5 @@
         finish(state, request, RejectionReason.OBJECTIVE_LOST)
     elif is_shed(state):
         finish(state, request, RejectionReason.LOAD_SHED)
-    elif state.queued or not place(state, request):
+    elif state.queued or not try_send(state, request):
         enqueue(state, request)
--- a/quillroad/balancing/attempts.py
+++ b/quillroad/balancing/attempts.py
@@ -25,7 +25,7 @@
     from quillroad.balancing.state import BalancerState, HostState, Request
 
 
-def place(state: BalancerState, request: Request) -> bool:
+def try_send(state: BalancerState, request: Request) -> bool:
     """Start an attempt if a host has a free permit; return whether one was started."""
     request.route.cross_zone_denied = False
     host = pick(state, request)
@@ -111,7 +111,7 @@
     If no host has a free permit the request backs off again. It is not queued, because a retry may
     be limited to certain hosts and would block requests behind it that may go to any host.
     """
-    if request.closed or place(state, request):
+    if request.closed or try_send(state, request):
         return
     reason = back_off(state, request)
     if reason is not None:
--- a/quillroad/balancing/request_queue.py
+++ b/quillroad/balancing/request_queue.py
@@ -18,11 +18,11 @@
 
 from typing import TYPE_CHECKING
 
-from quillroad.balancing.attempts import place
+from quillroad.balancing.attempts import try_send
 from quillroad.balancing.final_answer import finish
 from quillroad.balancing.rejection import RejectionReason
 from quillroad.balancing.timers import TimerPurpose, set_timer
-from quillroad.balancing.zone_awareness import is_out_of_reach
+from quillroad.balancing.zone_awareness import is_unreachable_in_time
 
 if TYPE_CHECKING:
     from quillroad.balancing.state import BalancerState, Request, RouteState
@@ -36,7 +36,7 @@
 
 def enqueue(state: BalancerState, request: Request) -> None:
     """Queue a request, or reject it if it would wait too long or no host can be reached."""
-    if is_out_of_reach(state, request):
+    if is_unreachable_in_time(state, request):
         finish(state, request, RejectionReason.NO_ZONE_REACHABLE)
         return
     route = request.route
@@ -92,7 +92,7 @@
     for _, queue in sorted(queues, key=lambda ranked: ranked[0]):
         while queue:
             if not queue[0].closed:
-                if not place(state, queue[0]):
+                if not try_send(state, queue[0]):
                     break
                 interval_us = state.now_us - state.queue_sent_us
                 state.queue_interval_us += (
--- a/quillroad/balancing/zone_awareness.py
+++ b/quillroad/balancing/zone_awareness.py
@@ -78,7 +78,7 @@
     _log(state, budget.update_local_zone(state.now_us, healthy, len(local_hosts)))
 
 
-def is_out_of_reach(state: BalancerState, request: Request) -> bool:
+def is_unreachable_in_time(state: BalancerState, request: Request) -> bool:
     """Whether no local host is healthy and no cross-zone budget becomes available in time.
 
     Such a request is rejected at once: in the queue it would delay others and still not be sent.
--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -23,14 +23,14 @@
 DEADLINE_US = 1_000_000
 
 
-def route(idempotency: Idempotency = Idempotency.IDEMPOTENT, **changes: Any) -> Route:
+def route(route_idempotency: Idempotency = Idempotency.IDEMPOTENT, **changes: Any) -> Route:
     values: dict[str, Any] = {
         "latency_objective_us": AIM_US,
         "deadline_us": DEADLINE_US,
         "deduplication_window_us": 2_000_000,
     }
     values.update(changes)
-    return Route(name="r", idempotency=idempotency, **values)
+    return Route(name="r", idempotency=route_idempotency, **values)
 
 
 def settings(*routes: Route, **changes: Any) -> Settings:
--- a/tests/balancing/rulecheck.py
+++ b/tests/balancing/rulecheck.py
@@ -85,13 +85,13 @@
     def _update_endpoints(self, now_us: int, event: EndpointUpdate) -> None:
         if event.kind is UpdateKind.FAILED:
             return
-        listed = {endpoint.id: endpoint for endpoint in event.endpoints}
+        listed = {listed_endpoint.id: listed_endpoint for listed_endpoint in event.endpoints}
         if event.kind is not UpdateKind.INCREMENTAL:
             for removed_id in set(self.endpoints_by_id) - set(listed):
                 self.not_ready_since_us.setdefault(removed_id, now_us)
-        for number, endpoint in listed.items():
-            self.endpoints_by_id[number] = endpoint
-            if endpoint.status is EndpointStatus.READY:
+        for number, listed_endpoint in listed.items():
+            self.endpoints_by_id[number] = listed_endpoint
+            if listed_endpoint.status is EndpointStatus.READY:
                 self.not_ready_since_us.pop(number, None)
             else:
                 self.not_ready_since_us.setdefault(number, now_us)
