--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -23,7 +23,7 @@
 from quillroad.balancing.endpoint import Endpoint, EndpointStatus
 from quillroad.balancing.events import EndpointUpdate, Event, SiblingAttempts, UpdateKind
 from quillroad.balancing.platform_settings import read_settings
-from quillroad.balancing.simulator import READERS, WRITERS
+from quillroad.balancing.simulator import ACTION_ENCODERS, EVENT_DECODERS
 
 # Of the balancer, as the platform gives them; times in microseconds.
 ROUTES: list[dict[str, Any]] = [
@@ -104,7 +104,7 @@
 
 def wire_form(action: Action) -> list[Any]:
     """The action as the simulator's wire has it: its name, then its values."""
-    return WRITERS[type(action)](action)
+    return ACTION_ENCODERS[type(action)](action)
 
 
 def hidden_deadline_us(action: Action) -> int:
@@ -169,7 +169,7 @@
 
     def _schedule_message(self, delay_us: int, *message: Any) -> None:
         """Schedule an event by its wire form: the protocol's word, then its values."""
-        self._schedule(delay_us, READERS[message[0]](list(message)))
+        self._schedule(delay_us, EVENT_DECODERS[message[0]](list(message)))
 
     # The balancer.
 
@@ -227,7 +227,7 @@
         tenant = self._random.randrange(-1, 3)
         marks = RETRY_MARK * (self._random.random() < RETRY_PROBABILITY)
         arrival = ["job_in", request, route, deadline_us, marks, None, None, tenant]
-        self._feed(READERS["job_in"](arrival))
+        self._feed(EVENT_DECODERS["job_in"](arrival))
 
     def _maybe_disconnect(self, request: int) -> None:
         """The client may leave before it has its answer, or just after."""
--- a/bench/disciplines.py
+++ b/bench/disciplines.py
@@ -74,7 +74,7 @@
         """The item of the request to begin next; None: none waits."""
         return self.queue.popleft().item if self.queue else None
 
-    def is_hopeless(self, now: float, since: float, wait_s: float, route: int) -> bool:
+    def cannot_meet_deadline(self, now: float, since: float, wait_s: float, route: int) -> bool:
         """Whether to give up a request whose turn has come: here, past its client's wait."""
         return now >= since + wait_s
 
@@ -110,9 +110,11 @@
         self._drops = 0  # in this phase of dropping; sets its rate
         self._next_drop = 0.0
 
-    def is_hopeless(self, now: float, since: float, wait_s: float, route: int) -> bool:
+    def cannot_meet_deadline(self, now: float, since: float, wait_s: float, route: int) -> bool:
         """Whether the request is past its client's wait, or is dropped by the control law."""
-        return super().is_hopeless(now, since, wait_s, route) or self._drops_next(now, now - since)
+        return super().cannot_meet_deadline(now, since, wait_s, route) or self._drops_next(
+            now, now - since
+        )
 
     def _drops_next(self, now: float, sojourn_s: float) -> bool:
         """Whether to give up the request whose turn has come after `sojourn_s` in the queue."""
@@ -166,7 +168,7 @@
             return None
         return (self.queue.pop() if self._overloaded else self.queue.popleft()).item
 
-    def is_hopeless(self, now: float, since: float, wait_s: float, route: int) -> bool:
+    def cannot_meet_deadline(self, now: float, since: float, wait_s: float, route: int) -> bool:
         """Whether the request has waited for over the target under overload, else the interval."""
         return now - since > (self.target_s if self._overloaded else self.interval_s)
 
@@ -197,7 +199,7 @@
             return None
         return min(occupied, key=lambda queue: queue[0].useful_until).popleft().item
 
-    def is_hopeless(self, now: float, since: float, wait_s: float, route: int) -> bool:
+    def cannot_meet_deadline(self, now: float, since: float, wait_s: float, route: int) -> bool:
         """Whether too little of the route's objective is left to answer within it."""
         return now >= since + self.OBJECTIVE_FRACTION * self.routes[route].useful_s
 
@@ -244,11 +246,11 @@
         self._admitted += 1
         return True
 
-    def is_hopeless(self, now: float, since: float, wait_s: float, route: int) -> bool:
+    def cannot_meet_deadline(self, now: float, since: float, wait_s: float, route: int) -> bool:
         """Note the wait; whether the request is past its client's wait."""
         self._begun += 1
         self._waited_s += now - since
-        return super().is_hopeless(now, since, wait_s, route)
+        return super().cannot_meet_deadline(now, since, wait_s, route)
 
     def slice_ended(self, now: float) -> None:
         """Move the cut at the end of a window."""
@@ -299,7 +301,7 @@
         """Whether there are credits for so many in flight."""
         return in_flight <= self._credits
 
-    def is_hopeless(self, now: float, since: float, wait_s: float, route: int) -> bool:
+    def cannot_meet_deadline(self, now: float, since: float, wait_s: float, route: int) -> bool:
         """Move the credits by the wait; whether it is over twice the target."""
         if now - self._updated_at > self.UPDATE_S:
             self._updated_at = now
--- a/quillroad/balancing/admission.py
+++ b/quillroad/balancing/admission.py
@@ -45,7 +45,7 @@
     """Send, queue or reject an arriving request."""
     route = state.routes[event.route]
     remaining_us = event.deadline_us - state.now_us
-    decay_exponent = (state.recent_counted_us - state.now_us) / state.memory_us
+    decay_exponent = (state.recent_counted_us - state.now_us) / state.decay_time_us
     state.recent_requests = 1.0 + state.recent_requests * math.exp(decay_exponent)
     state.recent_counted_us = state.now_us
     route.client_wait_us += (remaining_us - route.client_wait_us) * (
--- a/quillroad/balancing/endpoints.py
+++ b/quillroad/balancing/endpoints.py
@@ -61,12 +61,12 @@
 
 
 def refresh_candidates(state: BalancerState) -> None:
-    """Recompute `candidates`, `warming` and `all_local` from the hosts, as of `state.now_us`."""
+    """Recompute `candidates`, `warming` and `all_hosts_local` as of `state.now_us`."""
     ready = [host for host in state.hosts.values() if host.endpoint.status is EndpointStatus.READY]
     state.candidates = sorted(ready, key=lambda host: host.ring_position)
     state.warming = [host for host in state.candidates if is_warming(state, host)]
     zone = state.settings.zone
-    state.all_local = all(host.endpoint.zone == zone for host in state.hosts.values())
+    state.all_hosts_local = all(host.endpoint.zone == zone for host in state.hosts.values())
 
 
 def watch_endpoints(state: BalancerState) -> None:
--- a/quillroad/balancing/learning.py
+++ b/quillroad/balancing/learning.py
@@ -14,7 +14,12 @@
 
 from quillroad.balancing.concurrency_limit import adjust_limit, keeps_permit
 from quillroad.balancing.events import AttemptFinished, Outcome
-from quillroad.balancing.outlier_detection import FAILURE_REST_US, blame, credit, rest
+from quillroad.balancing.outlier_detection import (
+    FAILURE_SUSPENSION_US,
+    record_failure,
+    record_outcome,
+    suspend_host,
+)
 from quillroad.balancing.slow_start import is_warming
 from quillroad.balancing.subsetting import (
     SLOW_ANSWER_RATIO,
@@ -80,12 +85,12 @@
     if request.long_body and outcome is Outcome.TIMEOUT:
         return  # the client read or sent the body slowly
     if state.concurrency_limit < 1.0 and outcome is not Outcome.TIMEOUT:
-        rest(state, attempt.host, FAILURE_REST_US)
+        suspend_host(state, attempt.host, FAILURE_SUSPENSION_US)
         if outcome is Outcome.REJECTED and shows_shared_load:
             on_rejected_by_host(state)
     if not attempt.overdue:
         # A failed connection shows that this host is down, not that the fleet is overloaded.
-        blame(state, attempt.host, outcome is not Outcome.CONNECT_FAILED)
+        record_failure(state, attempt.host, outcome is not Outcome.CONNECT_FAILED)
 
 
 def _learn_from_answer(
@@ -124,7 +129,7 @@
     # Without an objective the bound is the median, which half of all answers exceed: that is no
     # sign of overload or of an outlier. If it counted as one, such routes would shed load and eject
     # hosts under normal traffic.
-    credit(state, host, float(elapsed_us <= bound_us), objective_us is not None)
+    record_outcome(state, host, float(elapsed_us <= bound_us), objective_us is not None)
     return True
 
 
--- a/quillroad/balancing/outlier_detection.py
+++ b/quillroad/balancing/outlier_detection.py
@@ -44,9 +44,9 @@
 MAX_EJECTION_FACTOR = 4
 """Maximum duration of an ejection, as a multiple of the first: the recovery of a host must not
 stay undetected for longer."""
-FAILURE_REST_US = 250_000
+FAILURE_SUSPENSION_US = 250_000
 """Rest after a first fast failure, in a subset: the minimum time that a host needs to restart."""
-SILENCE_REST_US = 1_000_000
+SILENCE_SUSPENSION_US = 1_000_000
 """Rest after a first silent attempt, in a subset: each one holds a permit for an attempt
 timeout."""
 MAX_REST_DOUBLINGS = 5
@@ -55,7 +55,7 @@
 
 def freshness(state: BalancerState, host: HostState) -> float:
     """Return the weight of a host's payoff by its age: 1 after an outcome, decaying to 0."""
-    return math.exp(min(0, host.heard_us - state.now_us) / state.memory_us)
+    return math.exp(min(0, host.heard_us - state.now_us) / state.decay_time_us)
 
 
 def payoff(state: BalancerState, host: HostState) -> float:
@@ -63,7 +63,9 @@
     return state.mean_payoff + (host.payoff - state.mean_payoff) * freshness(state, host)
 
 
-def credit(state: BalancerState, host: HostState, reward: float, may_shed: bool = True) -> None:
+def record_outcome(
+    state: BalancerState, host: HostState, reward: float, may_shed: bool = True
+) -> None:
     """Update a host's payoff by one outcome: reward 1 if it met the objective, else 0.
 
     `may_shed`: the outcome may also lower the admitted share of load shedding.
@@ -77,9 +79,9 @@
     state.mean_payoff += (reward - state.mean_payoff) * PAYOFF_SMOOTHING
 
 
-def blame(state: BalancerState, host: HostState, may_shed: bool = True) -> None:
+def record_failure(state: BalancerState, host: HostState, may_shed: bool = True) -> None:
     """Record a failure of a host, and eject the host if its payoff is now too low."""
-    credit(state, host, 0.0, may_shed)
+    record_outcome(state, host, 0.0, may_shed)
     if host.payoff >= EJECTION_PAYOFF or host.ejected_until_us > state.now_us:
         return
     sharing_gateways = state.gateway_count * min(
@@ -99,7 +101,7 @@
     )
 
 
-def rest(state: BalancerState, host: HostState, first_rest_us: int) -> None:
+def suspend_host(state: BalancerState, host: HostState, first_rest_us: int) -> None:
     """Take a host of the subset out of rotation for a time, and count the failure.
 
     The time is `first_rest_us` after a first failure and doubles with each consecutive one.
--- a/quillroad/balancing/overdue.py
+++ b/quillroad/balancing/overdue.py
@@ -13,7 +13,11 @@
 from typing import TYPE_CHECKING
 
 from quillroad.balancing.concurrency_limit import is_crowded
-from quillroad.balancing.outlier_detection import SILENCE_REST_US, blame, rest
+from quillroad.balancing.outlier_detection import (
+    SILENCE_SUSPENSION_US,
+    record_failure,
+    suspend_host,
+)
 from quillroad.balancing.slow_start import is_warming
 from quillroad.balancing.subsetting import note_congestion
 
@@ -40,5 +44,5 @@
     if not attempt.permit_released and not is_warming(state, host):
         note_congestion(state, True)
     if state.concurrency_limit < 1.0 and host.is_silent():
-        rest(state, host, SILENCE_REST_US)
-    blame(state, host)
+        suspend_host(state, host, SILENCE_SUSPENSION_US)
+    record_failure(state, host)
--- a/quillroad/balancing/selection.py
+++ b/quillroad/balancing/selection.py
@@ -24,7 +24,7 @@
 from quillroad.balancing.outlier_detection import payoff
 from quillroad.balancing.send_gate import may_send
 from quillroad.balancing.slow_start import is_warming
-from quillroad.balancing.subsetting import is_out_of_permits, update_subset
+from quillroad.balancing.subsetting import must_not_start_attempt, update_subset
 from quillroad.balancing.workload_isolation import hosts_of_route
 from quillroad.balancing.zone_awareness import check_local_zone, is_remote
 
@@ -52,7 +52,7 @@
         # than crossing zones.
         fill = MAX_LOCAL_FILL_RATIO if budget is None else 1.0
         return _pick_better(state, request, hosts, hosts, fill)
-    if is_out_of_permits(state):
+    if must_not_start_attempt(state):
         return None
     # A gateway with a subset sees too few requests to estimate the share of long ones, so no hosts
     # are reserved for them.
@@ -74,7 +74,9 @@
     subset.
     """
     in_subset = preferred is not fallback
-    local = preferred if state.all_local else [h for h in preferred if not is_remote(state, h)]
+    local = (
+        preferred if state.all_hosts_local else [h for h in preferred if not is_remote(state, h)]
+    )
     pool = preferred if in_subset else local
     first = _draw(state, request, local, fill)
     if first is None and in_subset:
--- a/quillroad/balancing/simulator.py
+++ b/quillroad/balancing/simulator.py
@@ -49,9 +49,9 @@
     "void": Outcome.NOT_SENT,
 }
 """Outcomes by their names in the protocol."""
-STATES = {state.value: state for state in EndpointStatus}
+ENDPOINT_STATUSES = {state.value: state for state in EndpointStatus}
 """Endpoint statuses by their numbers in the protocol."""
-LIST_KINDS = {kind.value: kind for kind in UpdateKind}
+UPDATE_KINDS = {kind.value: kind for kind in UpdateKind}
 """Kinds of endpoint updates by their numbers in the protocol."""
 
 
@@ -86,7 +86,7 @@
         cell=_value_or_default(entry, 2, 0),
         machine_type=_value_or_default(entry, 3, 0),
         weight=_value_or_default(entry, 4, 1.0),
-        status=STATES[_value_or_default(entry, 5, 1)],
+        status=ENDPOINT_STATUSES[_value_or_default(entry, 5, 1)],
         zone=_value_or_default(entry, 6, 0),
     )
 
@@ -104,7 +104,7 @@
     )
 
 
-READERS: dict[str, Callable[[list[Any]], Event]] = {
+EVENT_DECODERS: dict[str, Callable[[list[Any]], Event]] = {
     "job_in": _arrived,
     "verdict": lambda m: AttemptFinished(
         _require_int(m[1]),
@@ -125,7 +125,7 @@
 }
 """Functions that convert a message into an event, by the message's name in the protocol."""
 
-WRITERS: dict[type, Callable[[Any], list[Any]]] = {
+ACTION_ENCODERS: dict[type, Callable[[Any], list[Any]]] = {
     SendAttempt: lambda a: ["route", a.request, a.endpoint, a.timeout_us],
     Reject: lambda a: ["deny", a.request, a.retry_after_us],
     Fail: lambda a: ["finish_error", a.request],
@@ -200,14 +200,14 @@
     def _read(self, gateway_number: int, message: list[Any], events: list[Event]) -> None:
         """Process a message that is no start or stop; append its event, if any, to `events`."""
         name = message[0]
-        reader = READERS.get(name)
+        reader = EVENT_DECODERS.get(name)
         if reader is not None:
             events.append(reader(message))
             self._check_references(gateway_number, events[-1])
         elif name == "ledger":
             self.endpoint_lists[message[1]] = tuple(map(_endpoint, message[2]))
         elif name == "endpoints":
-            kind = LIST_KINDS[message[2]]
+            kind = UPDATE_KINDS[message[2]]
             endpoints = () if kind is UpdateKind.FAILED else self.endpoint_lists[message[1]]
             events.append(EndpointUpdate(kind, endpoints, _value_or_default(message, 3, 0)))
         elif name != "peer":
@@ -253,7 +253,7 @@
         except Exception as error:
             decisions.append(["bug", f"{type(error).__name__}: {error}"])
         else:
-            decisions.extend([WRITERS[type(action)](action) for action in actions])
+            decisions.extend([ACTION_ENCODERS[type(action)](action) for action in actions])
 
 
 def serve(source: IO[str], sink: IO[str]) -> int:
--- a/quillroad/balancing/slow_start.py
+++ b/quillroad/balancing/slow_start.py
@@ -6,11 +6,11 @@
 full capacity that a starting host has, and the multiple of this capacity, over a window, at which
 the host is overloaded.
 
-The time since the host's start is divided into slots of `slot_us`. Slot number, ring position and
-gateway index determine the one gateway that owns a slot, so that gateways agree without
-communication. The owner may use all the work that is safe for the whole fleet, since an even share
-for each gateway would be less than one request. A window can overlap two whole slots, so each slot
-gets half of the safe work.
+The time since the host's start is divided into slots of `slow_start_slot_us`. Slot number, ring
+position and gateway index determine the one gateway that owns a slot, so that gateways agree
+without communication. The owner may use all the work that is safe for the whole fleet, since an
+even share for each gateway would be less than one request. A window can overlap two whole slots, so
+each slot gets half of the safe work.
 
 Without slots all gateways would send to a host as soon as it appears, and it would answer with
 errors for as long as they do; a deploy of many hosts would then take one after another out of
@@ -67,10 +67,10 @@
     settings = state.settings
     started_us = host.endpoint.started_us or 0
     age_us = max(0, state.now_us - started_us)
-    slot = age_us // state.slot_us
+    slot = age_us // state.slow_start_slot_us
     if (slot + host.ring_position) % settings.gateway_count != settings.gateway_index:
         return False
-    if started_us + slot * state.slot_us < (state.started_us or 0):
+    if started_us + slot * state.slow_start_slot_us < (state.started_us or 0):
         # The previous process of this gateway may have used up the slot: a gateway that restarts
         # within a slot would use it twice and overload the host.
         return False
@@ -80,7 +80,7 @@
     if slot != host.slow_start_slot:
         host.slow_start_slot = slot
         host.slot_work_left_us = (
-            SAFE_WORK_FRACTION * settings.overload_multiple * capacity * state.slot_us
+            SAFE_WORK_FRACTION * settings.overload_multiple * capacity * state.slow_start_slot_us
         )
     return request.work_us <= min(
         host.slot_work_left_us, capacity * (request.useful_until_us - state.now_us)
@@ -92,4 +92,4 @@
 
     A request sent in that slot must reach the host by then.
     """
-    return (host.endpoint.started_us or 0) + (host.slow_start_slot + 1) * state.slot_us
+    return (host.endpoint.started_us or 0) + (host.slow_start_slot + 1) * state.slow_start_slot_us
--- a/quillroad/balancing/state.py
+++ b/quillroad/balancing/state.py
@@ -198,17 +198,17 @@
         self.cross_zone = cross_zone_budget  # None: cross-zone traffic is not limited
         # slow_start
         self.owns_slow_start = True  # False: the sibling process uses the slots
-        self.slot_us = slow_start.slot_length_us(settings, self.initial_work_us)
+        self.slow_start_slot_us = slow_start.slot_length_us(settings, self.initial_work_us)
 
     def _init_endpoints(self) -> None:
         # endpoints
         self.hosts: dict[int, HostState] = {}
         self.candidates: list[HostState] = []  # ready hosts, by `ring_position`
         self.warming: list[HostState] = []  # candidates warming up at the last refresh
-        self.all_local = True  # no host is in a remote zone
+        self.all_hosts_local = True  # no host is in a remote zone
         self.failed_polls = 0  # consecutive
         # outlier_detection
-        self.memory_us = MEMORY_POLL_FRACTION * self.settings.poll_interval_us
+        self.decay_time_us = MEMORY_POLL_FRACTION * self.settings.poll_interval_us
         self.mean_payoff = UNKNOWN_PAYOFF
         # learning: mean log2 of latency over the route's uncrowded latency, by machine type
         self.machine_slowness: dict[int, float] = {}
@@ -217,7 +217,7 @@
         latencies = [route.uncrowded_latency_us for route in self.routes]
         # admission, load_shedding
         self.admitted_ratio = 1.0  # fraction of arrivals that load shedding admits
-        self.recent_requests = 0.0  # arrivals within `memory_us`, decaying exponentially
+        self.recent_requests = 0.0  # arrivals within `decay_time_us`, decaying exponentially
         self.recent_counted_us = 0  # when `recent_requests` was last updated
         self.mean_work_us = min(latencies)  # mean work of a request
         self.initial_work_us = max(latencies)  # conservative value before any answers
--- a/quillroad/balancing/subsetting.py
+++ b/quillroad/balancing/subsetting.py
@@ -75,7 +75,7 @@
         return None
     start = len(hosts) * state.gateway_index // state.gateway_count
     ring = (hosts * 2)[start:][: len(hosts)]
-    if state.all_local:
+    if state.all_hosts_local:
         healthy = (host for host in ring if host.is_healthy(state.now_us))
         return list(islice(healthy, width)) or ring[:width]
     ring = [host for host in ring if host.is_healthy(state.now_us)] or ring
@@ -110,7 +110,7 @@
     """Update quota, cap and subset size by the number of hosts and the gateway's own traffic."""
     limit = state.concurrency_limit
     own_traffic = (
-        state.recent_requests / state.memory_us * min(state.mean_work_us, state.initial_work_us)
+        state.recent_requests / state.decay_time_us * min(state.mean_work_us, state.initial_work_us)
     )
     needed_permits = max(host_count * limit, own_traffic)
     state.permits_per_host = max(1.0, needed_permits / max(1, host_count))
@@ -134,7 +134,7 @@
     )
 
 
-def is_out_of_permits(state: BalancerState) -> bool:
+def must_not_start_attempt(state: BalancerState) -> bool:
     """Return whether, in a subset, all permits are in use or attempts are paused.
 
     Without this limit a gateway whose subset skips unhealthy hosts would fill one host after
--- a/quillroad/balancing/zone_awareness.py
+++ b/quillroad/balancing/zone_awareness.py
@@ -22,7 +22,7 @@
 
 def is_remote(state: BalancerState, host: HostState) -> bool:
     """Whether the host is in another zone than the gateway."""
-    return not state.all_local and host.endpoint.zone != state.settings.zone
+    return not state.all_hosts_local and host.endpoint.zone != state.settings.zone
 
 
 def may_cross(
--- a/quillroad/balancing/zone_routing.py
+++ b/quillroad/balancing/zone_routing.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-FREE = 3.0
+FREE_CROSS_ZONE_ATTEMPTS = 3.0
 """Cross-zone attempts in a window that are allowed in addition to the share: a gateway that has
 just started has sent no first attempts to compute a share of."""
 HEDGE_RESERVE_RATIO = 0.5
@@ -309,7 +309,11 @@
         budget = self.budget
         window_s = budget.window_us / MICROSECONDS_PER_SECOND
         max_count = budget.per_s * window_s if budget.per_s else math.inf
-        return min(budget.share * self._first_attempts + FREE, max_count) if budget.share else 0.0
+        return (
+            min(budget.share * self._first_attempts + FREE_CROSS_ZONE_ATTEMPTS, max_count)
+            if budget.share
+            else 0.0
+        )
 
     def _is_within_budget(self, now: int, keep: float) -> bool:
         self._decay(now)
--- a/quillroad/downstream/connection.py
+++ b/quillroad/downstream/connection.py
@@ -85,7 +85,7 @@
         if self._open_request is not None:
             opened = self._open_request
             self._open_request = None
-            self._server.engine.depart(opened)
+            self._server.engine.client_disconnected(opened)
 
     def resume_writing(self) -> None:
         """Continue after the write buffer has become empty."""
@@ -118,7 +118,7 @@
             if waited and self._backdate_read_time():
                 return
             if (
-                self._server.pressed()
+                self._server.under_pressure()
                 and self.idle(unparsed=False)
                 and self._queue_or_reject_unparsed(data)
             ):
@@ -148,7 +148,7 @@
             # The client disconnected before its request was read: no answer can reach it.
             self.abort()
             return True
-        if not self._server.pressed():
+        if not self._server.under_pressure():
             # The loop was blocked, which the event loop monitor does not detect with few open
             # requests. An endpoint list that arrived meanwhile is read in the next iteration of the
             # loop: without this delay a request could go to a host that this list reports as
@@ -270,7 +270,7 @@
             self._reject()
             return
         engine = self._server.engine
-        if engine.is_open(request.id):
+        if engine.is_unanswered(request.id):
             log.info("400: Request-Id of a request that is still open")
             self.answer(Reply(400))
             return
@@ -278,7 +278,7 @@
         self._began_at = monotonic()
         # The request may have waited in the kernel or behind earlier responses for so long that no
         # answer can arrive before its deadline.
-        if self._server.admission.is_hopeless(
+        if self._server.admission.cannot_meet_deadline(
             self._began_at, arrived_at, request.deadline_at - arrived_at, request.route
         ):
             self._reject()
@@ -347,7 +347,7 @@
 
     # Queries of the server and the engine.
 
-    def may_end(self) -> bool:
+    def may_close(self) -> bool:
         """Whether it is idle, with no response bytes to write and no received bytes to read."""
         return self.idle() and not self.output_pending and not self.unread()
 
--- a/quillroad/downstream/connection_limit.py
+++ b/quillroad/downstream/connection_limit.py
@@ -26,7 +26,7 @@
 MIN_REST_S = 0.02
 # Fraction of the places: with more resting connections the longest resting ones are closed, to
 # leave room for new ones.
-RESTING_PART = 0.4
+RESTING_FRACTION = 0.4
 # Time without progress after which a connection that is still receiving a request may be closed to
 # make room: clients may take 2 s.
 RECEIVE_STALL_S = 2.1
@@ -70,9 +70,9 @@
 
     def resize(self, places: int) -> None:
         """Set the limit to `places` (1 or more); no connection is closed by this alone."""
-        self.most_connections = places
+        self.max_connections = places
         self._max_with_rejections = places + int(REJECTION_FRACTION * places)
-        self._max_resting = int(RESTING_PART * places)
+        self._max_resting = int(RESTING_FRACTION * places)
         self._max_receiving = int(RECEIVING_FRACTION * places)
         self._max_unclassified = min(
             MAX_UNCLASSIFIED_CONNECTIONS, int(UNCLASSIFIED_FRACTION * places)
@@ -116,7 +116,7 @@
 
     def has_place(self) -> bool:
         """Whether one more connection fits without closing another."""
-        return self._in_use() < self.most_connections
+        return self._in_use() < self.max_connections
 
     def _in_use(self) -> int:
         """Return the number of places in use."""
@@ -168,8 +168,8 @@
     def longest_resting_to_end(self, now: float) -> Connection | None:
         """Return a resting connection to close although no new connection is known to wait.
 
-        With more resting connections than `RESTING_PART` of the places, this is the one that rested
-        longest, if it rested for longer than a client takes to send its next request. Guards
+        With more resting connections than `RESTING_FRACTION` of the places, this is the one that
+        rested longest, if it rested for longer than a client takes to send its next request. Guards
         against clients that send one request and stay connected: they would fill the places,
         clients that share a few connections would find none, and no accept would occur that could
         close one.
--- a/quillroad/downstream/connection_output.py
+++ b/quillroad/downstream/connection_output.py
@@ -183,7 +183,7 @@
             self._transport.write(LAST_CHUNK)
         self._response_written(self._keep_alive, self._parser.has_more())
 
-    def break_off(self) -> None:
+    def reset_streams(self) -> None:
         """Reset the connection if a response is being streamed, because the process exits.
 
         The kernel closes connections in an orderly way at exit: if the end of the connection ends
--- a/quillroad/downstream/early_rejection.py
+++ b/quillroad/downstream/early_rejection.py
@@ -136,6 +136,6 @@
         wait_s = validator.wait_s(route, preview.wait_ms)
         tenant = validator.tenant(preview.tenant)
         limit = self._connection_limit
-        in_use = limit.most_connections + 1 if full else limit.busy + 1
+        in_use = limit.max_connections + 1 if full else limit.busy + 1
         rejected = self._admission.rejects_early(now, now - age_s, wait_s, route, tenant, in_use)
         return route if rejected else None
--- a/quillroad/downstream/request_parser.py
+++ b/quillroad/downstream/request_parser.py
@@ -23,7 +23,7 @@
     HeadTooLongError,
     HttpSyntaxError,
 )
-from quillroad.framing import FRAMED, HEAD_LIMIT, check_framing
+from quillroad.framing import HEAD_LIMIT, MAX_FRAMING_RATIO, check_framing
 from quillroad.overload.body_budget import BodyBudget
 from quillroad.overload.heap import fix_mmap_threshold
 
@@ -147,7 +147,7 @@
         """
         if self.state is ReadState.HEAD:
             raise HeadTooLongError(HEAD_LIMIT)
-        max_bytes = FRAMED * (HEAD_LIMIT + self.size)
+        max_bytes = MAX_FRAMING_RATIO * (HEAD_LIMIT + self.size)
         if self._unfinished_bytes > max_bytes:
             raise BodyTooLongError("request too long", max_bytes)
 
--- a/quillroad/downstream/request_scheduler.py
+++ b/quillroad/downstream/request_scheduler.py
@@ -20,7 +20,7 @@
 
 # Interval (s) at which it is checked whether the core is still too busy to begin more requests: no
 # event reports that it has become less busy.
-HOLD_S = 0.02
+CAPACITY_RECHECK_S = 0.02
 
 
 class RequestScheduler:
@@ -116,7 +116,7 @@
         """
         while (item := self._admission.take_overdue(now)) is not None:
             self._begin(item)
-        self._recheck_timer = self._loop.call_later(HOLD_S, self.schedule)
+        self._recheck_timer = self._loop.call_later(CAPACITY_RECHECK_S, self.schedule)
 
     def _begin(self, item: object) -> None:
         assert isinstance(item, ClientConnection)
--- a/quillroad/downstream/request_validation.py
+++ b/quillroad/downstream/request_validation.py
@@ -33,8 +33,8 @@
 class RequestValidator:
     """Checks requests against the settings.
 
-    `longest_body` is the maximum size of a request body in bytes, `answers_by` the latest deadline
-    of any request in monotonic time (s): infinite until the process is about to exit.
+    `longest_body` is the maximum size of a request body in bytes, `latest_deadline_at` the latest
+    deadline of any request in monotonic time (s): infinite until the process is about to exit.
     """
 
     def __init__(self, config: Config) -> None:
@@ -44,7 +44,7 @@
         self._deadlines_s = [route.deadline_us / 1e6 for route in routes]
         self._tenants = {name: number for number, name in enumerate(config.tenants)}
         self.longest_body = config.longest_body
-        self.answers_by = math.inf
+        self.latest_deadline_at = math.inf
 
     def route(self, segment: bytes) -> int | None:
         """Return the index of the route named by the first path segment; None if unknown."""
@@ -103,7 +103,7 @@
             received_at=arrived_at,
             deadline_at=min(
                 arrived_at + min(_timeout_ms(values) / 1000, self._deadlines_s[route]),
-                self.answers_by,
+                self.latest_deadline_at,
             ),
             is_retry=values.get(b"client-retry") == b"1",
             work_estimate_us=int(work_hint)
--- a/quillroad/downstream/server.py
+++ b/quillroad/downstream/server.py
@@ -12,7 +12,7 @@
 from quillroad.downstream.connection import ClientConnection
 from quillroad.downstream.connection_limit import MIN_SILENT_S, ConnectionLimit, ConnectionState
 from quillroad.downstream.early_rejection import EarlyRejection, Rejections
-from quillroad.downstream.request_scheduler import HOLD_S, RequestScheduler
+from quillroad.downstream.request_scheduler import CAPACITY_RECHECK_S, RequestScheduler
 from quillroad.downstream.request_validation import RequestValidator
 from quillroad.engine.engine import Engine
 from quillroad.overload.acceptor import Acceptor
@@ -21,7 +21,7 @@
 from quillroad.overload.event_loop_monitor import EventLoopMonitor
 from quillroad.overload.retry_after import RetryAfterJitter
 
-__all__ = ["HOLD_S", "MAX_EXCESS_DESCRIPTORS", "ClientConnection", "Server"]
+__all__ = ["CAPACITY_RECHECK_S", "MAX_EXCESS_DESCRIPTORS", "ClientConnection", "Server"]
 
 # Connections beyond the descriptor limit, for those that replace another or are rejected. Together
 # with descriptors other than connections (15 in one process) and the one of an accept in progress,
@@ -90,14 +90,14 @@
         )
 
     @property
-    def answers_by(self) -> float:
+    def latest_deadline_at(self) -> float:
         """Latest deadline of any request, in monotonic time (s); infinite until shutdown."""
-        return self.validator.answers_by
+        return self.validator.latest_deadline_at
 
-    @answers_by.setter
-    def answers_by(self, end: float) -> None:
+    @latest_deadline_at.setter
+    def latest_deadline_at(self, end: float) -> None:
         """Set the latest deadline of any request, in monotonic time (s)."""
-        self.validator.answers_by = end
+        self.validator.latest_deadline_at = end
 
     @property
     def in_flight(self) -> int:
@@ -201,7 +201,7 @@
             candidate = limit.connection_to_end(now)
             # Silent connections may never send a request, so they do not count as a reason to
             # reject one.
-            full = limit.busy >= limit.most_connections and not limit.may_accept_to_reject()
+            full = limit.busy >= limit.max_connections and not limit.may_accept_to_reject()
             if candidate is None and self._early_rejection.reject(sock, now, full):
                 return None
         connection = ClientConnection(self, sock)
@@ -219,7 +219,7 @@
         connection.restore_requests_served(requests_served)
         self._descriptors.used += 1
         self.connection_limit.set_state(connection, ConnectionState.RESTING, monotonic())
-        self._acceptor.bring_up(sock, connection)
+        self._acceptor.set_up_connection(sock, connection)
 
     # State changes, called by connections.
 
@@ -268,13 +268,13 @@
 
     # Pressure.
 
-    def pressed(self) -> bool:
+    def under_pressure(self) -> bool:
         """Whether requests may have to be rejected.
 
         If so, connections try the fast-path parse before the full parser.
         """
         limit = self.connection_limit
-        return self.admission.waiting > 0 or 2 * limit.busy > limit.most_connections
+        return self.admission.waiting > 0 or 2 * limit.busy > limit.max_connections
 
     def rejection(self) -> bytes:
         """Return a complete response that rejects a request."""
@@ -294,10 +294,10 @@
         self._acceptor.close()
         self.close_idle()
 
-    def break_off(self) -> None:
+    def reset_streams(self) -> None:
         """Reset connections whose response is still being streamed, at the end of shutdown."""
         for connection in self.connection_limit.connections():
-            connection.break_off()
+            connection.reset_streams()
 
     def close_idle(self) -> None:
         """Close connections that are between two requests.
@@ -308,7 +308,7 @@
         settled_before = monotonic() - MIN_SILENT_S
         for connection in self.connection_limit.connections():
             silent = self.connection_limit.state(connection) is ConnectionState.SILENT
-            if connection.may_end() and not (silent and connection.last_change > settled_before):
+            if connection.may_close() and not (silent and connection.last_change > settled_before):
                 connection.abort()
 
 
--- a/quillroad/engine/engine.py
+++ b/quillroad/engine/engine.py
@@ -136,7 +136,7 @@
             request.deadline_at - FALLBACK_MARGIN_S * scale, self._on_fallback_timer, open_request
         )
         if len(self._open) == 1:
-            self._loop_monitor.work_begins(self._has_work)
+            self._loop_monitor.start_ticking(self._has_work)
         if self._loop_monitor.stalled():  # read pending outcomes before new work
             self._loop_monitor.defer(self._submit, open_request)
         else:
@@ -160,7 +160,7 @@
             )
         )
 
-    def depart(self, open_request: OpenRequest) -> None:
+    def client_disconnected(self, open_request: OpenRequest) -> None:
         """Note that the client disconnected; does nothing if the request was already answered."""
         if open_request.reply is not None:
             self._clear_reply(open_request)
@@ -214,13 +214,13 @@
         self._processing_events = True
         try:
             while self._events:
-                self._step(self._events.popleft())
+                self._handle_event(self._events.popleft())
         finally:
             self._processing_events = False
         if self.on_capacity is not None and self._balancer.queued <= len(self.hosts):
             self.on_capacity()
 
-    def _step(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         """Handle one event; an exception is logged and fails the request that it belongs to.
 
         Without this, one request could take the gateway down. Actions that the balancer decided
@@ -361,7 +361,7 @@
         loop is late. Without this, hosts would work on requests of clients that have left.
         """
         if open_request.reply is not None and client.has_disconnected():
-            self.depart(open_request)
+            self.client_disconnected(open_request)
 
     def _report_failed_start(self, open_request: OpenRequest, outcome: Outcome) -> None:
         number = len(open_request.attempts)
--- a/quillroad/engine/request_table.py
+++ b/quillroad/engine/request_table.py
@@ -17,7 +17,7 @@
         self._open: dict[int, OpenRequest] = {}  # by number
         self._unanswered_ids: set[str] = set()  # request ids
 
-    def is_open(self, request_id: str) -> bool:
+    def is_unanswered(self, request_id: str) -> bool:
         """Return whether a request with this id is unanswered."""
         return request_id in self._unanswered_ids
 
--- a/quillroad/framing.py
+++ b/quillroad/framing.py
@@ -9,7 +9,7 @@
 
 from quillroad.errors import BadRequestError, FramingError
 
-__all__ = ["FRAMED", "HEAD_LIMIT", "BadRequestError", "FramingError", "check_framing"]
+__all__ = ["HEAD_LIMIT", "MAX_FRAMING_RATIO", "BadRequestError", "FramingError", "check_framing"]
 
 # Maximum size in bytes of a start line and all headers, of a request or a response. Clients and
 # hosts send far less.
@@ -17,7 +17,7 @@
 # Maximum ratio of the raw bytes of a message to its head limit plus its decoded body. The parser
 # reports chunk extensions and trailers to no callback, so without this limit an endless one would
 # be read forever.
-FRAMED = 8
+MAX_FRAMING_RATIO = 8
 
 _CONTENT_LENGTH = b"content-length"
 _TRANSFER_ENCODING = b"transfer-encoding"
--- a/quillroad/gateway.py
+++ b/quillroad/gateway.py
@@ -127,7 +127,7 @@
             self.upstream.drop_oldest_idle,
             loop_monitor,
         )
-        self.upstream.clients_yield = made.end_silent_connection
+        self.upstream.close_silent_client = made.end_silent_connection
         if self.admin is not None:
             made.on_end = self.admin.figures.ended
         return made
@@ -269,7 +269,7 @@
         self.server.draining = True
         # A request that was taken late, half of it before the drain, has no longer than the
         # process.
-        self.server.answers_by = end - ANSWERS_FLUSH_S
+        self.server.latest_deadline_at = end - ANSWERS_FLUSH_S
         if self.membership is not None:
             self.membership.leave()
         leaving = None if self.registrar is None else self.loop.create_task(self.registrar.leave())
@@ -278,7 +278,7 @@
         while len(self.server.connection_limit) and monotonic() < end:
             await asyncio.sleep(DRAIN_POLL_S)
             self.server.close_idle()
-        self.server.break_off()
+        self.server.reset_streams()
         if leaving is not None:
             await leaving
 
--- a/quillroad/overload/acceptor.py
+++ b/quillroad/overload/acceptor.py
@@ -152,7 +152,7 @@
             if not self._has_capacity():
                 # Without a pause the next iteration polls the listener, which is still readable.
                 if not self.descriptors_freeing:
-                    self._rest(NO_CAPACITY_DELAY_S)
+                    self._pause_accepting(NO_CAPACITY_DELAY_S)
                 break
             if not self._accept_one(listener):
                 break
@@ -176,15 +176,15 @@
             # EMFILE, ENFILE, ENOBUFS, ENOMEM: the listener stays readable, so back off.
             delay_s = self._backoff.next_delay_s()
             log.error("accept failed, retrying in %d ms: %s", delay_s * 1000, error)
-            self._rest(delay_s)
+            self._pause_accepting(delay_s)
             return False
         self._backoff.reset()
         protocol = self._make_protocol(sock)
         if protocol is not None:
-            self.bring_up(sock, protocol)
+            self.set_up_connection(sock, protocol)
         return True
 
-    def bring_up(self, sock: socket.socket, protocol: P) -> None:
+    def set_up_connection(self, sock: socket.socket, protocol: P) -> None:
         """Set up the transport of an accepted connection; call `on_lost` if that fails."""
         task: asyncio.Task[object] = self._loop.create_task(
             self._loop.connect_accepted_socket(lambda: protocol, sock)
@@ -200,7 +200,7 @@
             sock.close()
             self._on_lost(protocol)
 
-    def _rest(self, delay_s: float) -> None:
+    def _pause_accepting(self, delay_s: float) -> None:
         """Stop accepting for `delay_s`; connections wait in the kernel's backlog meanwhile."""
         if self._listener is not None and self._resume_timer is None:
             self._loop.remove_reader(self._listener.fileno())
--- a/quillroad/overload/admission_queue.py
+++ b/quillroad/overload/admission_queue.py
@@ -31,7 +31,7 @@
 from quillroad.overload.quota_bucket import QuotaBucket
 from quillroad.overload.route_queue import QueuedRequest, RouteQueue, retained_fractions
 
-__all__ = ["AdmissionQueue", "LearnedTimes", "QueuedRequest", "RoutePriority"]
+__all__ = ["AdmissionQueue", "LearnedState", "QueuedRequest", "RoutePriority"]
 
 # Weight of a new sample in the smoothed response time of hosts: averages over some dozens of
 # answers, since hosts differ from each other more than their average changes.
@@ -60,7 +60,7 @@
     useful_s: float
 
 
-class LearnedTimes(NamedTuple):
+class LearnedState(NamedTuple):
     """The learned state of a queue that is handed over to the successor of its process.
 
     `cost_s` is the average time per request, `learned_s` the time over which it was averaged,
@@ -162,7 +162,7 @@
         """Set the maximum number of requests in flight (at least 1)."""
         self._capacity = max(1, capacity)
 
-    def learned(self, routes: Sequence[str], tenants: Sequence[str]) -> LearnedTimes:
+    def learned(self, routes: Sequence[str], tenants: Sequence[str]) -> LearnedState:
         """Return the learned state for hand-over, keyed by the names of routes and tenants."""
         host_times_s = {
             name: queue.host_time_s for name, queue in zip(routes, self._queues, strict=True)
@@ -170,7 +170,7 @@
         quotas: dict[str, tuple[float, float]] = {
             name: quota.state() for name, quota in zip(tenants, self._quotas, strict=False)
         }
-        return LearnedTimes(self._cost_s, self._learned_s, host_times_s, quotas)
+        return LearnedState(self._cost_s, self._learned_s, host_times_s, quotas)
 
     def learn(
         self,
@@ -306,7 +306,7 @@
                     return item
         return None
 
-    def is_hopeless(self, now: float, since: float, wait_s: float, route: int) -> bool:
+    def cannot_meet_deadline(self, now: float, since: float, wait_s: float, route: int) -> bool:
         """Return whether a request taken from the queue can no longer be answered in time.
 
         This happens if it waited longer than predicted, or if hosts became slower meanwhile.
--- a/quillroad/overload/event_loop_monitor.py
+++ b/quillroad/overload/event_loop_monitor.py
@@ -24,7 +24,7 @@
         self.busy = False  # set by the owner: the loop is loaded and its iterations are long
         self._deferred: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
 
-    def work_begins(self, has_work: Callable[[], bool]) -> None:
+    def start_ticking(self, has_work: Callable[[], bool]) -> None:
         """Tick from now on, for as long as `has_work` returns True."""
         self._has_work = has_work
         now = time.monotonic()
--- a/quillroad/upgrade/sibling_engine.py
+++ b/quillroad/upgrade/sibling_engine.py
@@ -59,9 +59,9 @@
         """Requests that wait for their answer."""
         return len(self._unanswered_ids)
 
-    def is_open(self, request_id: str) -> bool:
+    def is_unanswered(self, request_id: str) -> bool:
         """Whether a request with this id waits for its answer, here or at the sibling."""
-        return super().is_open(request_id) or request_id in self.sibling_request_ids
+        return super().is_unanswered(request_id) or request_id in self.sibling_request_ids
 
     def learn(self, report: AttemptsInFlight, owns_slow_start: bool) -> None:
         """Take what the sibling has in flight; `owns_slow_start`: the slots are ours."""
@@ -117,7 +117,7 @@
                 self.counts.failed += 1
         super()._answer(opened, reply)
 
-    def _step(self, event: Event) -> None:
-        super()._step(event)
+    def _handle_event(self, event: Event) -> None:
+        super()._handle_event(event)
         if self.on_change is not None:
             self.on_change()
--- a/quillroad/upstream/pool.py
+++ b/quillroad/upstream/pool.py
@@ -23,7 +23,7 @@
 
 __all__ = [
     "HEAD_LIMIT_BYTES",
-    "SETTLE_S",
+    "REUSE_DELAY_S",
     "Answer",
     "Attempt",
     "Done",
@@ -36,7 +36,7 @@
 # Seconds after an answer before its connection is reused. A faulty host may write a second answer
 # right after the first. Within this time the second answer arrives on an idle connection, which is
 # then closed; otherwise the answer would be given to the next client.
-SETTLE_S = 0.02
+REUSE_DELAY_S = 0.02
 # Fraction of the hosts' idle timeout after which this side closes an idle connection. If the host
 # closed it first, a request could be sent at the same time and would be lost.
 IDLE_TIMEOUT_FRACTION = 0.5
@@ -72,7 +72,7 @@
         self.requests_written = 0  # requests whose last byte the kernel took, since the start
         # Closes one client connection if clients hold more than their share of the descriptors;
         # returns whether it did.
-        self.clients_yield: Callable[[], bool] = _no_client_closed
+        self.close_silent_client: Callable[[], bool] = _no_client_closed
         self._loop = loop
         self._descriptors = descriptors
         self._idle_timeout_s = host_idle_timeout_s * IDLE_TIMEOUT_FRACTION
@@ -100,9 +100,9 @@
         attempt = Attempt(
             self._loop, self.loop_monitor, host, timeout_s, done, self.connect_timeout_s, send_by
         )
-        # Use the connection with the most recent use that was idle for SETTLE_S: it is the least
-        # likely to be closed by the host by now.
-        latest_idle_since = attempt.started_at - SETTLE_S
+        # Use the connection with the most recent use that was idle for REUSE_DELAY_S: it is the
+        # least likely to be closed by the host by now.
+        latest_idle_since = attempt.started_at - REUSE_DELAY_S
         for connection in reversed(host.idle.copy()):
             if connection.idle_since > latest_idle_since:
                 continue
@@ -181,7 +181,7 @@
             self.drop_oldest_idle()
         # Silent clients may hold the descriptors that a request needs; one of their connections is
         # closed in that case.
-        return self.descriptors_coming_free() > 0 or self.clients_yield()
+        return self.descriptors_coming_free() > 0 or self.close_silent_client()
 
     def descriptors_coming_free(self) -> int:
         """Return how many descriptors are free once all dropped connections have closed."""
--- a/quillroad/upstream/response_parser.py
+++ b/quillroad/upstream/response_parser.py
@@ -11,7 +11,7 @@
 import httptools
 
 from quillroad.config import SHORT_BODY
-from quillroad.framing import FRAMED
+from quillroad.framing import MAX_FRAMING_RATIO
 from quillroad.http_answer import HEAD_LIMIT_BYTES
 from quillroad.upstream.outcome import STATUS_OK
 
@@ -115,7 +115,7 @@
             return
         max_received_bytes = HEAD_LIMIT_BYTES
         if self.phase is ResponsePhase.BODY:
-            max_received_bytes = FRAMED * (HEAD_LIMIT_BYTES + self._size_bytes)
+            max_received_bytes = MAX_FRAMING_RATIO * (HEAD_LIMIT_BYTES + self._size_bytes)
         if self._received_bytes > max_received_bytes and self.error is None:
             self.error = FramingTooLongError()
 
--- a/testbed/core.py
+++ b/testbed/core.py
@@ -47,7 +47,7 @@
     def take(self) -> object | None:
         """The item of the request to begin next; None: none waits."""
 
-    def is_hopeless(self, now: float, since: float, wait_s: float, route: int) -> bool:
+    def cannot_meet_deadline(self, now: float, since: float, wait_s: float, route: int) -> bool:
         """Whether this request can no longer be answered while that has value."""
 
     def slice_s(self, now: float) -> float:
@@ -172,7 +172,7 @@
 
     def _begin(self, item: Item) -> None:
         came, route, _ = item
-        if self.admission.is_hopeless(self.now, came, self.deadline, route):
+        if self.admission.cannot_meet_deadline(self.now, came, self.deadline, route):
             self.open -= 1
             self._refuse(item)
             return
--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -19,13 +19,13 @@
 from quillroad.balancing.settings import Idempotency, Route, Settings
 from quillroad.balancing.zone_routing import CrossZoneBudget
 
-AIM_US = 200_000
+OBJECTIVE_US = 200_000
 DEADLINE_US = 1_000_000
 
 
 def route(route_idempotency: Idempotency = Idempotency.IDEMPOTENT, **changes: Any) -> Route:
     values: dict[str, Any] = {
-        "latency_objective_us": AIM_US,
+        "latency_objective_us": OBJECTIVE_US,
         "deadline_us": DEADLINE_US,
         "deduplication_window_us": 2_000_000,
     }
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -9,8 +9,8 @@
     Outcome,
 )
 from tests.balancing.helpers import (
-    AIM_US,
     DEADLINE_US,
+    OBJECTIVE_US,
     BalancerDriver,
     settings,
 )
@@ -19,11 +19,11 @@
 def test_unmarked_retry_that_lost_its_objective_is_rejected() -> None:
     driver = BalancerDriver(settings(), 2)
     driver.warm_up(20)
-    late_request = driver.arrive(give_up_us=DEADLINE_US - 2 * AIM_US)
+    late_request = driver.arrive(give_up_us=DEADLINE_US - 2 * OBJECTIVE_US)
     assert driver.log[-1] == Reject(late_request)
     marking_driver = BalancerDriver(settings(clients_mark_retries=True), 2)
     marking_driver.warm_up(20)
-    assert marking_driver.arrive(give_up_us=DEADLINE_US - 2 * AIM_US) in marking_driver.sends
+    assert marking_driver.arrive(give_up_us=DEADLINE_US - 2 * OBJECTIVE_US) in marking_driver.sends
 
 
 def test_first_request_is_not_taken_for_retry_after_client_with_long_wait() -> None:
--- a/tests/balancing/test_concurrency_limit.py
+++ b/tests/balancing/test_concurrency_limit.py
@@ -11,7 +11,7 @@
     Outcome,
 )
 from tests.balancing.helpers import (
-    AIM_US,
+    OBJECTIVE_US,
     BalancerDriver,
     settings,
     warm_gateway_of_200,
@@ -62,9 +62,9 @@
         request = driver.arrive()
         host = driver.balancer.hosts[driver.sends[request][0]]
         host.newest_answered_sent_us = driver.now + 1  # a later attempt was answered
-        driver.pass_time(AIM_US + 1000)
+        driver.pass_time(OBJECTIVE_US + 1000)
         driver.feed()
         assert (driver.balancer.in_flight, host.overdue) == (permits_held, 1)
-        driver.done(request, Outcome.TIMEOUT, AIM_US + 1000)
+        driver.done(request, Outcome.TIMEOUT, OBJECTIVE_US + 1000)
         driver.pass_time(2_000_000)
         assert (driver.balancer.in_flight, host.overdue, host.in_flight) == (0, 0, 0)
--- a/tests/balancing/test_learning.py
+++ b/tests/balancing/test_learning.py
@@ -6,8 +6,8 @@
     Outcome,
 )
 from tests.balancing.helpers import (
-    AIM_US,
     DEADLINE_US,
+    OBJECTIVE_US,
     BalancerDriver,
     route,
     settings,
@@ -46,14 +46,14 @@
         driver.balancer.concurrency_limit,
     )
     request = driver.arrive(long_body=True)
-    driver.pass_time(4 * AIM_US)
+    driver.pass_time(4 * OBJECTIVE_US)
     assert len(driver.sends[request]) == 1
     assert all(
         not candidate.overdue and candidate.is_healthy(driver.now)
         for candidate in driver.balancer.candidates
     )
     assert driver.balancer.in_flight == 1
-    driver.done(request, Outcome.SUCCESS, 4 * AIM_US)
+    driver.done(request, Outcome.SUCCESS, 4 * OBJECTIVE_US)
     assert (driver.balancer.in_flight, driver.balancer.concurrency_limit) == (0, limit)
     assert [each_route.uncrowded_latency_us for each_route in driver.balancer.routes] == latencies
     late = driver.arrive(long_body=True)
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -10,7 +10,7 @@
 )
 from quillroad.balancing.load_shedding import MIN_ADMITTED_RATIO
 from quillroad.balancing.outlier_detection import (
-    credit,
+    record_outcome,
 )
 from tests.balancing.helpers import (
     BalancerDriver,
@@ -38,10 +38,10 @@
     balancer = BalancerDriver(settings(), 3).balancer
     host = balancer.candidates[0]
     for _ in range(20):
-        credit(balancer, host, 0.0)
+        record_outcome(balancer, host, 0.0)
     assert balancer.admitted_ratio == MIN_ADMITTED_RATIO
     for _ in range(20):
-        credit(balancer, host, 1.0)
+        record_outcome(balancer, host, 1.0)
     assert balancer.admitted_ratio == 1.0
 
 
--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -10,11 +10,11 @@
     Outcome,
 )
 from quillroad.balancing.outlier_detection import (
-    FAILURE_REST_US,
-    SILENCE_REST_US,
-    blame,
-    credit,
+    FAILURE_SUSPENSION_US,
+    SILENCE_SUSPENSION_US,
     payoff,
+    record_failure,
+    record_outcome,
 )
 from tests.balancing.helpers import (
     DEADLINE_US,
@@ -32,7 +32,7 @@
     """Without the rest, each of forty gateways sent a dozen requests to every host that was down,
     and a host that hung held a permit for 600 ms of every two seconds at each gateway."""
     driver = BalancerDriver(one_of_many(gateway_count=40, gateway_index=3), three_zones(6))
-    first_rest_us = FAILURE_REST_US if outcome in FAST_FAILURES else SILENCE_REST_US
+    first_rest_us = FAILURE_SUSPENSION_US if outcome in FAST_FAILURES else SILENCE_SUSPENSION_US
     sent: dict[int, int] = {}
     for _ in range(1500):
         request = driver.arrive()
@@ -68,7 +68,7 @@
     host = balancer.candidates[0]
     balancer.mean_payoff = 0.9
     balancer.now_us += 10_000_000
-    credit(balancer, host, 0.0)
+    record_outcome(balancer, host, 0.0)
     assert payoff(balancer, host) < 0.1
     balancer.now_us += 10_000_000
     assert payoff(balancer, host) > 0.7
@@ -82,6 +82,6 @@
     for balancer in (alone, shared):
         balancer.recent_requests = 30.0
         for _ in range(12):
-            blame(balancer, balancer.candidates[0])
+            record_failure(balancer, balancer.candidates[0])
     durations_us = [one.candidates[0].ejected_until_us - one.now_us for one in (alone, shared)]
     assert durations_us[0] == DEADLINE_US and durations_us[1] > 3 * DEADLINE_US
--- a/tests/balancing/test_platform_settings.py
+++ b/tests/balancing/test_platform_settings.py
@@ -107,7 +107,7 @@
     World(seed, False, 0, bad, read_settings(json.loads(json.dumps(raw_settings)))).play(600)
 
 
-WHOLE = told_settings(
+COMPLETE_SETTINGS = told_settings(
     guarantees={
         "cold": 8_800_000,
         "cold_from": 0.3,
@@ -128,7 +128,7 @@
 )
 TEXT_FIELDS = {"name", "semantics", "group", "weight_kind", "discovery"}
 FLAG_FIELDS = {"cancelling", "parallel_tries", "retry_after", "marks_retry", "warm_keys"}
-JUNK: list[Any] = [
+INVALID_VALUES: list[Any] = [
     "abc",
     "",
     float("nan"),
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize(
-    "path", list(field_paths(WHOLE)), ids=lambda path: ".".join(map(str, path))
+    "path", list(field_paths(COMPLETE_SETTINGS)), ids=lambda path: ".".join(map(str, path))
 )
 def test_a_value_that_cannot_work_is_named_in_one_line(
     path: tuple[Any, ...], tmp_path: Path
@@ -168,8 +168,8 @@
     field."""
     file = tmp_path / "config.json"
     refused = 0
-    for invalid in JUNK:
-        raw_settings = copy.deepcopy(WHOLE)
+    for invalid in INVALID_VALUES:
+        raw_settings = copy.deepcopy(COMPLETE_SETTINGS)
         parent: Any = raw_settings
         for key in path[:-1]:
             parent = parent[key]
--- a/tests/balancing/test_property.py
+++ b/tests/balancing/test_property.py
@@ -219,13 +219,13 @@
 @given(
     seed=st.integers(0, 10**6),
     parallel=st.booleans(),
-    memory_us=st.sampled_from([30_000, 100_000, 2_000_000]),
+    decay_time_us=st.sampled_from([30_000, 100_000, 2_000_000]),
     bad=st.sampled_from([0.05, 0.3, 0.8, 1.0]),
 )
 def test_random_legal_histories_keep_the_rules(
-    seed: int, parallel: bool, memory_us: int, bad: float
+    seed: int, parallel: bool, decay_time_us: int, bad: float
 ) -> None:
-    World(seed, parallel, memory_us, bad).play(1000)
+    World(seed, parallel, decay_time_us, bad).play(1000)
 
 
 def break_final_answer(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/balancing/test_request_queue.py
+++ b/tests/balancing/test_request_queue.py
@@ -16,7 +16,7 @@
 )
 from quillroad.balancing.settings import Idempotency
 from tests.balancing.helpers import (
-    AIM_US,
+    OBJECTIVE_US,
     BalancerDriver,
     route,
     settings,
@@ -28,7 +28,7 @@
     driver = BalancerDriver(settings(route(Idempotency.NON_IDEMPOTENT)), 0)
     request = driver.arrive()
     assert not driver.sends
-    assert Reject(request) in driver.pass_time(AIM_US)
+    assert Reject(request) in driver.pass_time(OBJECTIVE_US)
     queued_request = driver.arrive()
     driver.feed(EndpointUpdate(UpdateKind.FULL, (Endpoint(7),)))
     assert driver.sends[queued_request] == [7]
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -135,7 +135,7 @@
     def slot_owner(self, now: int) -> int:
         """Return the index of the gateway that owns the current slot at the warming host."""
         one = self.balancers[0]
-        slot = (now - START_US) // one.slot_us + one.hosts[7].ring_position
+        slot = (now - START_US) // one.slow_start_slot_us + one.hosts[7].ring_position
         return int(slot % len(self.balancers))
 
     def window_counts(self) -> Iterator[tuple[int, float]]:
@@ -185,7 +185,7 @@
     """A slow connect must not carry a request into another gateway's slot, and a process that
     started within its slot must not use it: its predecessor may have used up the slot's work."""
     fleet = run_fleet(count, 3)
-    width, warm_us = fleet.balancers[0].slot_us, START_US + WARM_UP_US
+    width, warm_us = fleet.balancers[0].slow_start_slot_us, START_US + WARM_UP_US
     before_warm = [
         one for one in zip(fleet.arrivals, fleet.by, fleet.started, strict=True) if one[0] < warm_us
     ]
--- a/tests/balancing/test_slow_start_budget.py
+++ b/tests/balancing/test_slow_start_budget.py
@@ -136,9 +136,9 @@
             isinstance(action, SendAttempt)
             for action in balancer.handle(now, [RequestArrived(number, 0, now + DEADLINE_US)])
         ):
-            sent[(now - start) // balancer.slot_us] += work_us
+            sent[(now - start) // balancer.slow_start_slot_us] += work_us
             balancer.handle(now, [AttemptFinished(number, 0, Outcome.SUCCESS, work_us, True)])
         else:
             balancer.handle(now, [ClientDisconnected(number)])
-    max_load = max(sent.values()) / balancer.slot_us
+    max_load = max(sent.values()) / balancer.slow_start_slot_us
     assert 1.0 * 0.6 < max_load <= 0.5 * 3.0 * 0.6  # capacity 0.5 at the start, 0.6 after 2 s
--- a/tests/balancing/test_subsetting.py
+++ b/tests/balancing/test_subsetting.py
@@ -199,7 +199,7 @@
         assert driver.balancer.congestion_window == 1.0
         total_in_flight += burst_in_flight(driver)
     # A gateway with less than one permit uses a whole one part of the time: `max(1.0, ...)` in
-    # `is_out_of_permits`.
+    # `must_not_start_attempt`.
     assert total_in_flight <= max(gateway_total, (MAX_PERMITS_PER_HOST + 0.5) * hosts)
 
 
--- a/tests/balancing/test_subsetting_pauses.py
+++ b/tests/balancing/test_subsetting_pauses.py
@@ -6,8 +6,8 @@
     Outcome,
 )
 from tests.balancing.helpers import (
-    AIM_US,
     DEADLINE_US,
+    OBJECTIVE_US,
     BalancerDriver,
     one_of_many,
     settings,
@@ -22,8 +22,8 @@
     driver.pass_time(DEADLINE_US - 1000)
     driver.balancer.congestion_window = 0.0
     driver.done(request, Outcome.TIMEOUT, DEADLINE_US)
-    assert 0 < driver.balancer.paused_until_us - driver.now <= 3 * AIM_US
-    driver.pass_time(3 * AIM_US)
+    assert 0 < driver.balancer.paused_until_us - driver.now <= 3 * OBJECTIVE_US
+    driver.pass_time(3 * OBJECTIVE_US)
     assert driver.arrive() in driver.sends
 
 
--- a/tests/downstream/test_connection_places.py
+++ b/tests/downstream/test_connection_places.py
@@ -52,7 +52,9 @@
         # As if further connections had requests that were not read yet.
         monkeypatch.setattr(server.connection_limit, "may_accept_to_reject", lambda: False)
         for body in (b"", b"x" * 200):
-            server._acceptor._rest(9.0)  # their requests are in the kernel before the accept
+            server._acceptor._pause_accepting(
+                9.0
+            )  # their requests are in the kernel before the accept
             async with w.client() as client:
                 client.send("/seat-checkout/k" if body else "/status-check/k", body)
                 await client.writer.drain()
--- a/tests/downstream/test_departed_clients.py
+++ b/tests/downstream/test_departed_clients.py
@@ -15,7 +15,7 @@
 from tests.net import (
     Client,
     Message,
-    NeverUp,
+    UnacceptingHost,
     World,
     answer,
     on_loop,
@@ -132,7 +132,7 @@
 ) -> None:
     """Also if the settings forbid cancelling attempts: this attempt has not begun."""
     limits = told_settings()["limits"] | {"cancelling": cancelling}
-    slow = NeverUp()
+    slow = UnacceptingHost()
     try:
         async with world(settings=told_settings(limits=limits)) as w:
             entry = {
--- a/tests/downstream/test_endpoint_changes.py
+++ b/tests/downstream/test_endpoint_changes.py
@@ -9,7 +9,7 @@
 from quillroad.discovery.reducer import endpoint_id
 from tests.net import (
     FakeHost,
-    NeverUp,
+    UnacceptingHost,
     answer,
     hang,
     on_loop,
@@ -53,7 +53,7 @@
 @on_loop
 async def test_a_drain_during_a_connect_moves_the_request() -> None:
     """The connection to the drained host is never established: another host gets the request."""
-    dead = NeverUp()
+    dead = UnacceptingHost()
     async with world() as w, w.client() as client:
         stuck = FakeHost("s-stuck")
         stuck.address = dead.address
--- a/tests/downstream/test_long_answers.py
+++ b/tests/downstream/test_long_answers.py
@@ -17,7 +17,7 @@
 from quillroad.downstream.time_limits import OUTPUT_STALL_S
 from quillroad.http_answer import StreamedBody
 from quillroad.overload.socket_age import unacknowledged
-from quillroad.upstream.pool import SETTLE_S
+from quillroad.upstream.pool import REUSE_DELAY_S
 from tests.downstream.long_bodies import (
     BODY,
     LONG_BODY_SETTINGS,
@@ -117,7 +117,7 @@
         await until(lambda: all_released(w))
         w.hosts[0].behave = serve_ok
         at_rest = monotonic()
-        await until(lambda: monotonic() > at_rest + SETTLE_S)
+        await until(lambda: monotonic() > at_rest + REUSE_DELAY_S)
         async with asyncio.timeout(OUTPUT_STALL_S):
             assert (await client.ask()).status == 200
         assert len(w.hosts[0].writers) == 1  # on the same connection
@@ -154,7 +154,7 @@
         client.writer.write(head)
         assert b"200" in await client.reader.readuntil(b"\r\n\r\n")
         await client.reader.readexactly(200_000)
-        w.gateway.server.break_off()
+        w.gateway.server.reset_streams()
         with pytest.raises(ConnectionError):
             await client.reader.read()
         await until(lambda: all_released(w))
--- a/tests/downstream/test_one_answer.py
+++ b/tests/downstream/test_one_answer.py
@@ -131,7 +131,7 @@
             quillroad.upstream.pool,
         ):
             monkeypatch.setattr(module, "monotonic", frozen)
-        monkeypatch.setattr(quillroad.upstream.pool, "SETTLE_S", 0.0)
+        monkeypatch.setattr(quillroad.upstream.pool, "REUSE_DELAY_S", 0.0)
         for _ in range(3):
             assert (await client.ask()).status == 200
         assert read
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -150,7 +150,7 @@
     ]
     assert [attempt_end.outcome for attempt_end in finished_events] == [Outcome.CANCELLED]
     assert open_request.attempts == [None] and harness.engine.unanswered == 1
-    harness.engine.depart(open_request)
+    harness.engine.client_disconnected(open_request)
     assert harness.has_no_open_requests()
 
 
@@ -189,7 +189,7 @@
     harness.balancer.script[ClientDisconnected] = [CancelAttempt(1, 0)]
     open_request = harness.submit()
     await host.came.get()
-    harness.engine.depart(open_request)
-    harness.engine.depart(open_request)
+    harness.engine.client_disconnected(open_request)
+    harness.engine.client_disconnected(open_request)
     assert harness.balancer.events.count(ClientDisconnected(1)) == 1
     assert harness.replies == [] and harness.has_no_open_requests()
--- a/tests/net.py
+++ b/tests/net.py
@@ -153,7 +153,7 @@
         return line | changes
 
 
-class NeverUp:
+class UnacceptingHost:
     """An address whose connections never come up: its queue of connections is full, so SYNs are
     dropped.
     """
--- a/tests/overload/test_overload.py
+++ b/tests/overload/test_overload.py
@@ -118,7 +118,7 @@
     ) as w:
         server, clients, admitted_counts = w.gateway.server, list[Client](), [0, 0]
         replies: list[list[asyncio.Task[Message]]] = [[], []]
-        for turn in range(4 * server.connection_limit.most_connections):
+        for turn in range(4 * server.connection_limit.max_connections):
             kind, rejected_before, busy_before = (
                 turn % 2,
                 server.admission.rejected,
@@ -136,7 +136,7 @@
         assert (
             server.connection_limit.busy
             == sum(admitted_counts)
-            == server.connection_limit.most_connections
+            == server.connection_limit.max_connections
         )
         # Without priority weights, both kinds would be admitted equally often. The difference
         # depends on the pace, since the squeeze of the lower level decays over time; it was
--- a/tests/overload/test_turns.py
+++ b/tests/overload/test_turns.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quillroad.downstream.server import HOLD_S, ClientConnection
+from quillroad.downstream.server import CAPACITY_RECHECK_S, ClientConnection
 from quillroad.engine.engine import Reply
 from quillroad.overload.admission_queue import QueuedRequest
 from tests.net import on_loop, serve_ok, until, world
@@ -120,7 +120,7 @@
             await until(lambda number=number: server.admission.waiting == number + 1)  # type: ignore[misc]
         slice_ends.clear()
         await until(lambda: len(slice_ends) > 10)
-        assert slice_ends[10] - slice_ends[0] > 5 * HOLD_S
+        assert slice_ends[10] - slice_ends[0] > 5 * CAPACITY_RECHECK_S
         is_held = False
         assert {(await client.receive()).status for client in clients} == {200}
         for client in clients:
--- a/tests/recordings/adapter.py
+++ b/tests/recordings/adapter.py
@@ -25,7 +25,7 @@
     SiblingAttempts,
 )
 from quillroad.balancing.platform_settings import read_settings
-from quillroad.balancing.simulator import LIST_KINDS, READERS, STATES
+from quillroad.balancing.simulator import ENDPOINT_STATUSES, EVENT_DECODERS, UPDATE_KINDS
 from quillroad.balancing.zone_routing import CrossZoneBudget, CrossZoneLimits, RouteAllowance
 from quillroad.upgrade import state_snapshot
 
@@ -83,37 +83,41 @@
     long: bool = False,
 ) -> Event:
     bits = (work_us is not None) + 2 * repeat
-    event = READERS["job_in"](["job_in", request, route, give_up_us, bits, None, work_us, tenant])
+    event = EVENT_DECODERS["job_in"](
+        ["job_in", request, route, give_up_us, bits, None, work_us, tenant]
+    )
     return event._replace(long_body=True) if long else event  # type: ignore[call-arg] # not on the wire
 
 
 def attempt_done(request: int, attempt: int, outcome: str, elapsed_us: int, closed: bool) -> Event:
     """`outcome` by the wire's word for it."""
-    return READERS["verdict"](["verdict", request, None, closed, outcome, attempt, elapsed_us])
+    return EVENT_DECODERS["verdict"](
+        ["verdict", request, None, closed, outcome, attempt, elapsed_us]
+    )
 
 
 def stream_started(request: int, attempt: int, elapsed_us: int) -> Event:
-    return READERS["streaming"](["streaming", request, attempt, None, elapsed_us])
+    return EVENT_DECODERS["streaming"](["streaming", request, attempt, None, elapsed_us])
 
 
 def departed(request: int) -> Event:
-    return READERS["hangup"](["hangup", request])
+    return EVENT_DECODERS["hangup"](["hangup", request])
 
 
 def alarm(tag: int) -> Event:
-    return READERS["alarm"](["alarm", tag])
+    return EVENT_DECODERS["alarm"](["alarm", tag])
 
 
 def server_line(
     number: int, state: int, zone: int, cell: int, kind: int, started_us: int | None
 ) -> Endpoint:
     """`state` by the wire's number for it."""
-    return Endpoint(number, STATES[state], zone, cell, kind, 1.0, started_us)
+    return Endpoint(number, ENDPOINT_STATUSES[state], zone, cell, kind, 1.0, started_us)
 
 
 def server_list(kind: int, lines: Sequence[Endpoint]) -> Event:
     """`kind` by the wire's number for it."""
-    return EndpointUpdate(LIST_KINDS[kind], tuple(lines))
+    return EndpointUpdate(UPDATE_KINDS[kind], tuple(lines))
 
 
 def other_process(out: Mapping[int, tuple[int, int]], warms: bool) -> Event:
--- a/tests/recordings/rejections.py
+++ b/tests/recordings/rejections.py
@@ -148,8 +148,8 @@
     for path in parameters(
         test_platform_settings.test_a_value_that_cannot_work_is_named_in_one_line
     ):
-        for junk in test_platform_settings.JUNK:
-            settings = copy.deepcopy(test_platform_settings.WHOLE)
+        for junk in test_platform_settings.INVALID_VALUES:
+            settings = copy.deepcopy(test_platform_settings.COMPLETE_SETTINGS)
             part: Any = settings
             for key in path[:-1]:
                 part = part[key]
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -97,7 +97,7 @@
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(asked):
             assert (await client.receive()).body == BODY
-        await until(connection.may_end)
+        await until(connection.may_close)
         w.gateway.server.close_idle()
         assert await client.reader.read() == b""
 
@@ -179,7 +179,7 @@
 async def test_what_is_taken_late_has_no_longer_than_the_process() -> None:
     async with world(hang) as w, w.client() as client:
         w.gateway.server.draining = True
-        w.gateway.server.answers_by = time.monotonic() + 0.3
+        w.gateway.server.latest_deadline_at = time.monotonic() + 0.3
         asked = time.monotonic()
         got = await client.ask(Request_Timeout_Ms="9000")
         assert got.status in (503, 504) and time.monotonic() - asked < 0.5
@@ -197,7 +197,11 @@
         drain = asyncio.ensure_future(w.gateway.drain())
         await until(lambda: w.gateway.server.draining)
         after = time.monotonic()
-        assert before + longest_s + 0.5 <= w.gateway.server.answers_by <= after + longest_s + 0.5
+        assert (
+            before + longest_s + 0.5
+            <= w.gateway.server.latest_deadline_at
+            <= after + longest_s + 0.5
+        )
         assert DRAIN_MARGIN_S - ANSWERS_FLUSH_S >= 0.5 and DRAIN_MARGIN_S <= 0.7 - 0.1
         assert FRONT_DELAY_S < DRAIN_MARGIN_S
         await drain
--- a/tests/upgrade/test_sections.py
+++ b/tests/upgrade/test_sections.py
@@ -145,8 +145,8 @@
         engine.learn(AttemptsInFlight([(number, 2, 1)], ["r-1"]), owns_slow_start=False)
         server = engine.balancer.hosts[number]
         assert not engine.balancer.owns_slow_start and (server.in_flight, server.overdue) == (2, 1)
-        assert engine.is_open("r-1") and engine.attempts_in_flight() is None
+        assert engine.is_unanswered("r-1") and engine.attempts_in_flight() is None
         engine.set_slow_start_owner(True)
         assert engine.balancer.owns_slow_start and (server.in_flight, server.overdue) == (2, 1)
         engine.forget_sibling()
-        assert (server.in_flight, server.overdue) == (0, 0) and not engine.is_open("r-1")
+        assert (server.in_flight, server.overdue) == (0, 0) and not engine.is_unanswered("r-1")
--- a/tests/upgrade/test_upgrades.py
+++ b/tests/upgrade/test_upgrades.py
@@ -18,7 +18,7 @@
 import pytest
 
 from quillroad.config import RESERVED, ConfigError
-from quillroad.downstream.connection_limit import RESTING_PART
+from quillroad.downstream.connection_limit import RESTING_FRACTION
 from quillroad.upgrade.messages import batch_of
 from quillroad.upgrade.settings import load_upgrades
 from testbed.account import RequestClass, count_outcomes, total
@@ -410,7 +410,7 @@
         # else a load that a busy machine holds up opens more, and those that rested longest end for
         # them.
         least = (SOCKETS - 64 - 2 * batch_of(SOCKETS) - RESERVED) // 2
-        resting = int(RESTING_PART * least) - 24
+        resting = int(RESTING_FRACTION * least) - 24
         clients = [await asyncio.open_connection(*address) for _ in range(resting)]
         for _ in range(2):  # whoever asked once only is let go soon
             for _, writer in clients:
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -12,7 +12,7 @@
 from quillroad.upstream.pool import Attempt
 from tests.net import (
     FakeHost,
-    NeverUp,
+    UnacceptingHost,
     answer,
     hang,
     on_loop,
@@ -77,7 +77,7 @@
     """A draining host must not receive attempts whose first byte was not sent; the balancer may
     send them to another host. The descriptor is released even if the connect task never ran.
     """
-    unreachable_host = NeverUp()
+    unreachable_host = UnacceptingHost()
     harness = UpstreamHarness(unreachable_host.address)
     attempt = harness.start()
     for _ in range(loop_turns):
--- a/tests/upstream/test_outcome.py
+++ b/tests/upstream/test_outcome.py
@@ -11,7 +11,7 @@
 from tests.net import (
     Behaviour,
     FakeHost,
-    NeverUp,
+    UnacceptingHost,
     answer,
     break_off,
     on_loop,
@@ -85,7 +85,7 @@
 @on_loop
 async def test_connect_timeout_is_connect_failed() -> None:
     """The accept backlog of the host is full, so it never accepts: nothing was executed."""
-    unreachable_host = NeverUp()
+    unreachable_host = UnacceptingHost()
     harness = UpstreamHarness(unreachable_host.address, connect_timeout_s=0.1)
     assert (await harness.run())[0] is Outcome.CONNECT_FAILED
     await until(lambda: harness.descriptors.used == 0)
@@ -95,7 +95,7 @@
 @on_loop
 async def test_attempt_timeout_while_connecting_is_connect_failed() -> None:
     """The attempt times out before the connect does: nothing was executed."""
-    unreachable_host = NeverUp()
+    unreachable_host = UnacceptingHost()
     harness = UpstreamHarness(unreachable_host.address)
     assert (await harness.run(timeout_s=0.05))[0] is Outcome.CONNECT_FAILED
     await until(lambda: harness.descriptors.used == 0)
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -22,7 +22,7 @@
 @on_loop
 async def test_most_recently_used_connection_is_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     """New connections cost the host work; connections that are not needed should expire idle."""
-    monkeypatch.setattr(pool, "SETTLE_S", -1.0)
+    monkeypatch.setattr(pool, "REUSE_DELAY_S", -1.0)
     host = await FakeHost(behave=hang).start()
     harness = UpstreamHarness(host.address)
     for number in range(2):
@@ -75,7 +75,7 @@
     connection were reused, another client would get that answer. With no reuse delay, only the
     check for unread data guards against it.
     """
-    monkeypatch.setattr(pool, "SETTLE_S", -1.0)
+    monkeypatch.setattr(pool, "REUSE_DELAY_S", -1.0)
     host = await FakeHost(behave=say(answer(b"first"))).start()
     harness = UpstreamHarness(host.address)
     await harness.run()
@@ -96,7 +96,7 @@
     """Surplus data that arrives shortly after an answer must reach an idle connection, not one
     that carries the next request.
     """
-    monkeypatch.setattr(pool, "SETTLE_S", 1000.0)
+    monkeypatch.setattr(pool, "REUSE_DELAY_S", 1000.0)
     host = await FakeHost().start()
     harness = UpstreamHarness(host.address)
     for number in (1, 2):
--- a/tests/upstream/test_response_parser.py
+++ b/tests/upstream/test_response_parser.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quillroad.config import SHORT_BODY
-from quillroad.framing import FRAMED
+from quillroad.framing import MAX_FRAMING_RATIO
 from quillroad.http_answer import HEAD_LIMIT_BYTES
 from quillroad.upstream.response_parser import (
     MAX_INTERIM_ANSWERS,
@@ -75,7 +75,7 @@
         (b"HTTP/1.1 500 No\r\nContent-Length: %d\r\n\r\n" % (SHORT_BODY + 1), BodyTooLongError),
         (INTERIM * (MAX_INTERIM_ANSWERS + 1), TooManyInterimAnswersError),
         (b"HTTP/1.1 200 OK\r\nX: " + b"y" * HEAD_LIMIT_BYTES, FramingTooLongError),
-        (CHUNKED + b"1;" + b"e" * FRAMED * (HEAD_LIMIT_BYTES + 1), FramingTooLongError),
+        (CHUNKED + b"1;" + b"e" * MAX_FRAMING_RATIO * (HEAD_LIMIT_BYTES + 1), FramingTooLongError),
     ],
 )
 def test_violation_is_reported_as_a_typed_error(data: bytes, error: type[ResponseError]) -> None:
--- a/tests/zones/test_cross_zone_budget.py
+++ b/tests/zones/test_cross_zone_budget.py
@@ -13,7 +13,7 @@
 from quillroad.balancing.events import EndpointUpdate, Outcome, UpdateKind
 from quillroad.balancing.settings import DeduplicationScope, Idempotency
 from quillroad.balancing.zone_routing import (
-    FREE,
+    FREE_CROSS_ZONE_ATTEMPTS,
     CrossZoneBudget,
     CrossZoneLimits,
     CrossZoneReason,
@@ -69,7 +69,7 @@
                     lost and number == 0 and why is not CrossZoneReason.COPY
                 )
         fade = [sum(math.exp((at - now) / 1e6) for at in times) for times in (firsts, within)]
-        most = share * fade[0] + FREE if share else 0.0
+        most = share * fade[0] + FREE_CROSS_ZONE_ATTEMPTS if share else 0.0
         # First sends and crossings fade as fast, so what was within stays within.
         assert fade[1] <= (min(most, per_s) if per_s else most) + 1e-6
     assert sum(s.over_budget for s in crossing.counts) == told_past
