--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -37,9 +37,9 @@
         ),
         (
             "quillroad/engine/engine.py",
-            "        started = monotonic()\n",
+            "        started_at = monotonic()\n",
             # some small objects more
-            "        started = monotonic()\n        [bytes(1) for _ in range(20)]\n",
+            "        started_at = monotonic()\n        [bytes(1) for _ in range(20)]\n",
             "instructions",
         ),
         (
