--- a/quillroad/upgrade/migration.py
+++ b/quillroad/upgrade/migration.py
@@ -1,7 +1,7 @@
-"""Client connections that migrate from one process of a gateway to another, in batches.
+"""Migration of client connections from one process of a gateway to another, in batches.
 
-A connection migrates between two requests, with its descriptor; `worker_state` says when. Only
-imported where upgrades are on.
+A connection migrates between two requests, when it is idle: its file descriptor is sent to the
+sibling process. `worker_state` decides when. Imported only where upgrades are on.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 log = logging.getLogger("quillroad.upgrade")
 
-LOOK_INTERVAL_S = 0.02  # between two looks at whether connections are left
+POLL_INTERVAL_S = 0.02  # between two checks whether client connections are left
 
 
 class MigratingServer(Server):
-    """A client side whose connections can migrate to another process between two requests.
+    """A server whose client connections can migrate to another process between two requests.
 
-    `leaving`: another process accepts, or is about to. `on_idle` is called with each connection
-    that becomes idle then.
+    `leaving` is true while another process accepts connections or is about to. During that time
+    `on_idle` is called with each connection that becomes idle.
     """
 
     def __init__(
@@ -46,92 +46,93 @@
         self.on_idle: Callable[[ClientConnection], None] | None = None
 
     def mark_resting(self, connection: ClientConnection) -> None:
-        """Note that a connection is between two requests."""
+        """Record that a connection is between two requests."""
         if not self.leaving:
             super().mark_resting(connection)
         elif self.connection_limit.state(connection) is not None:
-            # None is closed for being idle for long: all of them are about to migrate, and the
-            # places here only get fewer.
+            # The idle timeout does not apply here: all connections are about to migrate, and
+            # this process accepts no new ones.
             self.connection_limit.set_state(connection, ConnectionState.RESTING, monotonic())
             if self.on_idle is not None:
                 self.on_idle(connection)
 
 
-class _Offered(NamedTuple):
-    """A connection of this process in a batch, with the copy of its descriptor that goes along."""
+class _OfferedConnection(NamedTuple):
+    """A connection of this process in a batch, with the duplicate descriptor that is sent."""
 
     connection: ClientConnection
     descriptor: int
 
 
-class _Received(NamedTuple):
-    """A connection of the sibling: how many requests it has brought, and its descriptor."""
+class _ReceivedConnection(NamedTuple):
+    """A connection received from the sibling: its number of requests so far, its descriptor."""
 
     requests_served: int
     descriptor: int
 
 
 class Migrations:
-    """Connections on their way: those that wait for a batch, and batches in both directions."""
+    """Connections in migration: those waiting for a batch, and batches sent and received."""
 
     def __init__(self, server: MigratingServer) -> None:
         self._server = server
         self._waiting: dict[ClientConnection, None] = {}  # in the order in which they became idle
-        self._offered: dict[int, list[_Offered]] = {}
-        self._received: dict[int, list[_Received]] = {}
-        self.moved = 0  # connections that the sibling has taken over
+        self._offered: dict[int, list[_OfferedConnection]] = {}
+        self._received: dict[int, list[_ReceivedConnection]] = {}
+        self.moved = 0  # connections that the sibling has taken over so far
 
     @property
     def waiting(self) -> int:
-        """Connections that can be offered."""
+        """Number of idle connections that can be offered to the sibling."""
         return len(self._waiting)
 
     def set_leaving(self, leaving: bool) -> None:
-        """Whether connections are about to migrate."""
+        """Set whether client connections are about to migrate to the sibling."""
         self._server.leaving = leaving
 
-    def begin(self, wanted: Callable[[], None]) -> None:
-        """Offer idle connections, now and as they become idle.
+    def begin(self, on_waiting: Callable[[], None]) -> None:
+        """Collect idle connections for migration: those idle now and those that become idle.
 
-        `wanted` is called when there are some.
+        `on_waiting` is called whenever there are connections to offer.
         """
 
         def on_idle(connection: ClientConnection) -> None:
-            """Offer a connection that is between two requests now."""
+            """Queue a connection that has just become idle."""
             self._waiting[connection] = None
-            wanted()
+            on_waiting()
 
         self._server.on_idle = on_idle
         for connection in self._server.connection_limit.connections():
             if connection.idle():
                 self._waiting[connection] = None
         if self._waiting:
-            wanted()
+            on_waiting()
 
     def stop(self) -> None:
-        """Offer no more."""
+        """Stop offering connections, and forget those that wait for a batch."""
         self._server.on_idle = None
         self._waiting.clear()
 
     def offer(self, batch: int, size: int) -> tuple[list[int], list[int]]:
-        """Hold connections for a batch.
+        """Pause up to `size` waiting connections and record them as a batch.
 
-        Returns how many requests each has brought, and the descriptors. A connection that has
-        brought another request meanwhile is left for when it is idle again.
+        Returns the number of requests that each has carried so far, and the descriptors to send.
+        A connection on which another request has arrived meanwhile is skipped; it is offered again
+        once it is idle.
         """
-        offered: list[_Offered] = []
+        offered: list[_OfferedConnection] = []
         while self._waiting and len(offered) < size:
             connection = next(iter(self._waiting))
             del self._waiting[connection]
             descriptor = connection.begin_migration()
             if descriptor is not None:
-                offered.append(_Offered(connection, descriptor))
+                offered.append(_OfferedConnection(connection, descriptor))
         self._offered[batch] = offered
         served = [one.connection.requests_served for one in offered]
         return served, [one.descriptor for one in offered]
 
     def release(self, batch: int) -> None:
-        """The sibling holds them: close them here, the copies first."""
+        """Close the connections of a batch that the sibling holds, duplicate descriptors first."""
         offered = self._offered.pop(batch, [])
         for one in offered:
             os.close(one.descriptor)
@@ -140,35 +141,35 @@
             self.moved += 1
 
     def take_back(self, batch: int) -> None:
-        """They stay here."""
+        """Close the duplicate descriptors of a batch and resume its connections here."""
         for one in self._offered.pop(batch, []):
             os.close(one.descriptor)
             one.connection.cancel_migration()
 
     def keep(self, batch: int, requests_served: Iterable[int], descriptors: list[int]) -> None:
-        """Hold the sibling's connections, reading nothing."""
+        """Store the connections of a batch of the sibling, without reading from them yet."""
         self._received[batch] = [
-            _Received(served, descriptor)
+            _ReceivedConnection(served, descriptor)
             for served, descriptor in zip(requests_served, descriptors, strict=True)
         ]
 
     def own(self, batch: int) -> None:
-        """They are this process's now: serve them."""
+        """Serve the connections of a batch that now belong to this process."""
         for one in self._received.pop(batch, []):
             try:
                 sock = socket.socket(fileno=one.descriptor)
-            except OSError:  # its client has gone
+            except OSError:  # the client closed the connection
                 os.close(one.descriptor)
                 continue
             try:
                 self._server.adopt(sock, one.requests_served)
             except Exception:
-                # One connection's fault must not leave the others with nobody.
-                log.exception("a connection could not be taken over")
+                # An error with one connection must not leave the rest of the batch unserved.
+                log.exception("could not serve a client connection received from the sibling")
                 sock.close()
 
     def drop(self) -> None:
-        """What is held is the sibling's after all: close it here."""
+        """Close all received connections that are not served here: the sibling keeps them."""
         for batch in self._received.values():
             for one in batch:
                 os.close(one.descriptor)
@@ -176,12 +177,12 @@
 
 
 async def wait_until_empty(server: Server, until: float, must_close: Callable[[], bool]) -> None:
-    """Wait until no client connection is left, or the loop's time is `until`.
+    """Wait until no client connection is left, or until the event loop's time is `until`.
 
-    While `must_close` says so, idle connections are closed.
+    Idle connections are closed whenever `must_close` returns true.
     """
     loop = asyncio.get_running_loop()
     while len(server.connection_limit) and loop.time() < until:
         if must_close():
             server.close_idle()
-        await asyncio.sleep(LOOK_INTERVAL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/quillroad/upgrade/rendezvous.py
+++ b/quillroad/upgrade/rendezvous.py
@@ -1,6 +1,7 @@
-"""Where a process of a gateway finds the one that serves: a socket in a folder that both have.
+"""The Unix socket by which a new process of a gateway finds the process that serves.
 
-Only their user can open it. Without a folder nobody is found, and nobody finds.
+It lies in a folder that both processes share, and only their user can open it. Without such a
+folder, processes do not find each other.
 """
 
 from __future__ import annotations
@@ -14,25 +15,28 @@
 
 log = logging.getLogger("quillroad.upgrade")
 
-MOST_WAITING = 4  # newcomers that the kernel holds
-LONGEST_PATH_BYTES = 100  # of a socket; the kernel takes 107
-ONLY_OWNER = 0o177  # mask of the socket's permissions
+MAX_PENDING_CONNECTIONS = 4  # listen(2) backlog: new processes that wait to be accepted
+MAX_PATH_BYTES = 100  # of a socket path; the kernel accepts 107
+OWNER_ONLY_UMASK = 0o177  # makes the socket accessible to its owner only
 
 
 class Rendezvous:
-    """The place in `folder` where a newcomer finds who serves at `port`."""
+    """The socket in `folder` at which a new process finds the one that serves `port`."""
 
     def __init__(self, folder: str | None, port: int) -> None:
         self._name = f"quillroad-{port}.sock"
         self._folder = Path(folder) if folder else None
-        self._inode = 0  # of the own file there
+        self._inode = 0  # of the socket file that this process made
 
     @contextlib.contextmanager
     def _path(self, name: str) -> Iterator[Path]:
-        """A path that the kernel takes, however long the folder's is."""
+        """Yield a path to `name` that is short enough for the kernel.
+
+        A long path goes through `/proc/self/fd`.
+        """
         assert self._folder is not None
         path = self._folder / name
-        if len(os.fsencode(path)) <= LONGEST_PATH_BYTES:
+        if len(os.fsencode(path)) <= MAX_PATH_BYTES:
             yield path
             return
         folder = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
@@ -42,28 +46,35 @@
             os.close(folder)
 
     def reach(self) -> socket.socket | None:
-        """A link to whoever serves; None where nobody does."""
+        """Connect to the process that serves; return None if there is none."""
         if self._folder is None:
             return None
         sock = _local_socket()
         try:
             with self._path(self._name) as path:
                 sock.connect(str(path))
-        except OSError:  # no file, a stale one, or too many newcomers
+        except OSError:  # no file, a stale file, or a full backlog
             sock.close()
             return None
         return sock
 
     def open(self) -> socket.socket | None:
-        """Be found there, in place of whoever was; None, and a log line, where that fails."""
+        """Listen at the rendezvous, replacing the socket of the process before.
+
+        Returns None, and logs a warning, if that fails.
+        """
         if self._folder is None:
             return None
         sock = _local_socket()
-        mask_before = os.umask(ONLY_OWNER)
+        mask_before = os.umask(OWNER_ONLY_UMASK)
         try:
             self._bind(sock)
         except OSError as error:
-            log.warning("the next process will not find this one: %s: %s", self._folder, error)
+            log.warning(
+                "cannot listen for the next process in folder %s, it will not find this one: %s",
+                self._folder,
+                error,
+            )
             sock.close()
             return None
         finally:
@@ -71,17 +82,17 @@
         return sock
 
     def _bind(self, sock: socket.socket) -> None:
-        """Listen under a name of its own, then replace the common one in one step."""
-        own = f"{self._name}.{os.getpid()}"
-        with self._path(own) as path, self._path(self._name) as final:
+        """Listen under a name of this process, then rename it to the common name atomically."""
+        own_name = f"{self._name}.{os.getpid()}"
+        with self._path(own_name) as path, self._path(self._name) as final:
             path.unlink(missing_ok=True)
             sock.bind(str(path))
-            sock.listen(MOST_WAITING)
+            sock.listen(MAX_PENDING_CONNECTIONS)
             path.replace(final)
             self._inode = final.stat().st_ino
 
     def close(self) -> None:
-        """Be found no more; a file that is another's by now stays."""
+        """Remove the socket file, unless another process has replaced it."""
         with contextlib.suppress(OSError), self._path(self._name) as path:
             if path.stat().st_ino == self._inode:
                 path.unlink()
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -1,7 +1,8 @@
-"""The parts of a `State`: what one process knows, for another that may be a version older or newer.
+"""The sections of a `State` message: the learned state that one process hands over to another.
 
-Each section is a document of its own under its name. A reader takes those that it knows, and names
-the others; fields that it does not know are passed over, those it misses take their defaults.
+Each section is a separate MessagePack document under its name. The two processes may be of
+different versions: a reader uses the sections that it knows and reports the others, ignores unknown
+fields, and gives missing fields their defaults.
 """
 
 from __future__ import annotations
@@ -21,20 +22,24 @@
 from quillroad.upgrade.state_snapshot import Names, StateSnapshot, adopt, export
 
 KNOWN = ("clock", "hosts", "module", "admission")
-OPTIONAL = ("by-hand", "zones")  # of features that may be off on either side
-# What operators have done comes before the list, so that no host that they took out is shown ready,
-# and before what was learned, which holds only where both processes see the same start of a host.
+OPTIONAL = ("by-hand", "zones")  # their features may be off in either process
+# The order in which sections are read. Operators' actions come before the endpoint list, so that no
+# host that an operator took out of service appears as ready, and before the learned state, which is
+# valid only if both processes have the same start time for a host.
 ORDER = ("by-hand", *KNOWN, "zones")
 
 
 class Clock(Struct):
-    """Both engines count Unix time from one zero, so that no age changes by moving."""
+    """The zero of the engine's clock as Unix time, shared so that ages stay the same."""
 
     epoch_us: int
 
 
 class HostLine(Struct, array_like=True):
-    """One host as the list has it."""
+    """One host of the endpoint list.
+
+    `state` is the number of its `EndpointStatus`, `kind` its machine type, `hint` its weight.
+    """
 
     name: str
     address: tuple[str, int]
@@ -48,10 +53,12 @@
 
 
 class Hosts(Struct):
-    """The list that is served by.
+    """The endpoint list that the process uses.
 
-    `source` and `position` say whose it is and how far it has come, where its source counts;
-    `starts` are starts that were guessed from comings and goings, by name.
+    `source` names the discovery source of the list, `position` its generation there; they are ""
+    and 0 if lists of the source cannot be compared. `starts` has the start times that were inferred
+    from status changes of hosts, by host name: Unix time in microseconds (0: long ago), and whether
+    the host was reported as unhealthy or missing.
     """
 
     lines: list[HostLine]
@@ -61,20 +68,22 @@
 
 
 class AdmissionEstimates(Struct):
-    """What admission has learned: the time of a request, and by class what hosts take."""
+    """What admission has learned: the cost of a request, and the host time of each route.
+
+    `learned_s` is how long `cost_s` has been averaged.
+    """
 
     cost_s: float
     learned_s: float
     hosts_s: dict[str, float] = {}
-    quotas: dict[
-        str, tuple[float, float]
-    ] = {}  # a tenant's tokens, and when they were counted (monotonic)
+    # By tenant: tokens, and when they were last updated (monotonic clock).
+    quotas: dict[str, tuple[float, float]] = {}
 
 
 class ZoneWindow(Struct):
-    """The window of the budget for other zones.
+    """The averaging window of the cross-zone budget.
 
-    First sends, crossings and bytes, at `now_us` of the module's clock.
+    First attempts, cross-zone attempts and their bytes, at `now_us` of the balancer's clock.
     """
 
     firsts: float
@@ -83,8 +92,8 @@
     now_us: int
 
 
-def by_hand(gateway: Gateway) -> OperatorActions | None:
-    """What operators have done; None where they have no address."""
+def operator_actions(gateway: Gateway) -> OperatorActions | None:
+    """Return what operators have done; None if the gateway has no admin address."""
     if gateway.admin is None:
         return None
     back = {
@@ -97,7 +106,7 @@
 
 
 def write(gateway: Gateway) -> dict[str, bytes]:
-    """All sections of a gateway's state, by name. Changes nothing."""
+    """Return all sections of a gateway's state, encoded, by name. Changes nothing."""
     engine, config = _engine(gateway), gateway.config
     routes = [route.name for route in config.settings.routes]
     estimates = gateway.server.admission.learned(routes, config.tenants)
@@ -107,8 +116,8 @@
         "module": export(engine.balancer, _names(config)),
         "admission": AdmissionEstimates(*estimates),
     }
-    if (done := by_hand(gateway)) is not None:
-        sections["by-hand"] = done
+    if (actions := operator_actions(gateway)) is not None:
+        sections["by-hand"] = actions
     if (zones := gateway.zones) is not None:
         sections["zones"] = ZoneWindow(*zones.cross_zone_budget.window_state())
     return {name: msgspec.msgpack.encode(section) for name, section in sections.items()}
@@ -118,7 +127,7 @@
     engine = _engine(gateway)
     source, position = gateway.source.position
     lines = [
-        HostLine(host.name, host.address, *_line(_listed(gateway, number)))
+        HostLine(host.name, host.address, *_line_fields(_listed_endpoint(gateway, number)))
         for number, host in engine.hosts.items()
         if engine.balancer.endpoint(number) is not None
     ]
@@ -127,18 +136,18 @@
 
 
 def read(gateway: Gateway, sections: dict[str, bytes], trial: bool) -> list[str]:
-    """Take the sections over; with `trial` on a copy, which shows what would be left behind.
+    """Adopt the sections; with `trial` only check them, on a copy.
 
-    Returns plain lines of what cannot be used. A section that cannot be read is left out whole: no
-    part of it is believed.
+    Returns one line of text for each thing that cannot be used. A section that cannot be decoded is
+    ignored as a whole.
     """
-    left = [f"section {name!r}: not known" for name in sections if name not in KNOWN + OPTIONAL]
+    unusable = [f"section {name!r}: not known" for name in sections if name not in KNOWN + OPTIONAL]
     for name in ORDER:
         if name in sections:
-            left += _read_section(gateway, name, sections[name], trial)
+            unusable += _read_section(gateway, name, sections[name], trial)
         elif name not in OPTIONAL:
-            left.append(f"section {name!r}: missing")
-    return left
+            unusable.append(f"section {name!r}: missing")
+    return unusable
 
 
 def _read_section(gateway: Gateway, name: str, body: bytes, trial: bool) -> Iterable[str]:
@@ -161,13 +170,13 @@
     return gateway.engine
 
 
-def _listed(gateway: Gateway, number: int) -> Endpoint:
-    """A host as its source tells it, under whatever operators have done."""
+def _listed_endpoint(gateway: Gateway, number: int) -> Endpoint:
+    """Return a host as its discovery source lists it, without any operator override."""
     overridden = (
         gateway.admin.host_overrides.listed_endpoint(number) if gateway.admin is not None else None
     )
     listed = overridden or _engine(gateway).balancer.endpoint(number)
-    assert listed is not None  # the caller asks for hosts of the endpoint list only
+    assert listed is not None  # callers pass only hosts of the endpoint list
     return listed
 
 
@@ -175,15 +184,15 @@
     return Names(config.tenants, config.machine_types)
 
 
-def _line(spec: Endpoint) -> tuple[int, int, int, int, int, float, int | None]:
+def _line_fields(entry: Endpoint) -> tuple[int, int, int, int, int, float, int | None]:
     return (
-        spec.id,
-        spec.status.value,
-        spec.zone,
-        spec.cell,
-        spec.machine_type,
-        spec.weight,
-        spec.started_us,
+        entry.id,
+        entry.status.value,
+        entry.zone,
+        entry.cell,
+        entry.machine_type,
+        entry.weight,
+        entry.started_us,
     )
 
 
@@ -195,9 +204,10 @@
 
 
 def _read_hosts(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
-    """Keep the own list, unless there is none yet or the other's is later and of the same source.
+    """Adopt the list if this process has none, or if it is a later one of the same source.
 
-    A drain that reached only the other process must not be undone.
+    Otherwise this process keeps its own list. A drain that only the other process has heard of must
+    not be undone.
     """
     document = msgspec.msgpack.decode(body, type=Hosts)
     if trial:
@@ -250,7 +260,7 @@
 def _read_operator_actions(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
     document = msgspec.msgpack.decode(body, type=OperatorActions)
     if gateway.admin is None:
-        return ["by-hand: operators have no address here"]
+        return ["section 'by-hand': not used: no admin address is configured here"]
     if not trial:
         gateway.admin.learn(document.out, document.back, document.drained)
     return ()
@@ -259,7 +269,7 @@
 def _read_zones(gateway: Gateway, body: bytes, trial: bool) -> Iterable[str]:
     document = msgspec.msgpack.decode(body, type=ZoneWindow)
     if gateway.zones is None:
-        return ["zones: the budget for other zones is off here"]
+        return ["section 'zones': not used: the cross-zone budget is off here"]
     if not trial:
         gateway.zones.cross_zone_budget.resume(
             document.firsts, document.crossed, document.size, document.now_us
--- a/quillroad/upgrade/sibling_engine.py
+++ b/quillroad/upgrade/sibling_engine.py
@@ -1,7 +1,7 @@
 """The engine of a process that may have a sibling: another process of the same gateway.
 
-Each tells the other what it has in flight, so that both together keep to what one gateway may send.
-Only imported where upgrades are on.
+Each process reports its attempts in flight to the other, so that both together stay within the
+limits of one gateway. Imported only where upgrades are on.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 class SiblingEngine(Engine):
     """An engine that may have a sibling.
 
-    `on_change` is called when what `attempts_in_flight` returns may have changed.
+    `on_change` is called when the result of `attempts_in_flight` may have changed.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
     ) -> None:
         super().__init__(loop, balancer, upstream)
         self.counts = RequestCounts()
-        self.sibling_request_ids: set[str] = set()  # of requests that the sibling has open
+        self.sibling_request_ids: set[str] = set()  # requests open at the sibling
         self.on_change: Callable[[], None] | None = None
         self._reported_attempts: dict[int, tuple[int, int]] = {}
         self._reported_ids: set[str] = set()
@@ -41,7 +41,7 @@
 
     @property
     def balancer(self) -> Balancer:
-        """The decisions, whose snapshot goes along."""
+        """The balancer, whose state snapshot is handed over."""
         return self._balancer
 
     @property
@@ -51,32 +51,35 @@
 
     @epoch_us.setter
     def epoch_us(self, value: int) -> None:
-        """Go by the zero of another engine, so that ages count alike in both."""
+        """Use the zero of another engine's clock, so that ages are the same in both."""
         self._clock.epoch_us = value
 
     @property
     def open(self) -> int:
-        """Requests that wait for their answer."""
+        """Number of requests that wait for their answer."""
         return len(self._unanswered_ids)
 
     def is_unanswered(self, request_id: str) -> bool:
-        """Whether a request with this id waits for its answer, here or at the sibling."""
+        """Return whether a request with this id waits for its answer, here or at the sibling."""
         return super().is_unanswered(request_id) or request_id in self.sibling_request_ids
 
     def learn(self, report: AttemptsInFlight, owns_slow_start: bool) -> None:
-        """Take what the sibling has in flight; `owns_slow_start`: the slots are ours."""
+        """Apply the sibling's report of its attempts in flight and open requests.
+
+        `owns_slow_start`: the slow-start slots belong to this process.
+        """
         self.sibling_request_ids.update(report.opened)
         self.sibling_request_ids.difference_update(report.ended)
         self._sibling_attempts = {host: (count, overdue) for host, count, overdue in report.at}
         self.feed(SiblingAttempts(self._sibling_attempts, owns_slow_start))
 
     def set_slow_start_owner(self, owns_slow_start: bool) -> None:
-        """Note whose the slow-start slots are now."""
+        """Set whether the slow-start slots belong to this process."""
         if owns_slow_start is not self._balancer.owns_slow_start:
             self.feed(SiblingAttempts(self._sibling_attempts, owns_slow_start))
 
     def forget_sibling(self) -> None:
-        """Note that no sibling is at work."""
+        """Drop all that the sibling reported: it no longer serves requests."""
         self.sibling_request_ids.clear()
         self._reported_attempts = {}
         self._reported_ids = set()
@@ -84,7 +87,10 @@
         self.feed(SiblingAttempts())
 
     def attempts_in_flight(self) -> AttemptsInFlight | None:
-        """What has changed since this was asked last; None for nothing."""
+        """Return the report for the sibling, or None if nothing changed since the last call.
+
+        It holds all attempts in flight by host, and the ids of requests opened and ended since.
+        """
         attempts = attempts_in_flight(self._balancer)
         opened = self._unanswered_ids - self._reported_ids
         ended = self._reported_ids - self._unanswered_ids
@@ -101,7 +107,7 @@
         reply: Callable[[Reply], None],
         client: Requester | None = None,
     ) -> OpenRequest:
-        """Take a request, as `Engine.accept`."""
+        """Accept a request as `Engine.accept` does, and call `on_change`."""
         opened = super().accept(request, reply, client)
         if self.on_change is not None:
             self.on_change()
--- a/quillroad/upgrade/sibling_handover.py
+++ b/quillroad/upgrade/sibling_handover.py
@@ -1,19 +1,20 @@
-"""Two processes of one gateway without a supervisor: who asks, who gives, who serves. No I/O.
+"""Hand-over between two processes of one gateway without a supervisor. No I/O.
 
-Each process plays the supervisor for its own worker state (`worker_state`), by what it hears from
-the other:
+Each process acts as the supervisor of its own worker state (`worker_state`), according to the
+messages of the other process:
 
-    newcomer                                   the one that serves
-    Hello  ->                                  one newcomer at a time
+    new process                                serving process
+    Hello  ->                                  accepts one new process at a time
                                            <-  Welcome(descriptors) + the listening socket
-    reads its configuration, tests its path
-    Ready  ->                                  tells its worker Give
-    tells its worker Take          <- State(final=False) ..., as in `worker_state`
-                                               Prepared: tells its worker Yield
-    StateAdopted: tells its worker Own, and is found by the next newcomer from then on
-
-Whoever stops hearing the other goes on alone: the one that gave takes the listener again, which it
-never closed; the newcomer serves by the listener that it was given, or by one of its own.
+    reads its configuration, runs its self-test
+    Ready  ->                                  sends Give to its worker state
+    sends Take to its worker state         <-  State(final=False) ..., as in `worker_state`
+                                               on Prepared: sends Yield to its worker state
+    on StateAdopted: sends Own to its worker state, and waits for the next new process
+
+A process that loses the link continues alone: the one that handed over accepts again on its
+listener, which it never closed; the new one serves with the listener that it received, or opens
+one.
 """
 
 from __future__ import annotations
@@ -38,40 +39,42 @@
     batch_of,
 )
 
-SIBLING = 1  # the number by which each knows the other
-# For the one that serves to answer a newcomer: it answers in one iteration of its event loop.
+SIBLING = 1  # the worker number that each process uses for the other
+# For the answer of the serving process to `Hello`, which takes one iteration of its event loop.
 ANSWER_TIMEOUT_S = 1.5
-# From a newcomer's start to its serving, if need be alone: operators want its yes within 6 s.
+# From the start of a new process until it serves, alone if necessary. Operators expect its health
+# check to succeed within 6 s.
 HANDOVER_TIMEOUT_S = 4.0
-BUSY_TIMEOUT_S = 2.0  # for which a newcomer asks again where another is being served
-# That a newcomer has from its start on, while it tests its path: twice what is no connection.
+BUSY_TIMEOUT_S = 2.0  # how long a new process retries while the serving one is busy with another
+# Of a new process from its start on, while it runs its self-test: twice those that are reserved for
+# other uses than connections.
 NEWCOMER_DESCRIPTORS = 2 * RESERVED
 
 
 class HandoverPhase(Enum):
-    """Where a process is."""
+    """The phase of a process in the hand-over."""
 
-    LOOKS = "looks"  # for one that serves
-    AWAITS_WELCOME = "awaits welcome"  # was heard by one, and waits for its answer
-    PREPARES = "prepares"
-    TAKES = "takes"
-    SERVES = "serves"
-    GIVES = "gives"  # serves, and a newcomer is about to
-    STANDS_BY = "stands by"  # another serves; takes the listener again if that one fails
+    SEARCHING = "looks"  # for a process that serves
+    AWAITING_WELCOME = "awaits welcome"  # has sent `Hello` to the serving process
+    PREPARING = "prepares"  # reads its configuration and runs its self-test
+    TAKING_OVER = "takes"
+    SERVING = "serves"
+    HANDING_OVER = "gives"  # still serves, and a new process prepares to take over
+    STANDING_BY = "stands by"  # has handed over; accepts again if the link is lost
 
 
 class HandoverStep(Enum):
     """Commands without parameters."""
 
-    PREPARE = "prepare"  # read the configuration, test the path
-    OPEN = "open"  # a listener of its own, where none was given
-    PUBLISH = "publish"  # be found by newcomers
-    CUT = "cut"  # hear nothing more of the sibling
+    PREPARE = "prepare"  # read the configuration, run the self-test
+    OPEN_LISTENER = "open"  # if none was received from the sibling
+    PUBLISH = "publish"  # listen for new processes at the rendezvous
+    CLOSE_LINK = "cut"  # to the sibling
 
 
 @dataclass(frozen=True, slots=True)
 class SendToSibling:
-    """Send a message to the sibling; with the listening socket where `listener`."""
+    """Send a message to the sibling; if `listener`, with the listening socket."""
 
     message: Message
     listener: bool = False
@@ -79,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TellWorker:
-    """Give a message to the own worker state, as a supervisor would."""
+    """Pass a message to this process's worker state, as a supervisor would."""
 
     message: Message
 
@@ -89,108 +92,115 @@
 
 @dataclass(slots=True)
 class SiblingHandover:
-    """One process's view.
+    """The state machine of one process in the hand-over.
 
-    `descriptors` are what both processes may hold together, without what the operators' address
-    keeps.
+    `descriptors` is the limit for both processes together, without those that the admin listener
+    reserves.
     """
 
     descriptors: int
-    phase: HandoverPhase = HandoverPhase.LOOKS
+    phase: HandoverPhase = HandoverPhase.SEARCHING
     build: str = ""
     ending: bool = False
     _grant: int = 0
 
     @property
-    def _for_newcomer(self) -> int:
+    def _newcomer_limit(self) -> int:
         return min(NEWCOMER_DESCRIPTORS, self.descriptors // 2)
 
-    def _own(self) -> list[HandoverCommand]:
+    def _serve(self) -> list[HandoverCommand]:
         self._grant += 1
-        self.phase = HandoverPhase.SERVES
+        self.phase = HandoverPhase.SERVING
         return [TellWorker(Own(self._grant)), HandoverStep.PUBLISH]
 
-    # As a newcomer.
+    # As the new process.
 
-    def found(self) -> list[HandoverCommand]:
-        """A process that serves was reached."""
-        self.phase = HandoverPhase.AWAITS_WELCOME
+    def sibling_found(self) -> list[HandoverCommand]:
+        """Send `Hello`: the link to a serving process is open."""
+        self.phase = HandoverPhase.AWAITING_WELCOME
         return [SendToSibling(Hello(VERSION, self.build))]
 
-    def nobody(self) -> list[HandoverCommand]:
-        """No process that serves was reached, or it does not answer in time."""
-        self.phase = HandoverPhase.PREPARES
-        return [HandoverStep.CUT, HandoverStep.PREPARE]
+    def no_sibling_found(self) -> list[HandoverCommand]:
+        """Prepare to serve alone: no serving process was found, or it did not answer in time."""
+        self.phase = HandoverPhase.PREPARING
+        return [HandoverStep.CLOSE_LINK, HandoverStep.PREPARE]
 
-    def prepared(self, linked: bool) -> list[HandoverCommand]:
-        """The configuration is read and the path works; `linked` to the one that serves."""
+    def preparation_done(self, linked: bool) -> list[HandoverCommand]:
+        """Take over, or serve alone if not `linked`: the gateway of this process is built.
+
+        `linked`: the link to the serving process is open.
+        """
         if linked:
-            self.phase = HandoverPhase.TAKES
+            self.phase = HandoverPhase.TAKING_OVER
             return [TellWorker(Take(SIBLING)), SendToSibling(Ready())]
         return self._serve_alone()
 
-    def late(self) -> list[HandoverCommand]:
-        """The sibling did not bring this process to serving in time."""
-        if self.phase is not HandoverPhase.TAKES:
+    def handover_timed_out(self) -> list[HandoverCommand]:
+        """Serve alone if the sibling has not handed over within `HANDOVER_TIMEOUT_S`."""
+        if self.phase is not HandoverPhase.TAKING_OVER:
             return []
-        return [HandoverStep.CUT, *self._serve_alone()]
+        return [HandoverStep.CLOSE_LINK, *self._serve_alone()]
 
     def _serve_alone(self) -> list[HandoverCommand]:
-        return [HandoverStep.OPEN, TellWorker(DescriptorLimit(self.descriptors)), *self._own()]
+        return [
+            HandoverStep.OPEN_LISTENER,
+            TellWorker(DescriptorLimit(self.descriptors)),
+            *self._serve(),
+        ]
 
-    # As the one that serves.
+    # As the serving process.
 
-    def may_come(self) -> bool:
-        """Whether a newcomer is served now; else it asks again, or serves alone."""
-        return self.phase is HandoverPhase.SERVES and not self.ending
+    def accepts_newcomer(self) -> bool:
+        """Return whether a hand-over may start now; if not, the new process retries for a while."""
+        return self.phase is HandoverPhase.SERVING and not self.ending
 
     def _welcome(self, hello: Hello) -> list[HandoverCommand]:
         if hello.version != VERSION:
-            return [HandoverStep.CUT]
-        self.phase = HandoverPhase.GIVES
-        left = self.descriptors - self._for_newcomer - 2 * batch_of(self.descriptors)
+            return [HandoverStep.CLOSE_LINK]
+        self.phase = HandoverPhase.HANDING_OVER
+        left = self.descriptors - self._newcomer_limit - 2 * batch_of(self.descriptors)
         welcome = Welcome(self.descriptors // 2)
         return [TellWorker(DescriptorLimit(left)), SendToSibling(welcome, listener=True)]
 
-    # Either.
+    # As either process.
 
     def sibling_said(self, message: Message) -> list[HandoverCommand]:
-        """Take a message of the sibling that is not for the worker state."""
+        """Handle a message of the sibling that is not for the worker state."""
         match message:
-            case Hello() if self.may_come():
+            case Hello() if self.accepts_newcomer():
                 return self._welcome(message)
-            case Ready() if self.phase is HandoverPhase.GIVES:
-                lent = self.descriptors // 2 - self._for_newcomer
+            case Ready() if self.phase is HandoverPhase.HANDING_OVER:
+                lent = self.descriptors // 2 - self._newcomer_limit
                 return [TellWorker(Give(lent, SIBLING))]
-            case Welcome() if self.phase is HandoverPhase.AWAITS_WELCOME:
-                self.phase = HandoverPhase.PREPARES
+            case Welcome() if self.phase is HandoverPhase.AWAITING_WELCOME:
+                self.phase = HandoverPhase.PREPARING
                 return [HandoverStep.PREPARE]
         return []
 
     def worker_said(self, message: Message) -> list[HandoverCommand]:
-        """Take a message that the own worker state has for its supervisor."""
+        """Handle a message of this process's worker state to its supervisor."""
         match message:
-            case Prepared() if self.phase is HandoverPhase.GIVES:
-                self.phase = HandoverPhase.STANDS_BY
+            case Prepared() if self.phase is HandoverPhase.HANDING_OVER:
+                self.phase = HandoverPhase.STANDING_BY
                 self._grant += 1
                 return [TellWorker(Yield(self._grant))]
-            case StateAdopted() if self.phase is HandoverPhase.TAKES:
-                return self._own()
+            case StateAdopted() if self.phase is HandoverPhase.TAKING_OVER:
+                return self._serve()
         return []
 
     def link_lost(self) -> list[HandoverCommand]:
-        """The sibling cannot be heard any more; the own worker state knows."""
+        """Handle the loss of the link, of which the worker state has been informed already."""
         if self.ending:
-            return []  # a process that ends takes nothing over
+            return []  # a process that ends does not take over
         match self.phase:
-            case HandoverPhase.AWAITS_WELCOME:
-                # The sibling is busy with another newcomer, or has just ended.
-                self.phase = HandoverPhase.LOOKS
-            case HandoverPhase.TAKES:
+            case HandoverPhase.AWAITING_WELCOME:
+                # The sibling is busy with another new process, or has just ended.
+                self.phase = HandoverPhase.SEARCHING
+            case HandoverPhase.TAKING_OVER:
                 return self._serve_alone()
-            case HandoverPhase.STANDS_BY:
-                return [TellWorker(DescriptorLimit(self.descriptors)), *self._own()]
-            case HandoverPhase.GIVES | HandoverPhase.SERVES:
-                self.phase = HandoverPhase.SERVES
+            case HandoverPhase.STANDING_BY:
+                return [TellWorker(DescriptorLimit(self.descriptors)), *self._serve()]
+            case HandoverPhase.HANDING_OVER | HandoverPhase.SERVING:
+                self.phase = HandoverPhase.SERVING
                 return [TellWorker(DescriptorLimit(self.descriptors))]
         return []
--- a/quillroad/upgrade/sibling_process.py
+++ b/quillroad/upgrade/sibling_process.py
@@ -1,8 +1,9 @@
-"""A process that runs beside the one before it for as long as it takes to hand over.
+"""A gateway process that takes over from its predecessor without a supervisor.
 
-`sibling_handover` decides. The two meet at a socket in a folder that both have (`rendezvous`).
-Without such a folder, or with nobody there that answers, a process serves by a listener of its own,
-which the kernel lets several processes have side by side.
+Both processes run side by side until the hand-over is complete. `sibling_handover` makes the
+decisions. The processes find each other through a socket in a folder that they share
+(`rendezvous`). Without such a folder, or if no process answers there, a process serves with a
+listener of its own; the kernel lets several processes listen on the same address (SO_REUSEPORT).
 """
 
 from __future__ import annotations
@@ -51,16 +52,16 @@
 
 log = logging.getLogger("quillroad.upgrade")
 
-LOOK_INTERVAL_S = 0.05  # between two looks for one that serves
-LEND_INTERVAL_S = 0.1  # between two looks at what can be lent to the sibling
+SEARCH_INTERVAL_S = 0.05  # between two attempts to reach the serving process
+LEND_INTERVAL_S = 0.1  # between two checks for descriptors that can be lent to the sibling
 NO_DESCRIPTOR = -1
 
 
 class SiblingProcess(WorkerProcess):
-    """One process, from its start on.
+    """One process without a supervisor, from its start to its end.
 
-    `again` reads the configuration for a reload, `zones` is the file of the budget for other zones,
-    and `folder` the one in which processes meet.
+    `again` reads the configuration for a reload, `zones` is the file of the cross-zone budget, and
+    `folder` the one with the rendezvous socket, if any.
     """
 
     def __init__(
@@ -74,37 +75,38 @@
         super().__init__(loop, again, zones)
         self._config = config
         self._rendezvous = Rendezvous(folder, config.listen[1])
-        self._newcomers: socket.socket | None = None  # where they connect
+        # The rendezvous socket, while new processes can find this one.
+        self._newcomers: socket.socket | None = None
         build = f"{sys.version_info[0]}.{sys.version_info[1]}"
         self._handover = SiblingHandover(config.sockets - admin.RESERVED, build=build)
         self._sibling_pidfd = NO_DESCRIPTOR
         self._started_at = loop.time()
 
     def begin(self) -> None:
-        """Look for one that serves, and then serve."""
-        self._tasks.start(self._look_for_sibling())
+        """Start to search for a serving process; take over from it, or serve alone."""
+        self._tasks.start(self._search_for_sibling())
 
-    async def _look_for_sibling(self) -> None:
+    async def _search_for_sibling(self) -> None:
         until = self._started_at + BUSY_TIMEOUT_S
         while not self._ending:
-            if self._handover.phase is HandoverPhase.LOOKS:
+            if self._handover.phase is HandoverPhase.SEARCHING:
                 sock = self._rendezvous.reach() if self._loop.time() < until else None
                 if sock is not None:
                     self._open_link(sock)
                 if self._sibling is None:
-                    self._perform_handover(self._handover.nobody())
+                    self._perform_handover(self._handover.no_sibling_found())
                     return
-                self._perform_handover(self._handover.found())
-                self._loop.call_later(ANSWER_TIMEOUT_S, self._sibling_is_silent)
-            elif self._handover.phase is not HandoverPhase.AWAITS_WELCOME:
+                self._perform_handover(self._handover.sibling_found())
+                self._loop.call_later(ANSWER_TIMEOUT_S, self._welcome_timed_out)
+            elif self._handover.phase is not HandoverPhase.AWAITING_WELCOME:
                 return
-            # One that is busy with another newcomer ends the link, and may have time later.
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            # A serving process that is busy with another new one closes the link: try again.
+            await asyncio.sleep(SEARCH_INTERVAL_S)
 
-    def _sibling_is_silent(self) -> None:
-        if self._handover.phase is HandoverPhase.AWAITS_WELCOME:
-            log.warning("the process that serves does not answer")
-            self._perform_handover(self._handover.nobody())
+    def _welcome_timed_out(self) -> None:
+        if self._handover.phase is HandoverPhase.AWAITING_WELCOME:
+            log.warning("the serving process did not answer Hello in time: this one serves alone")
+            self._perform_handover(self._handover.no_sibling_found())
 
     # The sibling.
 
@@ -114,12 +116,16 @@
             self._watch_process(self._sibling.peer)
 
     def _watch_process(self, process: int) -> None:
-        """See the end of the sibling: what it offered and did not release is nobody else's then."""
+        """Watch for the end of the sibling process, by its pid.
+
+        Once it has ended, this process serves the connections that it offered but did not release.
+        """
         self._unwatch_process()
         try:
             self._sibling_pidfd = os.pidfd_open(process)
         except (OSError, AttributeError):
-            return  # a batch whose giver dies in the middle of it is closed then
+            # Without pidfd, connections whose giver dies before their release are closed.
+            return
         self._loop.add_reader(self._sibling_pidfd, self._sibling_ended)
 
     def _unwatch_process(self) -> None:
@@ -144,7 +150,7 @@
         self._perform_handover(self._handover.sibling_said(message))
 
     def _serve_operators(self, on: bool) -> None:
-        """Each process has an address of its own for operators, from its start to its end."""
+        """Do nothing: each process has its own admin address, from its start to its end."""
 
     def _close_link(self) -> None:
         was_linked = self._sibling is not None
@@ -155,14 +161,14 @@
     def _to_supervisor(self, message: Message) -> None:
         self._perform_handover(self._handover.worker_said(message))
 
-    # Commands of the hand-over.
+    # Commands of `sibling_handover`.
 
     def _perform_handover(self, commands: list[HandoverCommand]) -> None:
         for command in commands:
             try:
                 self._perform_handover_command(command)
             except Exception:
-                log.exception("could not carry out %s", command)
+                log.exception("error while executing the command %s", command)
                 self._fail(1)
                 return
 
@@ -177,18 +183,18 @@
                     self._perform_all(self._state.supervisor_said(command.message))
             case HandoverStep.PREPARE:
                 self._tasks.start(self._prepare())
-            case HandoverStep.OPEN:
+            case HandoverStep.OPEN_LISTENER:
                 if self._listener is None:
                     self._listener = open_listener(*self._config.listen, shared=True)
             case HandoverStep.PUBLISH:
                 self._publish()
-            case HandoverStep.CUT:
+            case HandoverStep.CLOSE_LINK:
                 self._close_link()
 
     # Serving.
 
     async def _prepare(self) -> None:
-        """Test the path of a request, build the gateway, and go on with the hand-over."""
+        """Run the self-test if there is a sibling, build the gateway, continue the hand-over."""
         is_linked = self._sibling is not None
         try:
             if is_linked:
@@ -199,27 +205,28 @@
             self._fail(2 if isinstance(error, ConfigError) else 1)
             return
         self._tasks.start(self._lend_forever())
-        is_linked = self._sibling is not None  # it may have gone meanwhile
+        is_linked = self._sibling is not None  # it may have been lost during the self-test
         if is_linked:
-            self._loop.call_at(self._started_at + HANDOVER_TIMEOUT_S, self._handover_is_late)
-        self._perform_handover(self._handover.prepared(is_linked))
+            self._loop.call_at(self._started_at + HANDOVER_TIMEOUT_S, self._handover_timed_out)
+        self._perform_handover(self._handover.preparation_done(is_linked))
 
     def _build_gateway(self, is_linked: bool) -> None:
         descriptors = self._handover.descriptors
         self._build(self._config, (descriptors // 2 if is_linked else descriptors) - RESERVED)
-        self._state.batch = batch_of(descriptors)  # as many as the hand-over sets apart for
+        # `sibling_handover` reserves descriptors for two batches of this size.
+        self._state.batch = batch_of(descriptors)
         operators = self.gateway.admin
         assert operators is not None
         operators.start()
         operators.serves = self._answers_operators
 
     def _answers_operators(self) -> bool:
-        return self._state.accepts or self._handover.phase is HandoverPhase.STANDS_BY
+        return self._state.accepts or self._handover.phase is HandoverPhase.STANDING_BY
 
-    def _handover_is_late(self) -> None:
-        if self._handover.phase is HandoverPhase.TAKES:
-            log.warning("the other process did not hand over in time: this one serves alone")
-            self._perform_handover(self._handover.late())
+    def _handover_timed_out(self) -> None:
+        if self._handover.phase is HandoverPhase.TAKING_OVER:
+            log.warning("the sibling process did not hand over in time: this one serves alone")
+            self._perform_handover(self._handover.handover_timed_out())
 
     async def _lend_forever(self) -> None:
         while True:
@@ -227,10 +234,10 @@
             if self._state.yielded:
                 self._update_sibling()
 
-    # Newcomers.
+    # Accepting new processes.
 
     def _publish(self) -> None:
-        """Be found by newcomers."""
+        """Listen for new processes at the rendezvous."""
         self._unpublish()
         self._newcomers = self._rendezvous.open()
         if self._newcomers is not None:
@@ -240,9 +247,9 @@
         assert self._newcomers is not None
         try:
             sock, _ = self._newcomers.accept()
-        except OSError:  # it has gone again
+        except OSError:  # the new process has closed the connection
             return
-        if self._sibling is None and self._handover.may_come():
+        if self._sibling is None and self._handover.accepts_newcomer():
             self._open_link(sock)
         else:
             sock.close()
@@ -257,7 +264,7 @@
     # The end.
 
     def drain(self) -> None:
-        """Answer what is open and end; newcomers find this process no more."""
+        """Answer open requests and end; new processes no longer find this one."""
         self._handover.ending = True
         if self._gateway is not None:
             self._gateway.serving_state.end()
@@ -267,13 +274,13 @@
     def _end(self) -> None:
         stands_by = self._gateway is not None and not self._state.accepts
         if stands_by and self._sibling is not None:
-            # The link stays: connections migrate for as long as there are some.
+            # Keep the link open: idle connections still migrate.
             self._perform_all([WorkerStep.FINISH])
         else:
             super()._end()
 
     async def close(self) -> None:
-        """Leave the rendezvous and the sibling, and wait for what still runs."""
+        """Close the rendezvous socket and the link, and wait for the remaining tasks."""
         self._ending = self._handover.ending = True
         self._unpublish()
         self._close_link()
@@ -284,7 +291,10 @@
 async def serve(
     config: Config, again: Callable[[], Config], zones: Path | None, environment: Mapping[str, str]
 ) -> int:
-    """Run one process to its end; returns the status to exit with."""
+    """Run one process until it ends; return its exit status.
+
+    The folder of the rendezvous socket is `TMPDIR` of the environment.
+    """
     loop = asyncio.get_running_loop()
     process = SiblingProcess(loop, config, again, zones, environment.get("TMPDIR"))
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -296,6 +306,6 @@
 
 
 def run(config: Config, again: Callable[[], Config], zones: Path | None = None) -> int:
-    """Run one process from its start to its end; returns the status to exit with."""
+    """Run one process in an event loop until it ends; return its exit status."""
     start_log()
     return uvloop.run(serve(config, again, zones, os.environ))
--- a/quillroad/upgrade/state_adoption.py
+++ b/quillroad/upgrade/state_adoption.py
@@ -1,4 +1,4 @@
-"""A state snapshot given to a balancer that has done no work yet. No I/O."""
+"""Loading of a state snapshot into a new balancer. No I/O."""
 
 from __future__ import annotations
 
@@ -25,44 +25,44 @@
     TimerPurpose.RETRY.value,
     TimerPurpose.WATCH_ENDPOINTS.value,
 )
-"""Purposes of the timers that are taken over. The others go by permits and pauses, which start anew
-with the new process."""
+"""Purposes of the timers that are restored. The other timers depend on permits and pauses, which
+start anew in the new process."""
 
 
 def adopt(balancer: Balancer, document: StateSnapshot, names: Names) -> list[str]:
-    """Give what is told to a balancer that has done no work yet.
+    """Load a state snapshot into a balancer that has handled no requests yet.
 
-    Returns plain lines of what it could not use. The endpoint list that it has stands where it has
-    one: it may not serve by one that another source has withdrawn meanwhile, so only hosts in both
-    lists are learned of. Without a list it takes the told one.
+    Returns one line of text for each thing that could not be used. A balancer that has an endpoint
+    list keeps it, because the list in the snapshot may have been withdrawn since; learned state is
+    then loaded only for hosts in both lists. A balancer without a list takes that of the snapshot.
     """
-    left = []
+    unusable = []
     if document.version > VERSION:
-        left.append(f"knowledge of version {document.version}: read as version {VERSION}")
-    hosts = _adopt_hosts(balancer, document, left)
-    left += _adopt_routes(balancer, document)
-    left += _adopt_tenants(balancer, document, names)
+        unusable.append(f"state snapshot of version {document.version}: read as version {VERSION}")
+    hosts = _adopt_hosts(balancer, document, unusable)
+    unusable += _adopt_routes(balancer, document)
+    unusable += _adopt_tenants(balancer, document, names)
     kinds = {names.kind(kind): kind for kind in [-1, *range(len(names.kinds))]}
     for name, slowness in document.paces.items():
         if name in kinds:
             balancer.machine_slowness[kinds[name]] = slowness
     _adopt_means(balancer, document)
     if document.work is not None:
-        _open(balancer, document.work, [host or HostState(Endpoint(-1)) for host in hosts])
-    return left
+        _adopt_work(balancer, document.work, [host or HostState(Endpoint(-1)) for host in hosts])
+    return unusable
 
 
 def _adopt_hosts(
-    balancer: Balancer, document: StateSnapshot, left: list[str]
+    balancer: Balancer, document: StateSnapshot, unusable: list[str]
 ) -> list[HostState | None]:
-    """The hosts here, in the document's order; None where the list held does not have one."""
+    """Restore the hosts, in the document's order; None for one that is not in the list here."""
     fresh = not balancer.hosts
-    hosts = [_host(balancer, one, fresh, bool(document.work)) for one in document.servers]
+    hosts = [_restore_host(balancer, one, fresh, bool(document.work)) for one in document.servers]
     unknown = sum(
         1 for one, host in zip(document.servers, hosts, strict=True) if one.listed and host is None
     )
     if unknown:
-        left.append(f"{unknown} servers: not in the list held")
+        unusable.append(f"{unknown} servers: not in the list held")
     balancer.now_us = max(balancer.now_us, document.now_us)
     if fresh:
         refresh_candidates(balancer)
@@ -70,12 +70,12 @@
 
 
 def _adopt_routes(balancer: Balancer, document: StateSnapshot) -> list[str]:
-    left = []
+    unusable = []
     routes = {route.settings.name: route for route in balancer.routes}
     for one in document.routes:
         route = routes.get(one.name)
         if route is None:
-            left.append(f"class {one.name!r}: not configured")
+            unusable.append(f"class {one.name!r}: not configured")
             continue
         route.retry_budget.tokens = one.tokens
         route.uncrowded_latency_us = max(1.0, one.cost_us)
@@ -83,20 +83,20 @@
         route.client_wait_us = one.try_us
         for latency_us in one.latency[-route.latency.capacity :]:
             route.latency.append(latency_us)
-    return left
+    return unusable
 
 
 def _adopt_tenants(balancer: Balancer, document: StateSnapshot, names: Names) -> list[str]:
-    left = []
+    unusable = []
     buckets = dict(zip(names.tenants, balancer.tenant_buckets, strict=False))
     for name, (tokens, filled_us) in document.quotas.items():
         bucket = buckets.get(name)
         if bucket is None:
-            left.append(f"tenant {name!r}: not configured")
+            unusable.append(f"tenant {name!r}: not configured")
         else:
             bucket.tokens = tokens
             bucket.filled_us = filled_us
-    return left
+    return unusable
 
 
 def _adopt_means(balancer: Balancer, document: StateSnapshot) -> None:
@@ -110,8 +110,8 @@
         balancer.mean_payoff = document.mean_payoff
     if document.mean_cost_us is not None:
         balancer.mean_work_us = max(1.0, document.mean_cost_us)
-    # In a subset the limit is not learned: it follows from the number of gateways, and one of 1
-    # would end the subset.
+    # With subsetting the limit is not learned but follows from the number of gateways: it is below
+    # 1.0, and raising it to 1.0 would switch the subset off.
     if document.limit is not None and balancer.concurrency_limit >= 1.0:
         balancer.concurrency_limit = max(
             1.0, document.limit * document.balancers / balancer.settings.gateway_count
@@ -122,11 +122,13 @@
         balancer.started_us = document.born_us
 
 
-def _host(balancer: Balancer, document: ServerKnown, fresh: bool, work: bool) -> HostState | None:
-    """The state that a host of the document has here; None where the list held does not have it."""
+def _restore_host(
+    balancer: Balancer, document: ServerKnown, fresh: bool, work: bool
+) -> HostState | None:
+    """Restore one host; None if it is not in the endpoint list here or has restarted."""
     host = balancer.hosts.get(document.id) if document.listed else None
     if host is not None and _has_restarted(host, document):
-        return None  # nothing that was learned holds
+        return None  # what was learned is no longer valid
     if host is None:
         if not (fresh and document.listed) and not work:
             return None
@@ -170,10 +172,10 @@
     return host
 
 
-def _open(balancer: Balancer, work: Work, hosts: Sequence[HostState]) -> None:
+def _adopt_work(balancer: Balancer, work: Work, hosts: Sequence[HostState]) -> None:
     requests = []
     for document in work.requests:
-        request = _open_request(balancer, document, hosts)
+        request = _restore_request(balancer, document, hosts)
         requests.append(request)
         if document.registered:
             balancer.requests[document.id] = request
@@ -191,7 +193,7 @@
     balancer.queued = work.queued
 
 
-def _open_request(
+def _restore_request(
     balancer: Balancer, document: RequestKnown, hosts: Sequence[HostState]
 ) -> Request:
     arrival = RequestArrived(
--- a/quillroad/upgrade/state_document.py
+++ b/quillroad/upgrade/state_document.py
@@ -1,12 +1,12 @@
-"""The state snapshot as a document: what one process's decisions have learned, field by field.
+"""The format of the state snapshot: what a balancer has learned, field by field.
 
-Names and positions of fields are stored and handed over: they stay as older versions wrote them,
-and `state_snapshot` maps them to the fields of `BalancerState`. Where a field has another name here
-than in the document, `field(name=...)` has the stored one; of `array_like` classes only positions
-are stored. Times are microseconds of the balancer's clock.
+The names and positions of fields are part of the format: they must stay as older versions wrote
+them. `state_snapshot` and `state_adoption` map them to the fields of `BalancerState`. Where a field
+has another name in the document, `field(name=...)` gives it; `array_like` classes store positions
+only. Times are microseconds of the balancer's clock.
 
-Adding a field: give it a default that means "not told", and count `VERSION` up only when the
-meaning of a field that was there changes. `docs/design/upgrades.md` has the table of versions.
+To add a field, give it a default that means "not present". Increase `VERSION` only when the meaning
+of an existing field changes. `docs/design/upgrades.md` has the table of versions.
 """
 
 from __future__ import annotations
@@ -16,16 +16,17 @@
 from msgspec import Struct, field
 
 VERSION = 1
-"""Of the meaning of the fields; a document of a later one is read as this one, and that is told."""
+"""Version of the format. A later document is read as this version, and the reader reports that."""
 
 
 class ServerKnown(Struct, array_like=True):
-    """One host: its entry of the endpoint list, and what was learned of it.
+    """One host: its entry in the endpoint list, and what was learned about it.
 
     `state` is the number of its `EndpointStatus`, `kind` its machine type, `hint` its weight,
     `missed_us` and `answered_us` when its newest overdue and newest answered attempts were sent,
-    `slow_start_slot` and `slot_work_left_us` its last slow-start slot and the work left in that.
-    Not `listed`: only an open request still knows of it.
+    `failures` its consecutive failures, `slow_start_slot` and `slot_work_left_us` its last
+    slow-start slot and the work left in that. `listed` is false for a host that is no longer in the
+    endpoint list, but has an attempt of an open request.
     """
 
     id: int
@@ -52,8 +53,8 @@
 class RouteKnown(Struct):
     """One route.
 
-    `tokens` are its retry tokens, `cost_us` its uncrowded latency, learned from `samples` answers,
-    `try_us` how long its clients wait, `latency` its latest latencies (us).
+    `tokens` are the tokens of its retry budget, `cost_us` is its uncrowded latency, learned from
+    `samples` answers, `try_us` how long its clients wait, `latency` its latest latencies (us).
     """
 
     name: str
@@ -67,8 +68,8 @@
 class AttemptKnown(Struct, array_like=True):
     """One attempt of an open request.
 
-    `server` is a place in the document's list of hosts. `late`: it is overdue; `full`: it took the
-    last permit of its host.
+    `server` is an index into the document's `servers`. `alone`: its host had no other attempt when
+    it was sent; `late`: it is overdue; `full`: it took the last permit of its host.
     """
 
     server: int
@@ -82,9 +83,10 @@
 class RequestKnown(Struct, array_like=True):
     """One open request.
 
-    `cost_us` is its expected work, `useful_us` until when an answer has value, `over` that it is
-    beyond its tenant's quota, `out` its attempts in flight, `groups` its retry groups. It is
-    `registered` where it is among the balancer's requests, not only in its queue or behind a timer.
+    `cost_us` is its expected work; an answer after `useful_us` has no value; `over` says that it
+    exceeds its tenant's quota; `out` counts its attempts in flight, `groups` its retry groups;
+    `long` marks a long body. `registered`: it is in the balancer's table of requests, not only in a
+    queue or referenced by a timer.
     """
 
     id: int
@@ -101,12 +103,12 @@
 
 
 class Work(Struct):
-    """What is open.
+    """Open requests, queues and timers.
 
-    Requests are told by their places in `requests`, timers (`alarms`) by their purpose's value.
-    `queues` has a pair of lists for each route: within quota, and beyond it. `due` has for each
-    route when an attempt is overdue, its request and its number. An alarm is its id, its purpose
-    and its request, or -1. `tags` is the last timer id.
+    Requests are referenced by their index in `requests`. `queues` has two lists for each route: the
+    requests within quota and those beyond it. `due` has for each route the time at which an attempt
+    becomes overdue, its request and its number in that request. `alarms` are the timers: id, value
+    of the purpose, and request or -1. `tags` is the last timer id.
     """
 
     requests: list[RequestKnown]
@@ -118,13 +120,16 @@
 
 
 class StateSnapshot(Struct):
-    """All that a balancer has learned.
-
-    `limit` is this gateway's part of what `balancers` gateways share. `quotas` has a tenant's
-    tokens and when they were counted, `paces` the slowness of each machine type, by name. `chance`
-    is the state of Python's `random.Random`, `long_work_ratio` the part (0 to 1) of long requests
-    in the work. `born_us` is when this gateway first decided, over all its processes: slow-start
-    slots are its own from then on.
+    """Everything that a balancer has learned.
+
+    `limit` is the concurrency limit of this gateway, one of `balancers` gateways that share the
+    hosts. `quotas` has each tenant's tokens and when they were last updated, `paces` the slowness
+    of each machine type, both by name. `recent` is the decaying count of requests, updated at
+    `counted_us`; `admitted` the fraction of requests that load shedding admits; `long_work_ratio`
+    the fraction of work in long requests; `crowding` the latency inflation at full hosts;
+    `failed_calls` the consecutive failed polls of discovery. `chance` is the state of Python's
+    `random.Random`. `born_us` is the time of the first decision of this gateway, over all its
+    processes: from then on the slow-start slots of hosts that start are its own.
     """
 
     now_us: int
@@ -149,11 +154,11 @@
 
 
 class Names(Struct):
-    """The names of tenants and machine types, in the order of the balancer's numbers for them."""
+    """The names of tenants and machine types, indexed by the numbers that the balancer uses."""
 
     tenants: Sequence[str] = ()
     kinds: Sequence[str] = ()
 
     def kind(self, number: int) -> str:
-        """The name of a machine type by its number; an empty one where it has none."""
+        """Return the name of a machine type by its number; "" if it has none."""
         return self.kinds[number] if 0 <= number < len(self.kinds) else ""
--- a/quillroad/upgrade/state_snapshot.py
+++ b/quillroad/upgrade/state_snapshot.py
@@ -1,14 +1,14 @@
-"""What a balancer has learned, as a document: out of one `Balancer`, into another. No I/O.
+"""Export of what a balancer has learned as a state snapshot, for another process. No I/O.
 
-Hosts are told by their numbers, routes, tenants and machine types by their names, so that a new
-process with another configuration takes what it can use and says what it cannot. Times are
-microseconds of the balancer's clock, which both processes share (`SiblingEngine.epoch_us` goes
-along), so nothing gets younger by moving.
+The snapshot identifies hosts by number, and routes, tenants and machine types by name, so that a
+new process with another configuration uses what it can and reports the rest. Times are microseconds
+of the balancer's clock. Both processes use the same clock (`SiblingEngine.epoch_us` is handed over
+too), so all ages stay the same.
 
-With `work` the document holds the open requests, the queue and the timers too, and a balancer made
-from it decides every event that follows as the first one would have. In service open requests stay
-with the process that has their clients: the document goes without `work`, and their attempts are
-told by `SiblingAttempts` instead.
+With `work` the snapshot also holds the open requests, the queues and the timers, and a balancer
+loaded from it makes the same decisions on all later events as the first one would have made. In
+service, open requests stay with the process that holds their client connections: the snapshot is
+then sent without `work`, and `SiblingAttempts` reports their attempts instead.
 """
 
 from __future__ import annotations
@@ -45,9 +45,9 @@
 
 
 def export(balancer: Balancer, names: Names, work: bool = False) -> StateSnapshot:
-    """What `balancer` has learned; with `work` its open requests too. Changes nothing."""
+    """Return what `balancer` has learned; with `work` its open requests too. Changes nothing."""
     hosts = _HostTable(balancer)
-    routes = [_route(route) for route in balancer.routes]
+    routes = [_route_known(route) for route in balancer.routes]
     opened = _work(balancer, hosts) if work else None
     chance = balancer.random.getstate()
     return StateSnapshot(
@@ -76,15 +76,15 @@
 
 
 def halve_retry_budgets(balancer: Balancer) -> None:
-    """Halve the retry budgets before they are told: two processes would spend each twice."""
+    """Halve the retry budgets before the export: two processes would spend each token twice."""
     for route in balancer.routes:
         route.retry_budget.tokens /= 2
 
 
 def attempts_in_flight(balancer: Balancer) -> dict[int, tuple[int, int]]:
-    """A balancer's own attempts in flight, and the overdue ones of them, by host.
+    """Return the number of a balancer's own attempts in flight and of overdue ones, by host.
 
-    `SiblingAttempts` tells another process of them.
+    Hosts without attempts are left out. The other process receives it as `SiblingAttempts`.
     """
     by_host = {}
     for number, host in balancer.hosts.items():
@@ -95,17 +95,17 @@
 
 
 class _HostTable:
-    """The hosts of a document, each at its place."""
+    """The hosts of a snapshot, and the index of each."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.known: list[ServerKnown] = []
-        # By the identity of the state: a host that has gone has no other name.
+        # By id() of the state: the number of a removed host may be in use by another host.
         self._index: dict[int, int] = {}
         for host in balancer.hosts.values():
-            self.of(host, True)
+            self.index_of(host, True)
 
-    def of(self, host: HostState, listed: bool = False) -> int:
-        """The place of a host, which is added where it has none."""
+    def index_of(self, host: HostState, listed: bool = False) -> int:
+        """Return the index of a host, which is added if it is new."""
         if id(host) not in self._index:
             self._index[id(host)] = len(self.known)
             self.known.append(_host_known(host, listed))
@@ -137,7 +137,7 @@
     )
 
 
-def _route(route: RouteState) -> RouteKnown:
+def _route_known(route: RouteState) -> RouteKnown:
     return RouteKnown(
         route.settings.name,
         route.retry_budget.tokens,
@@ -149,7 +149,7 @@
 
 
 class _RequestTable:
-    """The open requests of a document, each at its place."""
+    """The open requests of a snapshot, and the index of each."""
 
     def __init__(self, balancer: Balancer, hosts: _HostTable) -> None:
         self.known: list[RequestKnown] = []
@@ -157,8 +157,8 @@
         self._hosts = hosts
         self._index: dict[int, int] = {}
 
-    def of(self, request: Request) -> int:
-        """The place of a request, which is added where it has none."""
+    def index_of(self, request: Request) -> int:
+        """Return the index of a request, which is added if it is new."""
         if id(request) not in self._index:
             self._index[id(request)] = len(self.known)
             self.known.append(self._request_known(request))
@@ -181,7 +181,7 @@
 
     def _attempt_known(self, attempt: Attempt) -> AttemptKnown:
         return AttemptKnown(
-            server=self._hosts.of(attempt.host),
+            server=self._hosts.index_of(attempt.host),
             sent_us=attempt.sent_us,
             outcome=attempt.outcome.value if attempt.outcome else None,
             alone=attempt.alone,
@@ -193,26 +193,33 @@
 def _work(balancer: Balancer, hosts: _HostTable) -> Work:
     requests = _RequestTable(balancer, hosts)
     owners = {
-        id(attempt): (requests.of(request), number)
+        id(attempt): (requests.index_of(request), number)
         for request in balancer.requests.values()
         for number, attempt in enumerate(request.attempts)
     }
     queues = [
-        ([requests.of(r) for r in route.queues[0]], [requests.of(r) for r in route.queues[1]])
+        (
+            [requests.index_of(queued_request) for queued_request in route.queues[0]],
+            [requests.index_of(queued_request) for queued_request in route.queues[1]],
+        )
         for route in balancer.routes
     ]
     due = [_due(route, owners) for route in balancer.routes]
     alarms = [
-        (number, timer.purpose.value, -1 if timer.request is None else requests.of(timer.request))
+        (
+            number,
+            timer.purpose.value,
+            -1 if timer.request is None else requests.index_of(timer.request),
+        )
         for number, timer in balancer.timers.items()
     ]
     return Work(requests.known, queues, due, alarms, balancer.last_timer_id, balancer.queued)
 
 
 def _due(route: RouteState, owners: dict[int, tuple[int, int]]) -> list[tuple[int, int, int]]:
-    """When each attempt is overdue, its request's place and its number.
+    """Return when each attempt becomes overdue, the index of its request and its number there.
 
-    An attempt that has its outcome is passed over when it is overdue: it need not go along.
+    Attempts that have an outcome are left out: the overdue check would skip them.
     """
     return [
         (at_us, *owners[id(attempt)])
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -1,4 +1,4 @@
-"""A worker: one gateway process under a supervisor."""
+"""A worker: one gateway process that a supervisor process starts and watches."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
 
 log = logging.getLogger("quillroad.upgrade")
 
-# Of the environment: the descriptor of the socket to the supervisor.
+# Environment variable with the descriptor number of the socket to the supervisor.
 SUPERVISOR_SOCKET_VARIABLE = "QUILLROAD_SEAT"
-REPORT_INTERVAL_S = 0.1
+REPORT_INTERVAL_S = 0.1  # between two `Report` messages to the supervisor
 
 
 def memory_mb() -> float:
-    """Resident memory of this process (proc_pid_statm(5))."""
+    """Return the resident memory of this process in MiB (proc_pid_statm(5))."""
     resident_pages = int(Path("/proc/self/statm").read_text(encoding="ascii").split()[1])
     return resident_pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
 class SupervisedWorker(WorkerProcess):
-    """One process.
+    """A worker process with its connection to the supervisor.
 
-    `first` reads the configuration, `again` reads it for a reload; `zones` is the file of the
-    budget for other zones.
+    `first` reads the configuration at the start, `again` reads it for a reload; `zones` is the file
+    of the cross-zone budget.
     """
 
     def __init__(
@@ -85,27 +85,30 @@
             self._perform_all(self._state.supervisor_said(message))
 
     def _on_supervisor_lost(self, why: str) -> None:
-        """Nobody would start another worker: what was taken is answered, then this process ends."""
-        log.error("the supervisor is gone: %s", why)
+        """Drain and end: without a supervisor nothing would start a successor for this worker."""
+        log.error("lost the connection to the supervisor, draining: %s", why)
         self.drain()
 
     async def _prepare(self, welcome: Welcome) -> None:
-        """Read the configuration, test the path of a request, build the gateway and say `Ready`."""
+        """Read the configuration, run the self-test, build the gateway, then send `Ready`.
+
+        Sends `Unfit` with the reason and ends the process if one of these fails.
+        """
         try:
             config = (self._read_again if welcome.reloaded else self._read_first)()
             await selftest(config)
             self._build(config, welcome.descriptors - RESERVED)
         except (ConfigError, SelfTestError) as error:
             print(f"quillroad: {error}", file=sys.stderr)
-            self._unfit(str(error), 2 if isinstance(error, ConfigError) else 1)
+            self._report_unfit(str(error), 2 if isinstance(error, ConfigError) else 1)
         except Exception as error:
-            log.exception("this process cannot serve")
-            self._unfit(f"{type(error).__name__}: {error}", 1)
+            log.exception("this worker failed to start")
+            self._report_unfit(f"{type(error).__name__}: {error}", 1)
         else:
             self._supervisor.send(Ready(memory_mb()))
             self._tasks.start(self._report_forever())
 
-    def _unfit(self, why: str, status: int) -> None:
+    def _report_unfit(self, why: str, status: int) -> None:
         self._supervisor.send(Unfit(why))
         self._fail(status)
 
@@ -117,7 +120,7 @@
                 self._update_sibling()
 
     def _report(self) -> Report:
-        """What this process did since the last report."""
+        """Return what this process did since the last report, and what it holds now."""
         engine, server = self.engine, self.gateway.server
         counts, engine.counts = engine.counts, type(engine.counts)()
         rejections = server.admission.rejected
@@ -139,9 +142,9 @@
 async def serve(
     descriptor: int, first: Callable[[], Config], again: Callable[[], Config], zones: Path | None
 ) -> int:
-    """Run one worker to its end; returns the status to exit with.
+    """Run one worker until it ends; return its exit status.
 
-    `descriptor` is that of the socket to the supervisor.
+    `descriptor` is the number of the socket to the supervisor.
     """
     loop = asyncio.get_running_loop()
     worker = SupervisedWorker(loop, socket.socket(fileno=descriptor), first, again, zones)
@@ -153,7 +156,10 @@
 
 
 def run(first: Callable[[], Config], again: Callable[[], Config], zones: Path | None = None) -> int:
-    """Run one worker from its start to its end; returns the status to exit with."""
+    """Run one worker process in an event loop until it ends; return its exit status.
+
+    Ignores SIGHUP until the worker installs its handler, so that an early one does not kill it.
+    """
     start_log()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     return uvloop.run(serve(int(os.environ.pop(SUPERVISOR_SOCKET_VARIABLE)), first, again, zones))
--- a/quillroad/upgrade/worker_process.py
+++ b/quillroad/upgrade/worker_process.py
@@ -1,7 +1,7 @@
-"""One worker process of a gateway: what it does with sockets; `worker_state` decides when.
+"""The I/O of one worker process of a gateway; `worker_state` makes the decisions.
 
-Who plays the supervisor's part is up to subclasses: `worker` has a supervisor process,
-`sibling_process` none.
+Subclasses provide the supervisor: `worker` has a separate supervisor process, `sibling_process`
+decides by itself.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from quillroad.upgrade.messages import Connections, Message, OperatorActions, State, batch_of
 from quillroad.upgrade.migration import MigratingServer, Migrations, wait_until_empty
 from quillroad.upgrade.owned_tasks import OwnedTasks
-from quillroad.upgrade.sections import by_hand, read, write
+from quillroad.upgrade.sections import operator_actions, read, write
 from quillroad.upgrade.sibling_engine import SiblingEngine
 from quillroad.upgrade.state_snapshot import halve_retry_budgets
 from quillroad.upgrade.worker_state import (
@@ -44,14 +44,19 @@
 
 log = logging.getLogger("quillroad.upgrade")
 
-END_SEEN_S = 1.0  # for the end of the sibling to be seen, before its batches count as its own
-LAST_GRANT_S = 0.05  # for the supervisor's last grant to come, which may be on its way
-SIBLING_UPDATE_INTERVAL_S = 0.005  # the sibling's picture of a host is that old at most
-SHOWN_LINES = 20  # of what could not be used, in the answer
+# How long to wait for the report that the sibling has ended. After that the connections received
+# from it, but not released, are left to it.
+SIBLING_END_TIMEOUT_S = 1.0
+LAST_GRANT_TIMEOUT_S = 0.05  # for a grant of the supervisor that may still be in transit
+SIBLING_UPDATE_INTERVAL_S = 0.005  # maximum age of what the sibling knows of attempts in flight
+MAX_REPORTED_LINES = 20  # lines about state that could not be used, in a `StateResult`
 
 
 class WorkerProcess:
-    """One process. `again` reads the configuration for a reload."""
+    """One process of a gateway that can hand over to a sibling, or take over from one.
+
+    `again` reads the configuration for a reload; `zones` is the file of the cross-zone budget.
+    """
 
     def __init__(
         self,
@@ -67,35 +72,35 @@
         self._gateway: Gateway | None = None
         self._migrations: Migrations | None = None
         self._listener: socket.socket | None = None
-        self._descriptors: list[int] = []  # that came with the message at hand
+        self._descriptors: list[int] = []  # received with the message being handled
         self._sibling_update_timer: asyncio.TimerHandle | None = None
-        self.status = 0  # to exit with
+        self.status = 0  # exit status of the process
         self._tasks = OwnedTasks(loop, on_fault=lambda: self._fail(1))
         self._ending = False
         self.end = asyncio.Event()
-        self._reload_due = False  # a reload was asked for before there was a gateway that could
+        self._reload_due = False  # SIGHUP was received before the gateway was built
         loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     def _to_supervisor(self, message: Message) -> None:
-        """Say something to whoever decides which process serves."""
+        """Send a message to the supervisor, or to the code that takes its part."""
         raise NotImplementedError
 
     @property
     def gateway(self) -> Gateway:
-        """The gateway, once it is built."""
+        """The gateway, which must have been built."""
         assert self._gateway is not None
         return self._gateway
 
     @property
     def engine(self) -> SiblingEngine:
-        """Its engine."""
+        """The engine of the gateway."""
         engine = self.gateway.engine
         assert isinstance(engine, SiblingEngine)
         return engine
 
     @property
     def migrations(self) -> Migrations:
-        """Connections on their way to the sibling or from it."""
+        """The connections that migrate to the sibling or from it."""
         assert self._migrations is not None
         return self._migrations
 
@@ -106,7 +111,7 @@
         try:
             self._sibling = Channel(self._loop, sock, self._on_sibling_message, self._on_link_lost)
         except PermissionError as error:
-            log.error("no link: %s", error)
+            log.error("cannot open the link to the sibling process: %s", error)
 
     def _on_sibling_message(self, message: Message, descriptors: list[int]) -> None:
         if isinstance(message, OperatorActions):
@@ -115,7 +120,7 @@
             return
         if isinstance(message, Connections) and len(message.brought) != len(descriptors):
             close_all(descriptors)
-            self._on_link_lost("descriptors are missing")
+            self._on_link_lost("a batch of connections came with a wrong number of descriptors")
             return
         self._descriptors = descriptors
         self._perform_all(self._state.sibling_said(message))
@@ -124,7 +129,7 @@
 
     def _on_link_lost(self, why: str) -> None:
         if self._state.role is not LinkRole.NONE:
-            log.info("the other process is not heard any more: %s", why)
+            log.info("lost the link to the sibling process: %s", why)
         self._close_link()
 
     def _close_link(self) -> None:
@@ -145,9 +150,9 @@
     # The gateway.
 
     def _build(self, config: Config, descriptors: int) -> None:
-        """Build the gateway and let it hear of hosts; it accepts nothing yet.
+        """Build the gateway and start its discovery; it does not accept connections yet.
 
-        Raises `ConfigError` and `OSError`.
+        `descriptors` is the limit on descriptors. Raises `ConfigError` and `OSError`.
         """
         self._state.batch = batch_of(config.sockets)
         gateway = Gateway(config, self._loop, SiblingEngine, MigratingServer, self._zones)
@@ -156,7 +161,7 @@
         server = gateway.server
         assert isinstance(server, MigratingServer)
         self._migrations = Migrations(server)
-        # These speak for the gateway as a whole: only the process that accepts does so.
+        # These represent the whole gateway to others, so only the accepting process may use them.
         for part in (gateway.zones, gateway.registrar, gateway.membership):
             if part is not None:
                 part.is_serving = self._accepts
@@ -167,15 +172,15 @@
         if self._reload_due:
             gateway.reload(self._read_again)
         gc.collect()
-        gc.freeze()  # what is here at the start stays; collections need not walk it each time
+        gc.freeze()  # these objects live on: later collections need not scan them
 
     def _operator_acted(self) -> None:
-        """An operator has changed something: the sibling goes by it, too."""
-        if (done := by_hand(self.gateway)) is not None:
-            self._send_to_sibling(done)
+        """Send a change that an operator has made to the sibling, which applies it too."""
+        if (actions := operator_actions(self.gateway)) is not None:
+            self._send_to_sibling(actions)
 
     def _serve_operators(self, on: bool) -> None:
-        """Answer operators, or leave that to the sibling, which has the same address for them."""
+        """Start or pause the admin listener; only one process can use its address at a time."""
         admin = self.gateway.admin
         if admin is None:
             return
@@ -184,21 +189,24 @@
             return
         try:
             admin.start()
-        except OSError as error:  # clients are served all the same
-            log.error("operators are not answered: %s", error)
+        except OSError as error:  # clients are served nevertheless
+            log.error("cannot listen on the admin address: %s", error)
 
     def _reload(self) -> None:
-        """SIGHUP. While this process starts it counts too: the file may have been read before."""
+        """Handle SIGHUP: reload the configuration, or remember to do so after the start.
+
+        The file may have been read already when the signal arrives during the start.
+        """
         if self._gateway is None:
             self._reload_due = True
         else:
             self._gateway.reload(self._read_again)
 
     def _limit_descriptors(self, limit: int) -> None:
-        """Hold so many descriptors.
+        """Set the limit on descriptors.
 
-        Idle connections to hosts close where it is fewer than are open, busy ones once their answer
-        is complete. Clients' connections are not closed for it.
+        If more are open, idle connections to hosts are closed now, and busy ones once their answer
+        is complete. Client connections are not closed for this.
         """
         gateway = self.gateway
         gateway.descriptors.limit = max(1, limit)
@@ -212,7 +220,7 @@
         return self._state.accepts
 
     def _owns_slow_start(self) -> bool:
-        """Whether the slow-start slots are this process's: they belong to the one that accepts."""
+        """Return whether this process owns the slow-start slots: the accepting one does."""
         return self._state.accepts or self._state.role is LinkRole.NONE
 
     # Commands of the worker state.
@@ -222,13 +230,14 @@
             try:
                 self._perform(command)
             except Exception:
-                log.exception("could not carry out %s", command)
+                log.exception("error while executing the command %s", command)
                 if command is Step.ACCEPT:
-                    # Nobody would accept, and the supervisor would take this process for the owner.
+                    # No process would accept connections, while the supervisor would assume that
+                    # this one does.
                     self._fail(1)
                     return
                 if self._sibling is not None:
-                    self._on_link_lost("a fault of ours")
+                    self._on_link_lost("internal error in this process")
 
     def _perform(  # noqa: C901, PLR0912 - a case a command
         self, command: WorkerCommand
@@ -245,19 +254,19 @@
             case AdoptState():
                 self._adopt_state(command.state)
             case LearnAttempts():
-                self.engine.learn(command.out, self._owns_slow_start())
+                self.engine.learn(command.attempts, self._owns_slow_start())
             case LimitDescriptors():
                 more = self.gateway.descriptors.limit if command.more else -RESERVED
                 self._limit_descriptors(command.descriptors + more)
             case KeepBatch():
-                self.migrations.keep(command.batch, command.brought, self._descriptors)
+                self.migrations.keep(command.batch, command.request_counts, self._descriptors)
                 self._descriptors = []
             case OwnBatch():
                 self.migrations.own(command.batch)
             case DropBatches():
                 self.migrations.drop()
             case ReleaseBatch():
-                # First: it was released, and never comes back whatever fails.
+                # Before closing: even if that fails, a released batch must not be taken back.
                 self._state.batch_released(command.batch)
                 self.migrations.release(command.batch)
                 self._offer_connections()
@@ -276,7 +285,7 @@
                 self._serve_operators(False)
             case Step.UPDATE_SIBLING:
                 self.engine.on_change = self._update_sibling_soon
-                # At once: who is about to serve needs the descriptors that are left here.
+                # At once: the sibling needs the spare descriptors of this process to serve.
                 self._update_sibling()
             case Step.MIGRATE:
                 self.migrations.begin(self._offer_connections)
@@ -284,7 +293,7 @@
                 self.migrations.stop()
             case Step.AWAIT_SIBLING_END:
                 waited = self._state.waited
-                self._loop.call_later(END_SEEN_S, lambda: self._perform_all(waited()))
+                self._loop.call_later(SIBLING_END_TIMEOUT_S, lambda: self._perform_all(waited()))
             case Step.ALONE:
                 self.engine.forget_sibling()
             case Step.FINISH:
@@ -306,19 +315,19 @@
     def _adopt_state(self, state: State) -> None:
         left = read(self.gateway, state.sections, not state.final)
         for line in left if state.final else ():
-            log.warning("left behind: %s", line)
-        self._perform_all(self._state.adopted(state.final, left[:SHOWN_LINES]))
+            log.warning("state from the sibling process that could not be used: %s", line)
+        self._perform_all(self._state.adopted(state.final, left[:MAX_REPORTED_LINES]))
 
     def _offer_connections(self) -> None:
-        """Offer the next batch of connections, if it is time for one."""
+        """Send batches of idle connections to the sibling while the window allows."""
         while (offer := self._state.offer(self.migrations.waiting)) is not None:
             batch, size = offer
-            brought, descriptors = self.migrations.offer(batch, size)
-            if not descriptors:  # all of them have brought another request
+            request_counts, descriptors = self.migrations.offer(batch, size)
+            if not descriptors:  # another request has arrived on each of them
                 del self._state.offered[batch]
                 continue
             self._state.offered[batch] = len(descriptors)
-            self._send_to_sibling(Connections(batch, brought), descriptors)
+            self._send_to_sibling(Connections(batch, request_counts), descriptors)
 
     def _update_sibling_soon(self) -> None:
         if self._sibling_update_timer is None:
@@ -327,7 +336,7 @@
             )
 
     def _update_sibling(self) -> None:
-        """Tell the sibling what is in flight here, and lend it what this process needs no more."""
+        """Report attempts in flight to the sibling, and lend it descriptors not needed here."""
         self._sibling_update_timer = None
         if self._sibling is None:
             return
@@ -336,7 +345,7 @@
             self._send_to_sibling(report)
         if self._state.yielded:
             while self.gateway.upstream.drop_oldest_idle():
-                # A connection that serves nobody; once closed its descriptor is lent.
+                # An idle connection to a host; once it is closed, its descriptor is lent.
                 self._update_sibling_soon()
             spare = self.gateway.descriptors.spare() - 2 * self.engine.open
             self._perform_all(self._state.lend(spare))
@@ -344,7 +353,7 @@
     # The end.
 
     async def _finish(self) -> None:
-        """Answer what is open, migrate or close idle connections, then end."""
+        """Answer open requests, migrate or close idle connections, then end."""
         if self._listener is not None and not self._state.accepts:
             self._listener.close()
         longest_s = self.gateway.config.longest_deadline_s + ANSWERS_FLUSH_S
@@ -357,20 +366,23 @@
         self.end.set()
 
     def _must_close(self) -> bool:
-        """Whether nobody takes connections over."""
+        """Return whether idle connections must be closed, because no sibling takes them over.
+
+        The server is marked as draining then.
+        """
         if self._sibling is None or self._sibling.closed:
             self.gateway.server.draining = True
             return True
         return False
 
     def drain(self) -> None:
-        """Answer what is open and end: SIGTERM, or the supervisor has gone."""
+        """Answer open requests and end; called on SIGTERM and when the supervisor is lost."""
         if self._ending:
             return
         self._ending = True
-        # A supervisor that ends in the middle of a switch grants one worker the listener first, and
-        # that may be on its way.
-        self._loop.call_later(LAST_GRANT_S if self._state.yielded else 0.0, self._end)
+        # A supervisor that ends during a switch first grants the listener to one worker, and that
+        # message may still be in transit.
+        self._loop.call_later(LAST_GRANT_TIMEOUT_S if self._state.yielded else 0.0, self._end)
 
     def _end(self) -> None:
         if self._gateway is None:
@@ -389,10 +401,10 @@
         self.end.set()
 
     def _fail(self, status: int) -> None:
-        """End the process, with a status other than 0."""
+        """End the process with this exit status, which is not 0."""
         self.status = status
         self.end.set()
 
     async def close(self) -> None:
-        """Cancel what still runs, and wait for it."""
+        """Cancel the remaining tasks and wait for them."""
         await self._tasks.close()
--- a/quillroad/upgrade/worker_state.py
+++ b/quillroad/upgrade/worker_state.py
@@ -1,29 +1,30 @@
-"""A worker's part of an upgrade: its answers to the supervisor and to the sibling. No I/O.
+"""The state machine of a worker in an upgrade: its reactions to supervisor and sibling. No I/O.
 
-`supervisor_said` takes what the supervisor says, `sibling_said` what the other worker says,
-`link_lost` that the sibling cannot be heard any more; each returns what is to be done, in order. A
-worker accepts from `Own` to `Yield` and at no other time.
+`supervisor_said` handles messages of the supervisor, `sibling_said` those of the other worker, and
+`link_lost` the loss of the link to the sibling. Each returns the commands to execute, in order. A
+worker accepts connections from `Own` to `Yield` and at no other time.
 
-A hand-over over the link between two workers, where the giver is the one that served. What a worker
-"says" in the table goes to the supervisor:
+A hand-over over the link between two workers; the giver is the one that served so far. Messages in
+parentheses come from the supervisor, and "sends" means to the supervisor:
 
     giver                                   taker
-    State(final=False)  ->                  tries it on a copy
-                                        <-  StateResult(final=False) both say Prepared
-    (Yield) accepts nothing
-    State(final=True), Out  ->              takes it over
-                                        <-  StateResult(final=True)  says StateAdopted
+    State(final=False)  ->                  checks it on a copy
+                                        <-  StateResult(final=False) both send Prepared
+    (Yield) stops accepting
+    State(final=True), AttemptsInFlight ->  adopts it
+                                        <-  StateResult(final=True)  sends StateAdopted
                                             (Own) accepts
                                         <-  Come
     Connections(batch) + descriptors  ->    holds them, reads nothing
                                         <-  BatchReceived(batch)
-    Release(batch)  ->                      they are its own
-
-A connection between two requests has one reader at every moment: the giver reads nothing from
-`Connections` on, and the taker nothing before `Release`. Where the link breaks in between, the
-giver goes on with what it has not released, and the taker waits for word of the giver's end: only
-then is it the taker's. Going back is the same from `Out` on with the roles changed, without
-`State`: the process that takes over again never stopped knowing.
+    Release(batch)  ->                      serves them
+
+A connection between two requests has exactly one reader at any time: the giver does not read from
+it after `Connections`, and the taker does not before `Release`. If the link breaks in between, the
+giver resumes the connections that it has not released. The taker waits for the report that the
+giver has ended, and serves them only then. Rolling back works in the same way from
+`AttemptsInFlight` on with the roles exchanged, but without `State`: the process that takes over
+again has kept its state.
 """
 
 from __future__ import annotations
@@ -55,11 +56,11 @@
     Yielded,
 )
 
-LEAST_LENT = 8  # descriptors for which a message is worthwhile
+MIN_LENT_DESCRIPTORS = 8  # fewer are not worth a message
 
 
 class LinkRole(Enum):
-    """What a worker is on its link to the sibling."""
+    """The role of a worker on its link to the sibling."""
 
     NONE = 0
     GIVER = 1
@@ -71,14 +72,14 @@
 
     ACCEPT = "accept"
     STOP_ACCEPTING = "stop accepting"
-    UPDATE_SIBLING = "update sibling"  # with what is in flight, now and whenever that changes
-    # Offer connections that are between two requests, now and as they get there.
+    UPDATE_SIBLING = "update sibling"  # report attempts in flight, now and on each change
+    # Offer idle connections to the sibling: those idle now and those that become idle.
     MIGRATE = "migrate"
-    STOP_MIGRATING = "stop migrating"  # offer no more
-    # For a while, for word of whether the sibling has ended; then `waited`.
+    STOP_MIGRATING = "stop migrating"  # offer no more connections
+    # Wait a limited time for the report that the sibling has ended, then call `waited`.
     AWAIT_SIBLING_END = "await sibling end"
-    ALONE = "alone"  # no sibling is at work: what it told counts no more
-    FINISH = "finish"  # end once all that is open has been answered
+    ALONE = "alone"  # there is no sibling: drop what it reported
+    FINISH = "finish"  # end once all open requests have been answered
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,9 +98,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ExportState:
-    """Send a `State`.
+    """Send a `State` to the sibling.
 
-    Where `final`, with half of the retry budgets, and leave slow start to the sibling.
+    If `final`, it contains half of the retry budgets, and the sibling then owns slow start.
     """
 
     final: bool
@@ -107,21 +108,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AdoptState:
-    """Take a `State` over, or try it on a copy if it is not final; the answer goes to `adopted`."""
+    """Adopt a `State`, or check it on a copy if it is not final; then call `adopted`."""
 
     state: State
 
 
 @dataclass(frozen=True, slots=True)
 class LearnAttempts:
-    """What the sibling has in flight, and which request ids it has open."""
+    """Apply the sibling's report of its attempts in flight and its open requests."""
 
-    out: AttemptsInFlight
+    attempts: AttemptsInFlight
 
 
 @dataclass(frozen=True, slots=True)
 class LimitDescriptors:
-    """Hold so many descriptors in all, or so many more where `more`."""
+    """Set the limit on descriptors; with `more`, change it by `descriptors`, which may be < 0."""
 
     descriptors: int
     more: bool
@@ -129,37 +130,37 @@
 
 @dataclass(frozen=True, slots=True)
 class KeepBatch:
-    """Hold the descriptors that came with a batch.
+    """Hold the descriptors received with a batch, without reading from them.
 
-    `brought` is how many requests each connection has brought so far.
+    `request_counts` is the number of requests that each connection has carried so far.
     """
 
     batch: int
-    brought: tuple[int, ...]
+    request_counts: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class OwnBatch:
-    """Serve what is held of a batch."""
+    """Serve the connections held of a batch."""
 
     batch: int
 
 
 @dataclass(frozen=True, slots=True)
 class DropBatches:
-    """Close the descriptors held of all batches: they are the sibling's."""
+    """Close the descriptors held of all batches: the sibling keeps these connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseBatch:
-    """Close this process's descriptors of a batch: they are the sibling's."""
+    """Close this process's descriptors of a batch: the sibling has taken it over."""
 
     batch: int
 
 
 @dataclass(frozen=True, slots=True)
 class TakeBackBatch:
-    """Serve on what was offered in a batch."""
+    """Resume serving the connections offered in a batch."""
 
     batch: int
 
@@ -182,29 +183,33 @@
 
 @dataclass(slots=True)
 class WorkerState:
-    """One worker.
+    """The state of one worker.
 
-    `window` is how many batches may be offered at once, `batch` how many connections one has: each
-    costs descriptors of both processes.
+    `window` is the maximum number of batches on offer at once, `batch` the maximum number of
+    connections in one: each connection on offer uses a descriptor in both processes.
     """
 
     window: int = 1
     batch: int = BATCH
     role: LinkRole = LinkRole.NONE
     accepts: bool = False
-    yielded: bool = False  # has served, and accepts nothing now
+    yielded: bool = False  # has served, and does not accept any more
     migrating: bool = False  # connections are being offered
-    lent: int = 0  # descriptors that the sibling may hold of ours
+    lent: int = 0  # descriptors of this process's limit that the sibling may use
     sibling: int = 0  # the sibling's number
-    sibling_has_ended: bool = False  # the sibling's end was seen
-    offered: dict[int, int] = field(default_factory=dict)  # batches not released, and their sizes
-    received: set[int] = field(default_factory=set)  # batches of the sibling
+    sibling_has_ended: bool = False  # reported by the supervisor
+    offered: dict[int, int] = field(
+        default_factory=dict
+    )  # batches not yet released, and their sizes
+    received: set[int] = field(
+        default_factory=set
+    )  # batches of the sibling that it has not released
     _next_batch: int = 0
 
-    # What the supervisor says.
+    # Messages of the supervisor.
 
     def supervisor_said(self, message: Message) -> list[WorkerCommand]:
-        """Take a message of the supervisor."""
+        """Handle a message of the supervisor."""
         match message:
             case Give():
                 return self._give(message)
@@ -244,7 +249,8 @@
 
     def _yield(self, grant: int) -> list[WorkerCommand]:
         commands = self._stop_accepting()
-        # What this process gave before, it may have to take again: only the first giver exports.
+        # Only the giver exports its state, and only once in a hand-over. In a roll-back the taker
+        # yields, and the giver, which may have to take over again, has kept its own state.
         if self.role is LinkRole.GIVER and not self.yielded:
             commands.append(ExportState(True))
         self.yielded = True
@@ -265,17 +271,17 @@
             commands += [Step.UPDATE_SIBLING, ToSibling(Come())]
         return commands
 
-    # What the sibling says.
+    # Messages of the sibling.
 
     def sibling_said(self, message: Message) -> list[WorkerCommand]:
-        """Take a message of the sibling."""
+        """Handle a message of the sibling."""
         match message:
             case State():
                 takes = self.role is LinkRole.TAKER and not self.accepts
                 return [AdoptState(message)] if takes else []
             case StateResult():
-                is_rehearsed = self.role is LinkRole.GIVER and not message.final
-                return [ToSupervisor(Prepared(message.left))] if is_rehearsed else []
+                is_trial = self.role is LinkRole.GIVER and not message.final
+                return [ToSupervisor(Prepared(message.left))] if is_trial else []
             case AttemptsInFlight():
                 return [LearnAttempts(message)]
             case Lend():
@@ -293,17 +299,18 @@
         return []
 
     def _come(self) -> list[WorkerCommand]:
-        """The sibling accepts: connections may go there."""
+        """Start to migrate connections: the sibling accepts now."""
         if not self.yielded:
             return []
         self.migrating = True
         return [Step.MIGRATE]
 
     def _batch_received(self, message: BatchReceived) -> list[WorkerCommand]:
-        """The sibling holds a batch.
+        """Release a batch that the sibling holds.
 
-        The order counts: a giver that ends in between has not closed what nobody owns yet. A giver
-        whose link breaks at the first command still offers the batch, and takes it back.
+        The order of the commands matters: `Release` is sent before the descriptors are closed, so
+        that a giver that ends in between leaves no connection closed without a new owner. If the
+        link breaks while it is sent, the batch is still on offer and is taken back.
         """
         size = self.offered.get(message.batch)
         if size is None:
@@ -320,22 +327,22 @@
         self.received.discard(message.batch)
         return [LimitDescriptors(message.descriptors, True), OwnBatch(message.batch)]
 
-    # What else happens.
+    # Other events.
 
     def adopted(self, final: bool, left: list[str]) -> list[WorkerCommand]:
-        """Note that a state was taken over, or tried where not `final`.
+        """Report that a state was adopted, or only checked if not `final`.
 
-        `left` are plain lines for what could not be used.
+        `left` has one line of text for each thing that could not be used.
         """
         result = StateAdopted() if final else Prepared(left)
         return [ToSibling(StateResult(final, left)), ToSupervisor(result)]
 
     def batch_released(self, batch: int) -> None:
-        """Note that a batch was released and is closed here."""
+        """Record that a batch was released to the sibling."""
         self.offered.pop(batch, None)
 
     def link_lost(self) -> list[WorkerCommand]:
-        """The sibling cannot be heard any more, or makes no sense."""
+        """Handle the loss of the link: it was closed, or the sibling sent malformed data."""
         if self.role is LinkRole.NONE:
             return []
         commands: list[WorkerCommand] = [TakeBackBatch(batch) for batch in self.offered]
@@ -352,29 +359,29 @@
         return [*commands, Step.ALONE]
 
     def lend(self, spare: int) -> list[WorkerCommand]:
-        """Leave descriptors that this process has no use for any more to the sibling."""
-        if not self.yielded or self.role is LinkRole.NONE or spare < LEAST_LENT:
+        """Lend `spare` descriptors, which this process no longer needs, to the sibling."""
+        if not self.yielded or self.role is LinkRole.NONE or spare < MIN_LENT_DESCRIPTORS:
             return []
         self.lent += spare
         return [LimitDescriptors(-spare, True), ToSibling(Lend(spare))]
 
     def waited(self) -> list[WorkerCommand]:
-        """The sibling was not heard to end, so it goes on with what was held here."""
+        """Drop the held batches: no end of the sibling was reported, so it still serves them."""
         if not self.received or self.role is not LinkRole.NONE:
             return []
         self.received.clear()
         return [DropBatches()]
 
     def _own_held_batches(self) -> list[WorkerCommand]:
-        """What a dead process had offered and not released is nobody else's."""
+        """Serve the batches that the sibling had offered, but not released, when it ended."""
         commands: list[WorkerCommand] = [OwnBatch(batch) for batch in sorted(self.received)]
         self.received.clear()
         return commands
 
     def offer(self, waiting: int) -> tuple[int, int] | None:
-        """The next batch and how many connections go into it; None: not now.
+        """Return the number and the size of the next batch; None if none may be offered now.
 
-        `waiting` connections are ready to be offered.
+        `waiting` is the number of connections that are ready to be offered.
         """
         if not self.migrating or not waiting or len(self.offered) >= self.window:
             return None
--- a/tests/upgrade/test_sections.py
+++ b/tests/upgrade/test_sections.py
@@ -1,4 +1,4 @@
-"""What one process tells another, and what that one believes of it."""
+"""The sections of a `State` message: export by one process and adoption by another."""
 
 from __future__ import annotations
 
@@ -22,18 +22,20 @@
 from tests.net import FakeDiscovery, FakeHost, make_config, on_loop, serve_ok, until
 
 
-def process(discovery_port: int, **changes: Any) -> Gateway:
-    """A gateway that listens nowhere and asks nobody yet."""
+def make_gateway(discovery_port: int, **changes: Any) -> Gateway:
+    """Return a gateway that does not listen and has not contacted discovery yet."""
     config = make_config(discovery_port, **changes)
     return Gateway(config, asyncio.get_running_loop(), SiblingEngine, MigratingServer)
 
 
 @asynccontextmanager
-async def scene(count: int = 3) -> AsyncIterator[tuple[Gateway, FakeDiscovery, list[FakeHost]]]:
-    """A gateway that has a list of `count` hosts from its discovery."""
+async def gateway_with_hosts(
+    count: int = 3,
+) -> AsyncIterator[tuple[Gateway, FakeDiscovery, list[FakeHost]]]:
+    """Run a gateway that has received a list of `count` hosts from discovery."""
     hosts = [await FakeHost(f"s-{i}", serve_ok).start() for i in range(count)]
     discovery = await FakeDiscovery(*(host.entry() for host in hosts)).start()
-    gateway = process(discovery.port)
+    gateway = make_gateway(discovery.port)
     gateway.start_parts()
     try:
         await until(lambda: len(gateway.engine.hosts) == count)
@@ -42,7 +44,7 @@
         gateway.stop()
 
 
-def states(gateway: Gateway) -> dict[str, EndpointStatus]:
+def host_statuses(gateway: Gateway) -> dict[str, EndpointStatus]:
     engine = gateway.engine
     assert isinstance(engine, SiblingEngine)
     return {
@@ -52,59 +54,61 @@
 
 
 @on_loop
-async def test_a_process_without_a_list_takes_the_others() -> None:
-    """Discovery is out of reach: the new one would have nobody to send to."""
-    async with scene() as (old, _, _hosts):
-        new = process(1)
+async def test_hosts_section_adopted_by_process_without_list() -> None:
+    """While discovery is unreachable, a new process would otherwise have no hosts."""
+    async with gateway_with_hosts() as (old, _, _hosts):
+        new = make_gateway(1)
         assert read(new, write(old), trial=True) == [] and not new.engine.hosts
         assert read(new, write(old), trial=False) == []
-        assert states(new) == states(old) and len(states(new)) == 3
+        assert host_statuses(new) == host_statuses(old) and len(host_statuses(new)) == 3
 
 
 @on_loop
-async def test_of_two_lists_of_one_discovery_the_later_counts() -> None:
-    async with scene() as (old, discovery, hosts):
-        behind = process(discovery.port)
+async def test_later_list_of_same_discovery_replaces_earlier() -> None:
+    """An older list of the sibling must not undo a drain or a removal, a newer one applies."""
+    async with gateway_with_hosts() as (old, discovery, hosts):
+        behind = make_gateway(discovery.port)
         read(behind, write(old), trial=False)
         discovery.tell(hosts[0].entry(lifecycle="draining"))
-        await until(lambda: EndpointStatus.DRAINING in states(old).values())
+        await until(lambda: EndpointStatus.DRAINING in host_statuses(old).values())
         ahead = write(old)
         assert read(behind, ahead, trial=False) == []
         assert (
-            states(behind)["s-0"] is EndpointStatus.DRAINING
+            host_statuses(behind)["s-0"] is EndpointStatus.DRAINING
             and behind.source.position == old.source.position
         )
         stale = write(behind)
         discovery.tell(hosts[0].entry(lifecycle="up"), hosts[1].entry(lifecycle="removed"))
-        await until(lambda: len(states(old)) == 2)
-        read(old, stale, trial=False)  # what is older undoes nothing
-        assert states(old) == {"s-0": EndpointStatus.READY, "s-2": EndpointStatus.READY}
+        await until(lambda: len(host_statuses(old)) == 2)
+        read(old, stale, trial=False)  # an older list is ignored
+        assert host_statuses(old) == {"s-0": EndpointStatus.READY, "s-2": EndpointStatus.READY}
 
 
 @on_loop
-async def test_a_host_that_came_back_a_moment_before_stays_cold() -> None:
-    """Consul tells of no starts: the first list of a new process would call it warm."""
+async def test_start_time_inferred_from_consul_is_handed_over() -> None:
+    """Consul reports no start times.
+
+    Without the hand-over, the new process would treat a host that has just recovered as warm.
+    """
     instances = [Instance("a", ("127.0.0.1", 9)), Instance("b", ("127.0.0.1", 10))]
-    processes = []
+    gateways = []
     for _ in range(2):
         config = replace(
             make_config(1), discovery=None, hosts=ConsulHosts((("127.0.0.1", 1),), "licences")
         )
-        processes.append(
-            Gateway(config, asyncio.get_running_loop(), SiblingEngine, MigratingServer)
-        )
-    old, new = processes
+        gateways.append(Gateway(config, asyncio.get_running_loop(), SiblingEngine, MigratingServer))
+    old, new = gateways
     assert old.feed is not None and new.feed is not None
-    take = old.feed.listener().on_snapshot
-    take(Snapshot(tuple(instances), 1))
-    take(Snapshot((instances[0], replace(instances[1], status=InstanceStatus.UNHEALTHY)), 2))
-    take(Snapshot(tuple(instances), 3))
+    notify = old.feed.listener().on_snapshot
+    notify(Snapshot(tuple(instances), 1))
+    notify(Snapshot((instances[0], replace(instances[1], status=InstanceStatus.UNHEALTHY)), 2))
+    notify(Snapshot(tuple(instances), 3))
     new.feed.listener().on_snapshot(Snapshot(tuple(instances), 1))
     engine = new.engine
     assert isinstance(engine, SiblingEngine)
 
     def starts() -> list[int]:
-        return sorted((s.endpoint.started_us or 0) for s in engine.balancer.hosts.values())
+        return sorted((state.endpoint.started_us or 0) for state in engine.balancer.hosts.values())
 
     assert starts() == [0, 0]
     read(new, write(old), trial=False)
@@ -112,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "expected"),
     [
         ({"invented": b""}, "section 'invented': not known"),
         ({"module": None}, "section 'module': missing"),
@@ -121,32 +125,44 @@
     ],
 )
 @on_loop
-async def test_what_cannot_be_used_is_named_and_the_rest_taken(
-    change: dict[str, bytes | None], said: str
+async def test_unusable_section_reported_and_others_adopted(
+    change: dict[str, bytes | None], expected: str
 ) -> None:
-    async with scene() as (old, _, _hosts):
-        told = {name: body for name, body in (write(old) | change).items() if body is not None}
-        new = process(1)
-        left = read(new, told, trial=False)
-        assert len(left) == 1 and left[0].startswith(said)
-        taken = [name for name in KNOWN if name not in change]
-        assert ("hosts" in taken) is bool(new.engine.hosts)
+    """One unknown, missing or corrupt section must not prevent the use of the others."""
+    async with gateway_with_hosts() as (old, _, _hosts):
+        section_bodies = {
+            name: body for name, body in (write(old) | change).items() if body is not None
+        }
+        new = make_gateway(1)
+        unusable = read(new, section_bodies, trial=False)
+        assert len(unusable) == 1 and unusable[0].startswith(expected)
+        adopted = [name for name in KNOWN if name not in change]
+        assert ("hosts" in adopted) is bool(new.engine.hosts)
 
 
 @on_loop
-async def test_turns_at_cold_hosts_pass_with_the_listener() -> None:
-    """Told of the other before it accepted, and of nothing after: it must not leave cold hosts
-    for good.
+async def test_slow_start_ownership_passes_with_listener() -> None:
+    """A process that accepts must use the slow-start slots even without a new sibling report.
+
+    Otherwise hosts that are warming up would get no requests from either process.
     """
-    async with scene() as (gateway, _, _hosts):
+    async with gateway_with_hosts() as (gateway, _, _hosts):
         engine = gateway.engine
         assert isinstance(engine, SiblingEngine)
         number = next(iter(engine.hosts))
         engine.learn(AttemptsInFlight([(number, 2, 1)], ["r-1"]), owns_slow_start=False)
-        server = engine.balancer.hosts[number]
-        assert not engine.balancer.owns_slow_start and (server.in_flight, server.overdue) == (2, 1)
+        host_state = engine.balancer.hosts[number]
+        assert not engine.balancer.owns_slow_start and (
+            host_state.in_flight,
+            host_state.overdue,
+        ) == (2, 1)
         assert engine.is_unanswered("r-1") and engine.attempts_in_flight() is None
         engine.set_slow_start_owner(True)
-        assert engine.balancer.owns_slow_start and (server.in_flight, server.overdue) == (2, 1)
+        assert engine.balancer.owns_slow_start and (host_state.in_flight, host_state.overdue) == (
+            2,
+            1,
+        )
         engine.forget_sibling()
-        assert (server.in_flight, server.overdue) == (0, 0) and not engine.is_unanswered("r-1")
+        assert (host_state.in_flight, host_state.overdue) == (0, 0) and not engine.is_unanswered(
+            "r-1"
+        )
--- a/tests/upgrade/test_sibling_handover.py
+++ b/tests/upgrade/test_sibling_handover.py
@@ -1,5 +1,7 @@
-"""Two processes of a gateway that hand over without a keeper: the machines alone, every
-message's loss and every end walked, and processes under load.
+"""Hand-over between two processes of a gateway without a supervisor.
+
+The state machines are tested with the loss of each message and the end of either process after each
+message. Real processes are tested under load.
 """
 
 from __future__ import annotations
@@ -49,178 +51,185 @@
 
 @dataclass
 class Side:
-    """A machine with a seat and no sockets. What it says goes to `wire`."""
+    """The state machines of one process, without sockets; messages sent go to `outbox`."""
 
     name: str
-    pair: SiblingHandover = field(default_factory=lambda: SiblingHandover(400))
-    seat: WorkerState = field(default_factory=WorkerState)
-    wire: deque[Message] = field(default_factory=deque)
+    handover: SiblingHandover = field(default_factory=lambda: SiblingHandover(400))
+    worker: WorkerState = field(default_factory=WorkerState)
+    outbox: deque[Message] = field(default_factory=deque)
     linked: bool = False
-    listens: bool = False  # has a listener, its own or one that it was given
+    listens: bool = False  # has a listener, opened or received
     published: bool = False
     prepares: bool = False
-    limit: int = -RESERVED  # connections that it may hold
+    limit: int = -RESERVED  # limit on connections
 
     @property
     def accepts(self) -> bool:
-        return self.seat.accepts
+        return self.worker.accepts
 
-    def carry(self, acts: list[HandoverCommand]) -> None:
-        for act in acts:
-            match act:
+    def perform_handover(self, commands: list[HandoverCommand]) -> None:
+        for command in commands:
+            match command:
                 case SendToSibling():
-                    self.wire.append(act.message)
+                    self.outbox.append(command.message)
                 case TellWorker():
-                    self.do(self.seat.supervisor_said(act.message))
+                    self.perform_worker(self.worker.supervisor_said(command.message))
                 case HandoverStep.PREPARE:
                     self.prepares = True
-                    whole = self.pair.descriptors
+                    whole = self.handover.descriptors
                     self.limit = (
                         min(NEWCOMER_DESCRIPTORS, whole // 2) if self.linked else whole
                     ) - RESERVED
-                case HandoverStep.OPEN:
+                case HandoverStep.OPEN_LISTENER:
                     self.listens = True
                 case HandoverStep.PUBLISH:
                     self.published = True
-                case HandoverStep.CUT:
-                    self.cut()
+                case HandoverStep.CLOSE_LINK:
+                    self.lose_link()
 
-    def do(self, acts: list[WorkerCommand]) -> None:
-        for act in acts:
-            match act:
+    def perform_worker(self, commands: list[WorkerCommand]) -> None:
+        for command in commands:
+            match command:
                 case ToSupervisor():
-                    self.carry(self.pair.worker_said(act.message))
+                    self.perform_handover(self.handover.worker_said(command.message))
                 case ToSibling():
-                    self.wire.append(act.message)
+                    self.outbox.append(command.message)
                 case ExportState():
-                    self.wire.append(State({}, act.final))
+                    self.outbox.append(State({}, command.final))
                 case AdoptState():
-                    self.do(self.seat.adopted(act.state.final, []))
+                    self.perform_worker(self.worker.adopted(command.state.final, []))
                 case WorkerStep.UPDATE_SIBLING:
-                    self.wire.append(AttemptsInFlight([]))
+                    self.outbox.append(AttemptsInFlight([]))
                 case WorkerStep.ACCEPT:
                     assert self.listens
                 case LimitDescriptors():
-                    self.limit = act.descriptors + (self.limit if act.more else -RESERVED)
+                    self.limit = command.descriptors + (self.limit if command.more else -RESERVED)
 
-    def hear(self, message: Message) -> None:
+    def receive(self, message: Message) -> None:
         kind = type(message).__name__
         if kind == "Welcome":
             self.listens = True
         if kind in ("Hello", "Ready", "Welcome"):
-            self.carry(self.pair.sibling_said(message))
+            self.perform_handover(self.handover.sibling_said(message))
         else:
-            self.do(self.seat.sibling_said(message))
+            self.perform_worker(self.worker.sibling_said(message))
 
-    def cut(self) -> None:
+    def lose_link(self) -> None:
         if self.linked:
             self.linked = False
-            self.do(self.seat.link_lost())
-            self.carry(self.pair.link_lost())
+            self.perform_worker(self.worker.link_lost())
+            self.perform_handover(self.handover.link_lost())
+
 
+def serving_side() -> Side:
+    side = Side("old")
+    side.perform_handover(side.handover.no_sibling_found())
+    side.perform_handover(side.handover.preparation_done(False))
+    assert side.accepts and side.published
+    return side
 
-def serving() -> Side:
-    one = Side("old")
-    one.carry(one.pair.nobody())
-    one.carry(one.pair.prepared(False))
-    assert one.accepts and one.published
-    return one
 
+def run_handover(
+    old: Side, new: Side, end: tuple[str, int] | None = None, lose: int = -1
+) -> list[str]:
+    """Run a hand-over and return the types of the messages delivered, in order.
 
-def play(old: Side, new: Side, end: tuple[str, int] | None = None, lose: int = -1) -> list[str]:
-    """Hand over; `end` names who ends, and after how many messages, `lose` the message that
-    hangs with all that follow. Returns the kinds of messages in order.
+    `end` names the process that ends, and after how many messages. `lose` is the index of the
+    message from which on nothing is delivered any more.
     """
     old.linked = new.linked = True
-    said: list[str] = []
-    new.carry(new.pair.found())
+    delivered: list[str] = []
+    new.perform_handover(new.handover.sibling_found())
     while True:
-        # From its start on a newcomer has descriptors, and batches on their way cost some of both.
+        # The new process has descriptors from its start on, and batches of connections in transit
+        # use descriptors of both processes.
         both = old.limit + new.limit + 2 * RESERVED
         assert (
-            both + 2 * batch_of(old.pair.descriptors) * new.linked <= old.pair.descriptors
-            or not said
+            both + 2 * batch_of(old.handover.descriptors) * new.linked <= old.handover.descriptors
+            or not delivered
         )
         if new.prepares and new.linked:
             new.prepares = False
-            new.carry(new.pair.prepared(True))
-            new.limit = new.pair.descriptors // 2 - RESERVED
-        if end is not None and len(said) >= end[1]:
-            dead, left = (old, new) if end[0] == "old" else (new, old)
-            dead.seat.accepts = False
-            while dead.wire:  # what it said before its end is still read
-                left.hear(dead.wire.popleft())
-            left.cut()
-            return said
-        sender = old if old.wire else new
-        if not sender.wire or len(said) == lose:
-            return said
-        message = sender.wire.popleft()
-        said.append(type(message).__name__)
-        (new if sender is old else old).hear(message)
-
-
-def test_the_newcomer_serves_and_the_other_stands_by() -> None:
-    old, new = serving(), Side("new")
-    said = play(old, new)
-    assert said[:3] == ["Hello", "Welcome", "Ready"]
+            new.perform_handover(new.handover.preparation_done(True))
+            new.limit = new.handover.descriptors // 2 - RESERVED
+        if end is not None and len(delivered) >= end[1]:
+            dead, survivor = (old, new) if end[0] == "old" else (new, old)
+            dead.worker.accepts = False
+            while dead.outbox:  # messages sent before its end are still delivered
+                survivor.receive(dead.outbox.popleft())
+            survivor.lose_link()
+            return delivered
+        sender = old if old.outbox else new
+        if not sender.outbox or len(delivered) == lose:
+            return delivered
+        message = sender.outbox.popleft()
+        delivered.append(type(message).__name__)
+        (new if sender is old else old).receive(message)
+
+
+def test_new_process_serves_and_old_stands_by() -> None:
+    old, new = serving_side(), Side("new")
+    delivered = run_handover(old, new)
+    assert delivered[:3] == ["Hello", "Welcome", "Ready"]
     assert new.accepts and new.published and not old.accepts
-    assert old.pair.phase is HandoverPhase.STANDS_BY
+    assert old.handover.phase is HandoverPhase.STANDING_BY
 
 
-STEPS = len(play(serving(), Side("new")))
+MESSAGE_COUNT = len(run_handover(serving_side(), Side("new")))
 
 
 @pytest.mark.parametrize("who", ["old", "new"])
-@pytest.mark.parametrize("step", range(STEPS + 1))
-def test_whoever_ends_at_any_step_the_other_serves(who: str, step: int) -> None:
-    old, new = serving(), Side("new")
-    play(old, new, (who, step))
-    left = new if who == "old" else old
-    if left.prepares:  # it was about to
-        left.carry(left.pair.prepared(False))
-    elif left.pair.phase is HandoverPhase.LOOKS:  # its next look finds nobody
-        left.carry(left.pair.nobody())
-        left.carry(left.pair.prepared(False))
-    assert left.accepts and left.listens and left.published
-    assert left.pair.may_come()
-
-
-@pytest.mark.parametrize("step", range(STEPS))
-def test_a_message_that_hangs_at_any_step_keeps_nobody(step: int) -> None:
-    old, new = serving(), Side("new")
-    play(old, new, lose=step)
-    if new.pair.phase is HandoverPhase.AWAITS_WELCOME:
-        new.carry(new.pair.nobody())
+@pytest.mark.parametrize("step", range(MESSAGE_COUNT + 1))
+def test_surviving_process_serves_after_end_at_any_message(who: str, step: int) -> None:
+    """The end of one process during the hand-over must not leave the gateway without a listener."""
+    old, new = serving_side(), Side("new")
+    run_handover(old, new, (who, step))
+    survivor = new if who == "old" else old
+    if survivor.prepares:  # its preparation was not complete
+        survivor.perform_handover(survivor.handover.preparation_done(False))
+    elif survivor.handover.phase is HandoverPhase.SEARCHING:  # its next search finds no process
+        survivor.perform_handover(survivor.handover.no_sibling_found())
+        survivor.perform_handover(survivor.handover.preparation_done(False))
+    assert survivor.accepts and survivor.listens and survivor.published
+    assert survivor.handover.accepts_newcomer()
+
+
+@pytest.mark.parametrize("step", range(MESSAGE_COUNT))
+def test_new_process_serves_alone_if_messages_stop_at_any_point(step: int) -> None:
+    """A sibling that hangs during the hand-over must not keep the new process from serving."""
+    old, new = serving_side(), Side("new")
+    run_handover(old, new, lose=step)
+    if new.handover.phase is HandoverPhase.AWAITING_WELCOME:
+        new.perform_handover(new.handover.no_sibling_found())
     if new.prepares:
-        new.carry(new.pair.prepared(new.linked))
-    new.carry(new.pair.late())
+        new.perform_handover(new.handover.preparation_done(new.linked))
+    new.perform_handover(new.handover.handover_timed_out())
     assert new.accepts
-    old.cut()  # the newcomer's end of the link is closed by then
-    assert old.accepts or old.pair.phase is HandoverPhase.STANDS_BY
+    old.lose_link()  # the new process has closed its end of the link
+    assert old.accepts or old.handover.phase is HandoverPhase.STANDING_BY
 
 
-def test_one_newcomer_at_a_time_and_none_at_the_end() -> None:
-    old, new = serving(), Side("new")
-    assert old.pair.may_come()
+def test_newcomers_accepted_one_at_a_time_and_not_while_ending() -> None:
+    old, new = serving_side(), Side("new")
+    assert old.handover.accepts_newcomer()
     old.linked = new.linked = True
-    new.carry(new.pair.found())
-    old.hear(new.wire.popleft())
-    assert not old.pair.may_come()
-    old.cut()
-    assert old.pair.may_come()
-    old.pair.ending = True
-    assert not old.pair.may_come()
+    new.perform_handover(new.handover.sibling_found())
+    old.receive(new.outbox.popleft())
+    assert not old.handover.accepts_newcomer()
+    old.lose_link()
+    assert old.handover.accepts_newcomer()
+    old.handover.ending = True
+    assert not old.handover.accepts_newcomer()
 
 
-def test_another_builds_version_is_not_served() -> None:
-    old = serving()
+def test_hello_of_other_protocol_version_closes_link() -> None:
+    old = serving_side()
     old.linked = True
-    old.carry(old.pair.sibling_said(Hello(99)))
-    assert not old.linked and old.accepts and old.pair.may_come()
+    old.perform_handover(old.handover.sibling_said(Hello(99)))
+    assert not old.linked and old.accepts and old.handover.accepts_newcomer()
 
 
-RATE = 150.0  # requests a second
+RATE_PER_S = 150.0
 REQUEST_CLASSES = [
     RequestClass("status-check", 0.58, 1.4, 2.0),
     RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
@@ -228,7 +237,7 @@
 
 
 @dataclass
-class Scene:
+class Environment:
     gateway: SiblingGateway
     hosts: list[Host]
     builds: Builds
@@ -236,35 +245,38 @@
     def load(self) -> Load:
         return Load(self.gateway.address, REQUEST_CLASSES, (3, 1), prefix="g-", most=200)
 
-    def lost_with(self, load: Load, ends: list[float], gap: float = 0.0) -> list[Record]:
-        """The requests without an answer that processes took along which ended then: what each
-        had open, and that is no more than came in the longest time that any answer took (a busy
-        machine has more open), and what came in the `gap` in seconds after it in which nobody
-        served.
+    def lost_requests(self, load: Load, ends: list[float], gap: float = 0.0) -> list[Record]:
+        """Return the requests left unanswered because processes ended at the times `ends`.
+
+        These are the requests that a process had open, and those sent in the `gap` (seconds) after
+        its end in which no process served. Asserts that a process loses no more than arrive in the
+        longest time that any answer took, since a busy machine has more requests open.
         """
-        patience = max(request_class.deadline for request_class in REQUEST_CLASSES)
-        took = max((record.took for record in load.records if record.done), default=0.0)
+        max_deadline_s = max(request_class.deadline for request_class in REQUEST_CLASSES)
+        max_answer_time_s = max(
+            (record.took for record in load.records if record.done), default=0.0
+        )
         lost = [
             r
             for r in load.records
-            if not r.status and any(e - patience < r.sent <= e + gap for e in ends)
+            if not r.status and any(e - max_deadline_s < r.sent <= e + gap for e in ends)
         ]
-        assert len(lost) <= (20 + RATE * (took + gap)) * len(ends)
+        assert len(lost) <= (20 + RATE_PER_S * (max_answer_time_s + gap)) * len(ends)
         return lost
 
-    def accounted(self, load: Load, ends: list[float] | None = None, lost: int = 0) -> None:
+    def check_records(self, load: Load, ends: list[float] | None = None, lost: int = 0) -> None:
         whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
         assert whole.adds_up()
         assert (whole.late, whole.failed) == (0, 0)
         assert whole.rejected <= 0.05 * whole.sent
-        assert whole.unanswered <= (lost if ends is None else len(self.lost_with(load, ends)))
+        assert whole.unanswered <= (lost if ends is None else len(self.lost_requests(load, ends)))
         receipts = [receipt for host in self.hosts for receipt in host.receipts]
         assert rule_violations(load.records, receipts, REQUEST_CLASSES, drains=[]) == []
         assert load.refused_connects == 0
 
 
 @asynccontextmanager
-async def scene(folder: Path) -> AsyncIterator[Scene]:
+async def gateway_environment(folder: Path) -> AsyncIterator[Environment]:
     hosts = [await Host(f"s-{i}", 0.03, "room").start() for i in range(4)]
     discovery = await Discovery(hosts).start()
     builds = Builds(folder / "build")
@@ -272,7 +284,7 @@
     gateway.path = builds.folder
     await gateway.start()
     try:
-        yield Scene(gateway, hosts, builds)
+        yield Environment(gateway, hosts, builds)
     finally:
         await gateway.stop()
         discovery.stop()
@@ -281,10 +293,10 @@
 
 
 @asynccontextmanager
-async def under_load(here: Scene) -> AsyncIterator[Load]:
-    """Steady load of both classes, from before what is done meanwhile until after it."""
-    load = here.load()
-    sending = asyncio.ensure_future(load.open_loop(steady(RATE, 120.0)))
+async def under_load(environment: Environment) -> AsyncIterator[Load]:
+    """Send steady load of both classes, from before the body of the context until after it."""
+    load = environment.load()
+    sending = asyncio.ensure_future(load.open_loop(steady(RATE_PER_S, 120.0)))
     await until(lambda: len(load.records) > 30)
     yield load
     count = len(load.records)
@@ -294,148 +306,159 @@
 
 
 @on_loop
-async def test_upgrades_beside_each_other_lose_nothing(tmp_path: Path) -> None:
-    async with scene(tmp_path) as here:
-        async with under_load(here) as load:
+async def test_repeated_upgrades_lose_no_request(tmp_path: Path) -> None:
+    """Clients keep their connections and get all answers while processes hand over."""
+    async with gateway_environment(tmp_path) as environment:
+        async with under_load(environment) as load:
             for _ in range(4):
-                assert await here.gateway.upgrade()
-        here.accounted(load)
-        assert here.gateway.ended == [0, 0, 0, 0]
-        # Clients kept their connections: none had to connect anew.
+                assert await environment.gateway.upgrade()
+        environment.check_records(load)
+        assert environment.gateway.ended == [0, 0, 0, 0]
+        # Clients kept their connections: none had to reconnect.
         assert not any(record.resent for record in load.records)
-        assert here.gateway.process is not None
+        assert environment.gateway.process is not None
         modes = [
             path.stat().st_mode & 0o777
-            for path in here.gateway.folder.iterdir()
+            for path in environment.gateway.folder.iterdir()
             if path.is_socket()
         ]
         assert modes == [0o600]
-        here.gateway.process.send_signal(signal.SIGTERM)
-        await here.gateway.process.wait()
-        assert list(here.gateway.folder.iterdir()) == []
+        environment.gateway.process.send_signal(signal.SIGTERM)
+        await environment.gateway.process.wait()
+        assert list(environment.gateway.folder.iterdir()) == []
 
 
-KINDS = ["Hello", "Ready", "StateResult", "Come", "BatchReceived", "AttemptsInFlight"]
-GIVERS = ["Welcome", "State", "AttemptsInFlight", "Connections", "Release"]
+NEWCOMER_MESSAGES = ["Hello", "Ready", "StateResult", "Come", "BatchReceived", "AttemptsInFlight"]
+PREDECESSOR_MESSAGES = ["Welcome", "State", "AttemptsInFlight", "Connections", "Release"]
 
 
 async def end_of(process: asyncio.subprocess.Process) -> float:
-    """When its end is seen, by the clock of the records."""
+    """Wait for the end of a process; return its time on the clock of the records."""
     await process.wait()
     return time.monotonic()
 
 
-@pytest.mark.parametrize("kinds", [KINDS[:3], KINDS[3:]])
-def test_a_newcomer_that_dies_at_any_step_leaves_the_other_serving(
-    tmp_path: Path, kinds: list[str]
-) -> None:
+@pytest.mark.parametrize("kinds", [NEWCOMER_MESSAGES[:3], NEWCOMER_MESSAGES[3:]])
+def test_old_process_serves_after_new_one_is_killed(tmp_path: Path, kinds: list[str]) -> None:
+    """A new process killed before it sends a message of each type costs its own requests only."""
+
     @on_loop
-    async def play() -> None:
-        async with scene(tmp_path) as here:
+    async def run_test() -> None:
+        async with gateway_environment(tmp_path) as environment:
             ends = []
-            async with under_load(here) as load:
+            async with under_load(environment) as load:
                 for kind in kinds:
-                    here.builds.mark_new()
-                    here.builds.fault("new", kind)
-                    process, admin = await here.gateway.start_sibling()
+                    environment.builds.mark_new()
+                    environment.builds.fault("new", kind)
+                    process, admin = await environment.gateway.start_sibling()
                     await process.wait()
                     ends.append(time.monotonic())
-                    here.builds.no_fault()
-                    assert await here.gateway.call("GET", "/healthcheck") == 200
-                    assert await here.gateway.call("GET", "/healthcheck", admin) == 0
-                assert await here.gateway.upgrade()
-            # What a killed process had taken is lost with it, and with it alone.
-            here.accounted(load, ends)
+                    environment.builds.no_fault()
+                    assert await environment.gateway.call("GET", "/healthcheck") == 200
+                    assert await environment.gateway.call("GET", "/healthcheck", admin) == 0
+                assert await environment.gateway.upgrade()
+            # Only requests that a killed process had open may be lost.
+            environment.check_records(load, ends)
 
-    play()
+    run_test()
 
 
-@pytest.mark.parametrize("kind", GIVERS)
-def test_a_predecessor_that_dies_at_any_step_leaves_the_newcomer_serving(
-    tmp_path: Path, kind: str
-) -> None:
+@pytest.mark.parametrize("kind", PREDECESSOR_MESSAGES)
+def test_new_process_serves_after_old_one_is_killed(tmp_path: Path, kind: str) -> None:
+    """An old process killed before it sends a message of this type costs its own requests only."""
+
     @on_loop
-    async def play() -> None:
-        async with scene(tmp_path) as here:
-            async with under_load(here) as load:
-                old = here.gateway.process
+    async def run_test() -> None:
+        async with gateway_environment(tmp_path) as environment:
+            async with under_load(environment) as load:
+                old = environment.gateway.process
                 assert old is not None
-                here.builds.fault(old.pid, kind)
+                environment.builds.fault(old.pid, kind)
                 ended = asyncio.ensure_future(end_of(old))
-                process, admin = await here.gateway.start_sibling()
-                assert await here.gateway.wait_until_ready(process, admin)
+                process, admin = await environment.gateway.start_sibling()
+                assert await environment.gateway.wait_until_ready(process, admin)
                 serves = time.monotonic()
-                here.gateway.process, here.gateway.admin = process, admin
+                environment.gateway.process, environment.gateway.admin = process, admin
                 end = await ended
             whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
             assert (whole.late, whole.failed) == (0, 0)
-            assert whole.unanswered <= len(here.lost_with(load, [end], max(0.0, serves - end)))
+            assert whole.unanswered <= len(
+                environment.lost_requests(load, [end], max(0.0, serves - end))
+            )
 
-    play()
+    run_test()
 
 
 @on_loop
-async def test_a_predecessor_that_hangs_is_passed_over(tmp_path: Path) -> None:
-    async with scene(tmp_path) as here:
-        old = here.gateway.process
+async def test_new_process_serves_beside_hanging_predecessor(tmp_path: Path) -> None:
+    """A process that is stopped does not answer `Hello`; the new one must not wait for it."""
+    async with gateway_environment(tmp_path) as environment:
+        old = environment.gateway.process
         assert old is not None
         os.kill(old.pid, signal.SIGSTOP)
-        process, admin = await here.gateway.start_sibling()
-        assert await here.gateway.wait_until_ready(process, admin)
+        process, admin = await environment.gateway.start_sibling()
+        assert await environment.gateway.wait_until_ready(process, admin)
         old.kill()
         await old.wait()
-        here.gateway.process, here.gateway.admin = process, admin
+        environment.gateway.process, environment.gateway.admin = process, admin
 
 
 @on_loop
-async def test_what_is_done_by_hand_goes_along_and_both_ways(tmp_path: Path) -> None:
-    async with scene(tmp_path) as here:
-        gateway = here.gateway
+async def test_operator_actions_reach_both_processes(tmp_path: Path) -> None:
+    """A host that operators took out of service stays out after an upgrade.
+
+    This holds for actions before the upgrade, and for those at either process during it.
+    """
+    async with gateway_environment(tmp_path) as environment:
+        gateway = environment.gateway
         assert await gateway.call("POST", "/hosts/s-0/maint") == 200
-        assert await gateway.upgrade()  # with nothing called meanwhile
-        counts, load = [len(host.receipts) for host in here.hosts], here.load()
+        assert await gateway.upgrade()  # no operator action during this upgrade
+        counts, load = [len(host.receipts) for host in environment.hosts], environment.load()
         await load.open_loop(steady(100.0, 0.3))
         await load.settle()
-        assert len(here.hosts[0].receipts) == counts[0]
-        assert sum(len(host.receipts) for host in here.hosts) > sum(counts)
+        assert len(environment.hosts[0].receipts) == counts[0]
+        assert sum(len(host.receipts) for host in environment.hosts) > sum(counts)
         old, before = gateway.process, gateway.admin
         assert old is not None
         process, admin = await gateway.start_sibling()
         assert await gateway.wait_until_ready(process, admin)
         assert (
             await gateway.call("POST", "/hosts/s-1/maint", before) == 200
-        )  # at the one that stands by
+        )  # at the process that stands by
         assert await gateway.call("POST", "/hosts/s-2/maint", admin) == 200
         old.send_signal(signal.SIGTERM)
         await old.wait()
         gateway.process, gateway.admin = process, admin
-        counts = [len(host.receipts) for host in here.hosts]
-        load = here.load()
+        counts = [len(host.receipts) for host in environment.hosts]
+        load = environment.load()
         await load.open_loop(steady(100.0, 0.5))
         await load.settle()
-        assert [len(host.receipts) for host in here.hosts][:3] == counts[:3]
-        assert len(here.hosts[3].receipts) > counts[3]
+        assert [len(host.receipts) for host in environment.hosts][:3] == counts[:3]
+        assert len(environment.hosts[3].receipts) > counts[3]
         for name in ("s-0", "s-1", "s-2"):
             assert await gateway.call("POST", f"/hosts/{name}/ready") == 200
         await load.open_loop(steady(100.0, 1.0))
         await load.settle()
         assert all(
-            len(host.receipts) > count for host, count in zip(here.hosts, counts, strict=True)
+            len(host.receipts) > count
+            for host, count in zip(environment.hosts, counts, strict=True)
         )
 
 
 @pytest.mark.parametrize("broken", ["cannot be imported", "exits at once", "fails its self-test"])
-def test_a_broken_build_changes_nothing(tmp_path: Path, broken: str) -> None:
+def test_broken_build_leaves_old_process_serving(tmp_path: Path, broken: str) -> None:
+    """A new process that fails before it is ready must not affect the serving one."""
+
     @on_loop
-    async def play() -> None:
-        async with scene(tmp_path) as here:
-            here.builds.put(broken)
-            process, admin = await here.gateway.start_sibling()
-            assert not await here.gateway.wait_until_ready(process, admin)
+    async def run_test() -> None:
+        async with gateway_environment(tmp_path) as environment:
+            environment.builds.put(broken)
+            process, admin = await environment.gateway.start_sibling()
+            assert not await environment.gateway.wait_until_ready(process, admin)
             assert await process.wait() != 0
-            load = here.load()
+            load = environment.load()
             await load.open_loop(steady(100.0, 0.3))
             await load.settle()
-            here.accounted(load)
+            environment.check_records(load)
 
-    play()
+    run_test()
