--- a/quillroad/upgrade/__init__.py
+++ b/quillroad/upgrade/__init__.py
@@ -1,4 +1,4 @@
-"""Upgrades without loss: one process of a gateway takes over from another.
+"""Hitless upgrades: a new process of a gateway takes over from the old one without lost requests.
 
-Off unless a file turns it on.
+Disabled unless the gateway is started with an upgrades file.
 """
--- a/quillroad/upgrade/canary.py
+++ b/quillroad/upgrade/canary.py
@@ -1,10 +1,10 @@
-"""Whether a new process does worse than the one before it. No I/O; times are seconds of one clock.
+"""Canary analysis: whether a new process does worse than the old one. No I/O.
 
-Two shares are compared: of requests that failed, and of those that were not served at all. A share
-is only believed as far as its count goes (Wilson's score interval, J. Am. Stat. Assoc. 1927): the
-new process is worse when the least that its share can be lies above the most that the old one's can
-have been, by more than a margin. That is the same verdict for the same counts, and few requests say
-nothing.
+Times are seconds of one monotonic clock. Two proportions are compared: requests that failed, and
+requests that were not served (rejected or failed). Each proportion is estimated by its Wilson score
+interval (J. Am. Stat. Assoc. 1927): the new process is worse when the lower bound of its proportion
+exceeds the upper bound of the old one's by more than a margin. The verdict depends on the counts
+only, and too few requests give no verdict.
 """
 
 from __future__ import annotations
@@ -16,107 +16,115 @@
 
 @dataclass(frozen=True, slots=True)
 class CanaryTuning:
-    """Chosen, not tuned: false and missed alarms at these figures were not counted."""
+    """Thresholds of the comparison. The rates of false and missed alarms have not been measured."""
 
-    sure: float = 3.0  # standard deviations
-    failed: float = 0.02  # part of requests by which failures may be more
-    # Part by which rejections and failures may be more: load differs from one second to the next.
-    unserved: float = 0.25
-    least: int = 40  # requests of the new process before it is judged
-    memory_s: float = 10.0  # of the old process's service that it is compared with
-    silent: float = 40.0  # requests that the old one would have had, without one at the new
+    z_score: float = 3.0  # standard deviations of the confidence intervals
+    failed_margin: float = 0.02  # allowed increase of the proportion of failed requests
+    # Allowed increase of the proportion of rejected or failed requests; wider than the margin for
+    # failures because load, and rejections with it, differs from one second to the next.
+    unserved_margin: float = 0.25
+    min_requests: int = 40  # of the new process, before its proportions are compared
+    baseline_s: float = 10.0  # the last seconds of the old process that form the baseline
+    # Without any request, the new process is worse once the old one would have received so many.
+    min_expected_requests: float = 40.0
 
 
 @dataclass(slots=True)
 class RequestCounts:
-    """What became of requests."""
+    """Numbers of requests by outcome."""
 
     served: int = 0
     refused: int = 0
     failed: int = 0
 
     @property
-    def whole(self) -> int:
-        """All of them."""
+    def total(self) -> int:
+        """Number of requests of all outcomes."""
         return self.served + self.refused + self.failed
 
     def add(self, other: RequestCounts) -> None:
-        """Count those of another span of time, too."""
+        """Add the counts of another period."""
         self.served += other.served
         self.refused += other.refused
         self.failed += other.failed
 
 
-def wilson_interval(part: int, whole: int, sure: float) -> tuple[float, float]:
-    """The least and the most that a share can be of which `part` of `whole` were seen.
+def wilson_interval(count: int, total: int, z_score: float) -> tuple[float, float]:
+    """Return the Wilson score interval of a proportion: `count` of `total` were observed.
 
-    0 and 1 with none.
+    The interval is (0, 1) if `total` is 0.
     """
-    if not whole:
+    if not total:
         return 0.0, 1.0
-    share, square = part / whole, sure * sure / whole
+    share, square = count / total, z_score * z_score / total
     middle = share + square / 2
-    width = sure * math.sqrt(share * (1 - share) / whole + square / (4 * whole))
+    width = z_score * math.sqrt(share * (1 - share) / total + square / (4 * total))
     return max(0.0, (middle - width) / (1 + square)), min(1.0, (middle + width) / (1 + square))
 
 
 @dataclass(slots=True)
 class Canary:
-    """The last service of the old process, and all of the new one's so far."""
+    """Compares the new process since the switch with the last seconds of the old one."""
 
     tuning: CanaryTuning = field(default_factory=CanaryTuning)
-    _before: deque[tuple[float, RequestCounts]] = field(default_factory=deque)
-    # Times of the new process's first and last report: of what lies outside nothing is known.
-    _reports_from: float | None = None
-    _reports_until: float = 0.0
-    _rate: float = 0.0  # of the old process, requests a second
+    _baseline: deque[tuple[float, RequestCounts]] = field(default_factory=deque)
+    # Times of the new process's first and last report; its requests outside them are unknown.
+    _first_report_at: float | None = None
+    _last_report_at: float = 0.0
+    _old_rate_per_s: float = 0.0  # requests per second during the baseline
     _old: RequestCounts = field(default_factory=RequestCounts)
     _new: RequestCounts = field(default_factory=RequestCounts)
 
-    def count_old(self, now: float, counts: RequestCounts) -> None:
-        """The process that serves tells what it did since it told last."""
-        self._before.append((now, counts))
-        while self._before and self._before[0][0] < now - self.tuning.memory_s:
-            self._before.popleft()
+    def record_old(self, now: float, counts: RequestCounts) -> None:
+        """Add the counts that the serving process reports for the time since its last report."""
+        self._baseline.append((now, counts))
+        while self._baseline and self._baseline[0][0] < now - self.tuning.baseline_s:
+            self._baseline.popleft()
 
     def begin(self, now: float) -> None:
-        """Another process serves from now on."""
-        self._reports_from, self._old, self._new = None, RequestCounts(), RequestCounts()
-        for _, counts in self._before:
+        """Start the comparison: the new process serves from `now` on."""
+        self._first_report_at, self._old, self._new = None, RequestCounts(), RequestCounts()
+        for _, counts in self._baseline:
             self._old.add(counts)
-        spent_s = now - self._before[0][0] if len(self._before) > 1 else 0.0
-        self._rate = self._old.whole / spent_s if spent_s > 0 else 0.0
-        self._before.clear()
-
-    def count_new(self, now: float, counts: RequestCounts) -> None:
-        """The new process tells what it did since it told last."""
-        if self._reports_from is None:
-            self._reports_from = now
-        self._reports_until = now
+        elapsed_s = now - self._baseline[0][0] if len(self._baseline) > 1 else 0.0
+        self._old_rate_per_s = self._old.total / elapsed_s if elapsed_s > 0 else 0.0
+        self._baseline.clear()
+
+    def record_new(self, now: float, counts: RequestCounts) -> None:
+        """Add the counts that the new process reports for the time since its last report."""
+        if self._first_report_at is None:
+            self._first_report_at = now
+        self._last_report_at = now
         self._new.add(counts)
 
-    def worse(self) -> str:
-        """Why the new process has to go, or nothing."""
+    def regression(self) -> str:
+        """Return why the new process is worse than the old one; empty if it is not."""
         tuning, old, new = self.tuning, self._old, self._new
-        if self._reports_from is None:
+        if self._first_report_at is None:
             return ""
-        served_s = self._reports_until - self._reports_from
-        if not new.whole and self._rate * served_s >= tuning.silent:
-            return f"no request in {served_s:.1f} s, {self._rate:.0f} a second before"
-        if new.whole < tuning.least:
+        served_s = self._last_report_at - self._first_report_at
+        if not new.total and self._old_rate_per_s * served_s >= tuning.min_expected_requests:
+            return f"no request in {served_s:.1f} s, {self._old_rate_per_s:.0f} a second before"
+        if new.total < tuning.min_requests:
             return ""
-        if _is_worse(new.failed, new.whole, old.failed, old.whole, tuning.sure, tuning.failed):
-            return f"failed: {new.failed} of {new.whole}, {old.failed} of {old.whole} before"
-        now_is, was = new.refused + new.failed, old.refused + old.failed
-        if _is_worse(now_is, new.whole, was, old.whole, tuning.sure, tuning.unserved):
-            return f"not served: {now_is} of {new.whole}, {was} of {old.whole} before"
+        if _is_worse(
+            new.failed, new.total, old.failed, old.total, tuning.z_score, tuning.failed_margin
+        ):
+            return f"failed: {new.failed} of {new.total}, {old.failed} of {old.total} before"
+        new_unserved, old_unserved = new.refused + new.failed, old.refused + old.failed
+        if _is_worse(
+            new_unserved, new.total, old_unserved, old.total, tuning.z_score, tuning.unserved_margin
+        ):
+            return (
+                f"not served: {new_unserved} of {new.total}, {old_unserved} of {old.total} before"
+            )
         return ""
 
 
 def _is_worse(
-    new: int, new_whole: int, old: int, old_whole: int, sure: float, margin: float
+    new: int, new_total: int, old: int, old_total: int, z_score: float, margin: float
 ) -> bool:
-    """Whether the new share certainly lies above the old one by more than the margin."""
-    least = wilson_interval(new, new_whole, sure)[0]
-    most = wilson_interval(old, old_whole, sure)[1] if old_whole else 0.0
-    return least > most + margin
+    """Whether the intervals of the two proportions are more than `margin` apart, the new above."""
+    new_lower = wilson_interval(new, new_total, z_score)[0]
+    old_upper = wilson_interval(old, old_total, z_score)[1] if old_total else 0.0
+    return new_lower > old_upper + margin
--- a/quillroad/upgrade/messages.py
+++ b/quillroad/upgrade/messages.py
@@ -1,18 +1,19 @@
-"""What the supervisor and its workers say to each other, and how it lies in packets. No I/O.
+"""Messages between the supervisor and its workers, and their encoding in packets. No I/O.
 
-One message is one or more packets on a local socket that keeps packets apart (`SOCK_SEQPACKET`,
-unix(7)). Each packet is a head of 20 bytes, then at most `CHUNK` bytes:
+A message is one or more packets on a local socket that preserves packet boundaries
+(`SOCK_SEQPACKET`, unix(7)). A packet is a header and at most `MAX_CHUNK_BYTES` bytes. The header:
 
     magic "QRup" · version u8 · flags u8 (0) · part u16 · parts u16
     number u32 · length u16 · CRC-32 u32
 
-in network order; the check sum is over the bytes that follow the head and the part's place, so that
-a packet that got lost, doubled or garbled is found out. The bytes of all parts are MessagePack: an
-array of the message's tag and fields. Descriptors ride with the first packet.
+All numbers are in network byte order. The checksum covers the part's position (part, parts and
+number) and the bytes after the header, so that lost, duplicated and corrupted packets are detected.
+The bytes of all parts together are MessagePack: an array of the message's tag and fields.
+Descriptors are sent with the first packet.
 
-Adding a message or a field needs no new version: fields that a reader does not know are left out,
-those it misses take their defaults, and a message that it does not know is `Unknown`. `VERSION`
-goes up when a head changes. Tags never change, whatever the class is called.
+Adding a message or a field needs no new version: a reader ignores fields that it does not know,
+uses the defaults of missing ones, and decodes an unknown message as `Unknown`. `VERSION` is
+incremented when the header changes. Tags never change, even if the class is renamed.
 """
 
 from __future__ import annotations
@@ -26,121 +27,120 @@
 
 VERSION = 1
 MAGIC = b"QRup"
-CHUNK = 32 * 1024  # bytes in a packet: a socket holds 208 KiB at first (net.core.wmem_default)
-LONGEST = 32 * 1024 * 1024  # bytes in a message: 100,000 hosts take about 12 MB
-BATCH = 16  # descriptors with a message at the most
-LONGEST_TAG = 40  # characters kept of a tag that is not known
+MAX_CHUNK_BYTES = (
+    32 * 1024
+)  # in a packet; the default send buffer has 208 KiB (net.core.wmem_default)
+MAX_MESSAGE_BYTES = 32 * 1024 * 1024  # the state of 100,000 hosts takes about 12 MB
+BATCH = 16  # maximum number of descriptors sent with one message
+MAX_TAG_CHARACTERS = 40  # kept of an unknown tag
 
-_HEAD = struct.Struct("!4sBBHHIHI")
+_HEADER = struct.Struct("!4sBBHHIHI")
 
 
 def batch_of(descriptors: int) -> int:
-    """How many connections move at once, for a gateway of so many descriptors.
+    """Return how many connections move in one batch, for a gateway of so many descriptors.
 
-    Giver and taker hold a copy of each beyond what they count, so twice as many descriptors are set
-    apart in an upgrade.
+    While a batch moves, both processes hold a copy of each descriptor that their limits do not
+    count. An upgrade therefore reserves twice as many descriptors as a batch has.
     """
     return max(1, min(BATCH, descriptors // 32))
 
 
 class BadPacketError(Exception):
-    """What came is no packet of ours; the text is one plain line."""
+    """A packet or message from the peer is malformed; the text is a single line."""
 
 
 class Hello(Struct, tag="hello", array_like=True):
-    """Worker to supervisor: it runs, and understands this."""
+    """Worker to supervisor: the worker runs and speaks this protocol version."""
 
     version: int
     build: str = ""
 
 
 class Welcome(Struct, tag="welcome", array_like=True):
-    """Supervisor to worker, with the listening socket: what it may hold for now."""
+    """Supervisor to worker, with the listening socket: the worker's initial descriptor limit."""
 
     descriptors: int
-    reloaded: bool = False  # the configuration is to be read as for a reload: there was one
+    reloaded: bool = False  # a reload has happened: read the configuration as a reload does
 
 
 class Ready(Struct, tag="ready", array_like=True):
-    """Worker to supervisor: its configuration, its source of hosts and its own path work."""
+    """Worker to supervisor: its configuration and host discovery work, its self-test passed."""
 
     memory_mb: float = 0.0
 
 
 class Unfit(Struct, tag="unfit", array_like=True):
-    """Worker to supervisor: it can't serve or take over, and why. It ends."""
+    """Worker to supervisor: it cannot serve or take over, and why. The worker exits."""
 
     why: str
 
 
 class Give(Struct, tag="give", array_like=True):
-    """Supervisor to the one that serves, with its end of a socket to the other.
+    """Supervisor to the serving worker, with its end of a socket pair: prepare to hand over.
 
-    Get ready to hand over. The other holds so many of the descriptors meanwhile.
+    Meanwhile the worker at the other end of the pair holds `descriptors` of the descriptors.
     """
 
     descriptors: int
-    other: int = 0  # number of the one that takes
+    other: int = 0  # number of the worker that takes over
 
 
 class Take(Struct, tag="take", array_like=True):
-    """Supervisor to the one that is to serve, with the other end."""
+    """Supervisor to the worker that takes over, with the other end of the socket pair."""
 
-    other: int = 0  # number of the one that gives
+    other: int = 0  # number of the worker that hands over
 
 
 class Ended(Struct, tag="ended", array_like=True):
-    """Supervisor to worker: another one's end was seen. What it left is nobody else's."""
+    """Supervisor to worker: another worker's process has exited, so it holds nothing any more."""
 
     worker: int
 
 
 class Prepared(Struct, tag="prepared", array_like=True):
-    """Worker to supervisor: the other understood a whole hand-over, with nothing changed yet.
+    """Worker to supervisor: the rehearsal of the hand-over succeeded; nothing has changed yet.
 
-    `left` are plain lines of what it can't use.
+    `left` has a line for each part of the state that the new worker cannot use.
     """
 
     left: list[str] = []
 
 
 class Yield(Struct, tag="yield", array_like=True):
-    """Supervisor to the one that serves: accept nothing more, and hand over."""
+    """Supervisor to the serving worker: stop accepting connections and hand over."""
 
     grant: int
 
 
 class Yielded(Struct, tag="yielded", array_like=True):
-    """Worker to supervisor: it accepts nothing, from this grant on."""
+    """Worker to supervisor: it has stopped accepting under this grant."""
 
     grant: int
 
 
 class StateAdopted(Struct, tag="held", array_like=True):
-    """Worker to supervisor: it has all that the other knew."""
+    """Worker to supervisor: it has adopted the final state of the other worker."""
 
 
 class Own(Struct, tag="own", array_like=True):
-    """Supervisor to worker: accept from now on."""
+    """Supervisor to worker: start accepting connections."""
 
     grant: int
 
 
 class Owning(Struct, tag="owning", array_like=True):
-    """Worker to supervisor: it accepts."""
+    """Worker to supervisor: it accepts connections under this grant."""
 
     grant: int
 
 
 class Retire(Struct, tag="retire", array_like=True):
-    """Supervisor to worker: finish what you have, and end."""
+    """Supervisor to worker: finish the open requests and exit."""
 
 
 class Report(Struct, tag="report", array_like=True):
-    """Worker to supervisor, now and then.
-
-    What became of requests since the last one, and what it holds.
-    """
+    """Worker to supervisor, periodically: outcomes of requests since the last report, and load."""
 
     served: int = 0
     refused: int = 0
@@ -152,23 +152,23 @@
 
 
 class State(Struct, tag="state", array_like=True):
-    """Worker to worker: what it knows, by section. `final`: it accepts nothing any more."""
+    """Worker to worker: its state, by section. `final`: the sender has stopped accepting."""
 
     sections: dict[str, bytes]
     final: bool
 
 
 class StateResult(Struct, tag="taken", array_like=True):
-    """Worker to worker: what came of a `State`."""
+    """Worker to worker: the result of reading a `State`; `left` names what cannot be used."""
 
     final: bool
     left: list[str] = []
 
 
 class Connections(Struct, tag="connections", array_like=True):
-    """Worker to worker, with as many descriptors.
+    """Worker to worker, with one descriptor for each connection: idle client connections.
 
-    Client connections between two requests, each with how many requests it has brought.
+    `brought` has the number of requests that each connection has carried so far.
     """
 
     batch: int
@@ -176,22 +176,22 @@
 
 
 class BatchReceived(Struct, tag="kept", array_like=True):
-    """Worker to worker: it holds that batch, and reads nothing from it yet."""
+    """Worker to worker: it holds the batch's descriptors, and does not read from them yet."""
 
     batch: int
 
 
 class Release(Struct, tag="release", array_like=True):
-    """Worker to worker: that batch is yours, and with it so many descriptors."""
+    """Worker to worker: the receiver owns the batch, and its descriptor limit rises."""
 
     batch: int
     descriptors: int
 
 
 class AttemptsInFlight(Struct, tag="out", array_like=True):
-    """Worker to worker.
+    """Worker to worker: the sender's attempts in flight and overdue, by host.
 
-    Own attempts that are out and overdue, by host; open requests, by id, since the last.
+    `opened` and `ended` are the ids of requests opened and ended since the last such message.
     """
 
     at: list[tuple[int, int, int]]
@@ -200,26 +200,26 @@
 
 
 class DescriptorLimit(Struct, tag="room", array_like=True):
-    """Supervisor to the one that serves: so many descriptors are yours."""
+    """Supervisor to the serving worker: its descriptor limit."""
 
     descriptors: int
 
 
 class Lend(Struct, tag="lend", array_like=True):
-    """Worker to worker: so many more descriptors are yours, for as long as the link lasts."""
+    """Worker to worker: raises the receiver's descriptor limit until their link closes."""
 
     descriptors: int
 
 
 class Come(Struct, tag="come", array_like=True):
-    """Worker to worker: it accepts now, and takes connections."""
+    """Worker to worker: it accepts now, and is ready to receive connections."""
 
 
 class OperatorActions(Struct, tag="by-hand", array_like=True):
-    """Process to process: what operators have done, whole, now and whenever it changes.
+    """Process to process: all actions of operators; sent at once and after each change.
 
-    Hosts that are out and since when, when those put back had gone and came (Unix time,
-    microseconds), whether the gateway is drained.
+    `out` has when each host was taken out, `back` when each host that was put back was taken out
+    and put back (Unix time, microseconds). `drained`: operators have drained the gateway.
     """
 
     out: dict[str, int]
@@ -228,7 +228,7 @@
 
 
 class Unknown(Struct, tag="unknown", array_like=True):
-    """A message that this version does not know."""
+    """A message with a tag that this version does not know."""
 
     tag: str = ""
 
@@ -264,7 +264,7 @@
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
-_ANY_ARRAY = msgspec.msgpack.Decoder(list[msgspec.Raw])
+_RAW_ARRAY_DECODER = msgspec.msgpack.Decoder(list[msgspec.Raw])
 
 
 def _checksum(part: int, parts: int, number: int, body: bytes) -> int:
@@ -272,18 +272,18 @@
 
 
 def packets(message: Message, number: int) -> Iterator[bytes]:
-    """A message as packets.
+    """Yield the packets of a message.
 
-    `number` counts the messages of one direction from 0. Raises ValueError for one that is too
-    long.
+    `number` is the message's sequence number in its direction, from 0. Raises `ValueError` for a
+    message longer than `MAX_MESSAGE_BYTES`.
     """
     body = _ENCODER.encode(message)
-    if len(body) > LONGEST:
-        raise ValueError(f"a message of {len(body)} bytes; {LONGEST} are allowed")
-    parts = max(1, -(-len(body) // CHUNK))
+    if len(body) > MAX_MESSAGE_BYTES:
+        raise ValueError(f"message has {len(body)} bytes, at most {MAX_MESSAGE_BYTES} are allowed")
+    parts = max(1, -(-len(body) // MAX_CHUNK_BYTES))
     for part in range(parts):
-        chunk = body[part * CHUNK : (part + 1) * CHUNK]
-        head = _HEAD.pack(
+        chunk = body[part * MAX_CHUNK_BYTES : (part + 1) * MAX_CHUNK_BYTES]
+        header = _HEADER.pack(
             MAGIC,
             VERSION,
             0,
@@ -293,33 +293,34 @@
             len(chunk),
             _checksum(part, parts, number, chunk),
         )
-        yield head + chunk
+        yield header + chunk
 
 
 class Reader:
-    """Puts packets of one direction together again.
+    """Reassembles the messages of one direction from their packets.
 
-    Any packet out of place ends it: the stream is then not to be trusted any more.
+    After a packet that is malformed or out of sequence the stream cannot be trusted any more: the
+    caller has to stop reading.
     """
 
     def __init__(self) -> None:
-        self._number = 0  # of the message that is coming in
+        self._number = 0  # sequence number of the message being received
         self._chunks: list[bytes] = []
         self._parts = 0
 
     def read(self, packet: bytes) -> Message | None:
-        """The message that this packet completes, or None. Raises `BadPacketError`."""
-        if len(packet) < _HEAD.size:
-            raise BadPacketError(f"a packet of {len(packet)} bytes")
-        magic, version, _, part, parts, number, length, checksum = _HEAD.unpack_from(packet)
-        chunk = packet[_HEAD.size :]
+        """Return the message that this packet completes, or None. Raises `BadPacketError`."""
+        if len(packet) < _HEADER.size:
+            raise BadPacketError(f"packet of {len(packet)} bytes is shorter than its header")
+        magic, version, _, part, parts, number, length, checksum = _HEADER.unpack_from(packet)
+        chunk = packet[_HEADER.size :]
         if magic != MAGIC:
-            raise BadPacketError("not a packet of an upgrade")
+            raise BadPacketError("packet does not begin with the magic number of upgrade packets")
         if version != VERSION:
-            raise BadPacketError(f"packets of version {version}; this is version {VERSION}")
+            raise BadPacketError(f"packet has format version {version}, expected {VERSION}")
         if length != len(chunk) or checksum != _checksum(part, parts, number, chunk):
-            raise BadPacketError("a garbled packet")
-        self._check_place(number, part, parts)
+            raise BadPacketError("packet has a wrong length or checksum")
+        self._check_sequence(number, part, parts)
         self._parts = parts
         self._chunks.append(chunk)
         if part + 1 < parts:
@@ -328,28 +329,28 @@
         self._number += 1
         return decode(body)
 
-    def _check_place(self, number: int, part: int, parts: int) -> None:
+    def _check_sequence(self, number: int, part: int, parts: int) -> None:
         is_next = number == self._number and part == len(self._chunks)
         if not is_next or (part and parts != self._parts):
-            raise BadPacketError("a packet is missing")
-        if not 0 < parts <= -(-LONGEST // CHUNK) or part >= parts:
-            raise BadPacketError("a message without end")
+            raise BadPacketError("packet is out of sequence")
+        if not 0 < parts <= -(-MAX_MESSAGE_BYTES // MAX_CHUNK_BYTES) or part >= parts:
+            raise BadPacketError("packet has an invalid part number or number of parts")
 
 
 def decode(body: bytes) -> Message:
-    """One message of its bytes; raises `BadPacketError`."""
+    """Decode a message from its MessagePack bytes. Raises `BadPacketError`."""
     try:
         return _DECODER.decode(body)
     except msgspec.ValidationError as error:
         try:
-            tag = msgspec.msgpack.decode(_ANY_ARRAY.decode(body)[0], type=str)
+            tag = msgspec.msgpack.decode(_RAW_ARRAY_DECODER.decode(body)[0], type=str)
         except (msgspec.MsgspecError, IndexError):
-            raise BadPacketError("not a message") from None
-        if tag in KNOWN:
+            raise BadPacketError("packet payload is not a message") from None
+        if tag in KNOWN_TAGS:
             raise BadPacketError(f"{tag}: {error}") from None
-        return Unknown(tag[:LONGEST_TAG])
+        return Unknown(tag[:MAX_TAG_CHARACTERS])
     except msgspec.MsgspecError:
-        raise BadPacketError("not a message") from None
+        raise BadPacketError("packet payload is not a message") from None
 
 
-KNOWN = frozenset(str(kind.__struct_config__.tag) for kind in Message.__args__)
+KNOWN_TAGS = frozenset(str(kind.__struct_config__.tag) for kind in Message.__args__)
--- a/quillroad/upgrade/owned_tasks.py
+++ b/quillroad/upgrade/owned_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that belong to one object: they are awaited at its end, and none fails unseen."""
+"""Background tasks of one owner: failures are logged, and `close` cancels and awaits them all."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 class OwnedTasks:
-    """Tasks of one owner, which keeps a reference to each: the event loop has weak ones only.
+    """Background tasks of one owner.
 
-    `on_fault` is called after each that ends by an exception.
+    Holds a reference to each running task, since the event loop keeps only weak ones. `on_fault`
+    is called after each task that ends with an exception.
     """
 
     def __init__(
@@ -24,7 +25,7 @@
         self._running: set[asyncio.Task[None]] = set()
 
     def start(self, coroutine: Coroutine[None, None, None]) -> None:
-        """Run a coroutine as a task, which is kept until its end."""
+        """Run a coroutine as a task, and keep a reference to the task until it is done."""
         task = self._loop.create_task(coroutine)
         self._running.add(task)
         task.add_done_callback(self._task_done)
@@ -36,7 +37,7 @@
             self._on_fault()
 
     async def close(self) -> None:
-        """Cancel all that still run, and wait for them."""
+        """Cancel all running tasks and wait until they have ended."""
         for task in list(self._running):
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -20,7 +20,7 @@
 from quillroad.logs import start_log
 from quillroad.overload.acceptor import open_listener
 from quillroad.upgrade.canary import Canary
-from quillroad.upgrade.channel import HAS_ENDED, Channel, close_all, pair
+from quillroad.upgrade.channel import PEER_CLOSED, Channel, close_all, pair
 from quillroad.upgrade.control_socket import ControlSocket
 from quillroad.upgrade.messages import Message, Take, Welcome
 from quillroad.upgrade.owned_tasks import OwnedTasks
@@ -84,7 +84,7 @@
     def _channel_lost(self, number: int, why: str) -> None:
         """The channel has ended: mostly with its process, whose end is then seen soon."""
         process = self._processes.get(number)
-        if process is not None and process.returncode is None and why != HAS_ENDED:
+        if process is not None and process.returncode is None and why != PEER_CLOSED:
             self._perform_all(self._supervisor.lost(number, why))
 
     async def _wait_for(self, number: int, process: asyncio.subprocess.Process) -> None:
--- a/quillroad/upgrade/settings.py
+++ b/quillroad/upgrade/settings.py
@@ -1,4 +1,7 @@
-"""The file that turns upgrades on: `deploy/upgrades.toml` explains each field. Needs `msgspec`."""
+"""The upgrades file, which enables upgrades; `deploy/upgrades.toml` explains each field.
+
+Requires `msgspec`.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +18,8 @@
 from quillroad.upgrade.canary import CanaryTuning
 from quillroad.upgrade.supervisor import Limits
 
-NAME = re.compile(r"[A-Za-z0-9_-][A-Za-z0-9_.-]{0,62}")  # as part of a path
-Part = Annotated[float, Meta(ge=0, le=1)]
+GATEWAY_NAME = re.compile(r"[A-Za-z0-9_-][A-Za-z0-9_.-]{0,62}")  # valid as part of a path
+Proportion = Annotated[float, Meta(ge=0, le=1)]
 
 
 class _Times(Struct, forbid_unknown_fields=True):
@@ -29,8 +32,8 @@
 class _Canary(Struct, forbid_unknown_fields=True):
     time: Duration = "30 s"
     silence: Duration = "2 s"
-    failed: Part = 0.02
-    unserved: Part = 0.25
+    failed: Proportion = 0.02
+    unserved: Proportion = 0.25
     least: Annotated[int, Meta(ge=1, le=1_000_000)] = 40
 
 
@@ -55,10 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Upgrades:
-    """How this gateway upgrades.
-
-    `control` is the path of the socket that operators' commands go to.
-    """
+    """Settings of a gateway's upgrades; `control` is the path of the control socket."""
 
     control: Path
     limits: Limits
@@ -66,10 +66,10 @@
 
 
 def load_upgrades(path: Path, sockets: int = 1024, name: str = "") -> Upgrades:
-    """The file's meaning, for a gateway of this name that may hold so many descriptors.
+    """Read the upgrades file for a gateway called `name` that may hold `sockets` descriptors.
 
-    Raises `ConfigError`. `{name}` in `control` stands for the name, so that gateways can share a
-    file.
+    `{name}` in `control` is replaced by the gateway's name, so that several gateways can share a
+    file. Raises `ConfigError`.
     """
     file = read_toml(path, _File)
     if sockets < 2 * file.limits.first_descriptors:
@@ -77,7 +77,7 @@
             f"limits.first_descriptors: needs half of the gateway's {sockets} at the most, not "
             f"{file.limits.first_descriptors}"
         )
-    if "{name}" in file.control and not NAME.fullmatch(name):
+    if "{name}" in file.control and not GATEWAY_NAME.fullmatch(name):
         raise ConfigError(
             f"control: {{name}} needs a name of letters, digits, '-' and '.', not {name!r}"
         )
@@ -98,5 +98,9 @@
             again_most_s=within(crashes.again_most, "crashes.again_most", 0.01, 600.0),
             calm_s=within(crashes.calm, "crashes.calm", 0.1, 3600.0),
         ),
-        CanaryTuning(failed=canary.failed, unserved=canary.unserved, least=canary.least),
+        CanaryTuning(
+            failed_margin=canary.failed,
+            unserved_margin=canary.unserved,
+            min_requests=canary.least,
+        ),
     )
--- a/quillroad/upgrade/supervisor.py
+++ b/quillroad/upgrade/supervisor.py
@@ -175,7 +175,7 @@
         if self.phase is Phase.CANARY and owner is not None:
             if now - owner.heard > self.limits.silence_s:
                 self._go_back(now, HANGS)
-            elif why := self.canary.worse():
+            elif why := self.canary.regression():
                 self._go_back(now, why)
         if self.due is not None and now >= self.due:
             self.due = None
@@ -331,6 +331,6 @@
             return
         counts = RequestCounts(report.served, report.refused, report.failed)
         if self.phase is Phase.CANARY:
-            self.canary.count_new(now, counts)
+            self.canary.record_new(now, counts)
         else:
-            self.canary.count_old(now, counts)
+            self.canary.record_old(now, counts)
--- a/tests/upgrade/test_machines.py
+++ b/tests/upgrade/test_machines.py
@@ -561,22 +561,22 @@
 def test_the_canary_is_sure_before_it_speaks(new: RequestCounts, worse: bool) -> None:
     canary = Canary(CanaryTuning())
     for i in range(20):
-        canary.count_old(i / 10, RequestCounts(10, 0, 0))
+        canary.record_old(i / 10, RequestCounts(10, 0, 0))
     canary.begin(2.0)
-    canary.count_new(3.0, new)
-    assert bool(canary.worse()) is worse
+    canary.record_new(3.0, new)
+    assert bool(canary.regression()) is worse
 
 
 def test_a_new_process_to_which_nobody_comes() -> None:
     canary = Canary(CanaryTuning())
     for i in range(20):
-        canary.count_old(i / 10, RequestCounts(10, 0, 0))
+        canary.record_old(i / 10, RequestCounts(10, 0, 0))
     canary.begin(2.0)
-    canary.count_new(2.0, RequestCounts())
-    canary.count_new(2.1, RequestCounts())
-    assert not canary.worse()
-    canary.count_new(3.0, RequestCounts())
-    assert canary.worse().startswith("no request in 1.0 s")
+    canary.record_new(2.0, RequestCounts())
+    canary.record_new(2.1, RequestCounts())
+    assert not canary.regression()
+    canary.record_new(3.0, RequestCounts())
+    assert canary.regression().startswith("no request in 1.0 s")
 
 
 @pytest.mark.parametrize("reports", [[], [2.058]])
--- a/tests/upgrade/test_owned_tasks.py
+++ b/tests/upgrade/test_owned_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks of one owner: a fault is told, and a close waits for all of them."""
+"""Background tasks of one owner: failures are reported, and `close` waits for all tasks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @on_loop
-async def test_a_fault_is_logged_and_told_and_a_good_end_is_not(
+async def test_a_failed_task_is_logged_and_reported_and_a_successful_one_is_not(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     faults: list[None] = []
@@ -33,7 +33,7 @@
 
 
 @on_loop
-async def test_a_close_waits_until_each_task_has_ended_and_is_no_fault() -> None:
+async def test_close_waits_for_cancelled_tasks_and_reports_no_fault() -> None:
     ended: list[int] = []
     faults: list[None] = []
     tasks = OwnedTasks(asyncio.get_running_loop(), lambda: faults.append(None))
@@ -42,7 +42,7 @@
         try:
             await asyncio.Event().wait()
         finally:
-            await asyncio.sleep(0.01)  # an end that takes its time
+            await asyncio.sleep(0.01)  # cleanup that outlasts the cancellation
             ended.append(number)
 
     for number in range(3):
