--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -1,6 +1,7 @@
-"""The supervisor as a process: holds the listening socket, starts workers and carries out commands.
+"""The supervisor process: holds the listening socket, starts workers and carries out commands.
 
-`supervisor` decides. This process serves no request, knows no host and holds nothing that grows.
+Module `supervisor` makes the decisions. This process serves no requests, knows no hosts, and its
+memory does not grow with load.
 """
 
 from __future__ import annotations
@@ -42,13 +43,16 @@
 
 log = logging.getLogger("quillroad.upgrade")
 
-BIND_TIMEOUT_S = 15.0  # for an address to come free: workers of a killed supervisor drain first
-BIND_AGAIN_S = 0.1
-COULD_NOT_START = 127  # exit status for a command that cannot be run, as shells have it
+BIND_TIMEOUT_S = 15.0  # workers of a killed supervisor keep the address until they have drained
+BIND_RETRY_S = 0.1
+EXIT_CANNOT_RUN = 127  # status that shells use for a command that cannot be run
 
 
 class SupervisorProcess:
-    """One gateway. `command` starts a worker, whose channel is told by the environment."""
+    """Supervisor of one gateway.
+
+    `command` starts a worker, which finds its channel by `SUPERVISOR_SOCKET_VARIABLE`.
+    """
 
     def __init__(
         self,
@@ -62,7 +66,7 @@
         self._listener: socket.socket | None = listener
         self._supervisor = Supervisor(upgrades.limits, Canary(upgrades.tuning))
         self._control = ControlSocket(
-            upgrades.control, self.operator_asked, self._supervisor.status
+            upgrades.control, self.operator_command, self._supervisor.status
         )
         self._channels: dict[int, Channel] = {}
         self._processes: dict[int, asyncio.subprocess.Process] = {}
@@ -71,39 +75,39 @@
         self.status: asyncio.Future[int] = loop.create_future()
 
     async def start(self) -> None:
-        """Listen for operators and start the first worker. Raises `ConfigError`."""
+        """Open the control socket and start the first worker. Raises `ConfigError`."""
         await self._control.open()
         self._perform_all(self._supervisor.begin(time.monotonic()))
 
-    # What happens.
+    # Events.
 
-    def _heard(self, number: int, message: Message, descriptors: list[int]) -> None:
-        close_all(descriptors)  # workers send none
-        self._perform_all(self._supervisor.heard(time.monotonic(), number, message))
+    def _message_received(self, number: int, message: Message, descriptors: list[int]) -> None:
+        close_all(descriptors)  # workers send the supervisor none
+        self._perform_all(self._supervisor.message_received(time.monotonic(), number, message))
 
     def _channel_lost(self, number: int, why: str) -> None:
-        """The channel has ended: mostly with its process, whose end is then seen soon."""
+        """Handle the end of a channel, unless the peer closed it: then the process exits soon."""
         process = self._processes.get(number)
         if process is not None and process.returncode is None and why != PEER_CLOSED:
-            self._perform_all(self._supervisor.lost(number, why))
+            self._perform_all(self._supervisor.channel_lost(number, why))
 
     async def _wait_for(self, number: int, process: asyncio.subprocess.Process) -> None:
         status = await process.wait()
         if (channel := self._channels.pop(number, None)) is not None:
             channel.close()
         self._processes.pop(number, None)
-        self._perform_all(self._supervisor.ended(time.monotonic(), number, status))
+        self._perform_all(self._supervisor.worker_ended(time.monotonic(), number, status))
 
-    def operator_asked(self, what: str) -> str:
-        """Take an operator's command; returns why not, or nothing."""
-        why, commands = self._supervisor.operator_asked(time.monotonic(), what)
+    def operator_command(self, command: str) -> str:
+        """Carry out an operator's command; return why it is refused, or an empty string."""
+        why, commands = self._supervisor.operator_command(time.monotonic(), command)
         self._perform_all(commands)
         if why:
-            log.error("%s: %s", what, why)
+            log.error("%s: %s", command, why)
         return why
 
     def reload(self) -> None:
-        """Have workers read their configuration again, also those that start later."""
+        """Reload the configuration in all workers, also in those that start later."""
         for number in self._supervisor.reload():
             self._signal(number, signal.SIGHUP)
 
@@ -111,7 +115,7 @@
         self._timer = None
         self._perform_all(self._supervisor.tick(time.monotonic()))
 
-    # What is done.
+    # Commands.
 
     def _perform_all(self, commands: list[Command]) -> None:
         for command in commands:
@@ -119,7 +123,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        wait_s = self._supervisor.next_s(time.monotonic())
+        wait_s = self._supervisor.next_tick_s(time.monotonic())
         if wait_s is not None and not self.status.done():
             self._timer = self._loop.call_later(wait_s, self._tick)
 
@@ -162,12 +166,12 @@
             giver.send(command.message, [ends[0].fileno()])
             taker.send(Take(command.giver), [ends[1].fileno()])
         for end in ends:
-            end.close()  # the kernel keeps them for the messages
+            end.close()  # the messages hold duplicates in the kernel
 
-    def _signal(self, number: int, what: signal.Signals) -> None:
+    def _signal(self, number: int, signal_number: signal.Signals) -> None:
         process = self._processes.get(number)
         if process is not None and process.returncode is None:
-            process.send_signal(what)
+            process.send_signal(signal_number)
 
     def _close_listener(self) -> None:
         if self._listener is not None:
@@ -183,57 +187,59 @@
             self.status.set_result(status)
 
     async def _run_worker(self, number: int) -> None:
-        ours, theirs = pair()
+        supervisor_end, worker_end = pair()
         try:
             process = await asyncio.create_subprocess_exec(
                 *self._command,
-                env=os.environ | {SUPERVISOR_SOCKET_VARIABLE: str(theirs.fileno())},
-                pass_fds=[theirs.fileno()],
+                env=os.environ | {SUPERVISOR_SOCKET_VARIABLE: str(worker_end.fileno())},
+                pass_fds=[worker_end.fileno()],
             )
         except OSError as error:
-            log.error("cannot start %s: %s", self._command[0], error)
-            ours.close()
+            log.error("cannot start the worker process %s: %s", self._command[0], error)
+            supervisor_end.close()
             now = time.monotonic()
-            self._perform_all(self._supervisor.ended(now, number, COULD_NOT_START))
+            self._perform_all(self._supervisor.worker_ended(now, number, EXIT_CANNOT_RUN))
             return
         finally:
-            theirs.close()
+            worker_end.close()
         self._processes[number] = process
         self._channels[number] = Channel(
             self._loop,
-            ours,
-            lambda message, descriptors: self._heard(number, message, descriptors),
+            supervisor_end,
+            lambda message, descriptors: self._message_received(number, message, descriptors),
             lambda why: self._channel_lost(number, why),
         )
         await self._wait_for(number, process)
 
     def close(self) -> None:
-        """End listening for operators, and the timer."""
+        """Close the control socket and cancel the timer."""
         self._control.close()
         if self._timer is not None:
             self._timer.cancel()
 
 
 async def _listen(config: Config) -> socket.socket:
-    """Listen at the gateway's address, once it is free. Raises `ConfigError`."""
+    """Listen on the gateway's address, retrying while it is in use. Raises `ConfigError`."""
     end = time.monotonic() + BIND_TIMEOUT_S
     while True:
         try:
             return open_listener(*config.listen)
         except OSError as error:
             if time.monotonic() >= end:
-                raise ConfigError(f"listen: cannot use {config.listen}: {error.strerror}") from None
-        await asyncio.sleep(BIND_AGAIN_S)
+                raise ConfigError(
+                    f"listen: cannot listen on {config.listen}: {error.strerror}"
+                ) from None
+        await asyncio.sleep(BIND_RETRY_S)
 
 
 async def supervise(config: Config, upgrades: Upgrades, command: Sequence[str]) -> int:
-    """Run a supervisor until it was told to end; returns the status to exit with."""
+    """Run a supervisor until it is stopped; return its exit status."""
     loop = asyncio.get_running_loop()
     supervisor = SupervisorProcess(loop, upgrades, await _listen(config), command)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, supervisor.operator_asked, "stop")
+        loop.add_signal_handler(number, supervisor.operator_command, "stop")
     loop.add_signal_handler(signal.SIGHUP, supervisor.reload)
-    loop.add_signal_handler(signal.SIGUSR2, supervisor.operator_asked, "upgrade")
+    loop.add_signal_handler(signal.SIGUSR2, supervisor.operator_command, "upgrade")
     try:
         await supervisor.start()
         return await supervisor.status
@@ -241,18 +247,18 @@
         supervisor.close()
 
 
-def run(first: Callable[[], Config], file: Path, arguments: Sequence[str] = ()) -> int:
-    """Run a gateway with upgrades from its start to its end; returns the status to exit with.
+def run(read_config: Callable[[], Config], file: Path, arguments: Sequence[str] = ()) -> int:
+    """Run a gateway under a supervisor; return its exit status.
 
-    `first` reads the configuration, `file` turns upgrades on, and `arguments` are those of the
-    command line by which workers find their configuration.
+    `read_config` reads the configuration at startup, `file` is the upgrades file, and `arguments`
+    are the command-line arguments by which workers find their configuration.
     """
     start_log()
     try:
-        config = first()
+        config = read_config()
         upgrades = load_upgrades(file, config.sockets, config.name)
-        # Workers are found where this process was: without -P the folder it runs in would come
-        # first.
+        # Workers import the package from where this process did: without -P, Python would search
+        # the working directory first.
         path = ("-P",) if sys.flags.safe_path else ()
         command = [sys.executable, *path, "-m", "quillroad", *arguments]
         return asyncio.run(supervise(config, upgrades, command))
--- a/quillroad/upgrade/selftest.py
+++ b/quillroad/upgrade/selftest.py
@@ -1,6 +1,6 @@
-"""Whether this build serves: one request of each route through a gateway of its own.
+"""Self-test of a build: sends one request of each route through a temporary gateway.
 
-The host behind it is a stand-in on loopback.
+The only host behind this gateway is a stub server on the loopback interface.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from quillroad.gateway import Gateway
 
 ANSWER_TIMEOUT_S = 5.0
-HEAD_LIMIT_BYTES = 4096  # of a request, at the stand-in
-SPARE_DESCRIPTORS = 32  # for the connections of the test
+HEAD_LIMIT_BYTES = 4096  # of a request, at the stub host
+TEST_DESCRIPTORS = 32  # beside the reserved ones, for the connections of the test
 BODY = b"self-test"
-NOT_OURS = 0  # in place of a status: the body is not the stand-in's
+UNEXPECTED_BODY = 0  # returned instead of status 200 if the body is not `BODY`
 
 
 class SelfTestError(Exception):
-    """This build does not serve; the text is one plain line."""
+    """The self-test failed; the text is a single line."""
 
 
 async def selftest(config: Config) -> None:
-    """Send one request of each route through the whole path.
+    """Send one request of each route through the whole request path.
 
-    Parser, admission, balancer, pool and framing, with the configuration's own settings. Raises
-    `SelfTestError` unless each is answered by the stand-in's body.
+    The path is parser, admission, balancer, connection pool and framing, with the settings of
+    `config`. Raises `SelfTestError` unless each request is answered with the stub host's body.
     """
-    host = _StandInHost()
+    host = _StubHost()
     address = await host.start()
     gateway = Gateway(_config_for(config, address), asyncio.get_running_loop())
     try:
@@ -43,7 +43,7 @@
         await host.stop()
 
 
-class _StandInHost:
+class _StubHost:
     """Answers every request with `BODY`."""
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> Address:
-        """Begin to listen; returns the address."""
+        """Begin to listen; return the address."""
         self._server = await asyncio.start_server(
             self._serve, "127.0.0.1", 0, limit=HEAD_LIMIT_BYTES
         )
@@ -59,7 +59,7 @@
         return host, port
 
     async def stop(self) -> None:
-        """End listening, and wait for connections, each of which ends with its client."""
+        """Stop listening and wait until the gateway has closed all connections."""
         assert self._server is not None
         self._server.close()
         while self._tasks:
@@ -86,14 +86,18 @@
 
 
 def _config_for(config: Config, host: Address) -> Config:
-    """The configuration with the stand-in as its only host, and nothing that others would see."""
+    """Return the configuration with the stub as its only host.
+
+    The temporary gateway has no public address, admin port or discovery, so that nothing outside
+    this process can see it.
+    """
     return dataclasses.replace(
         config,
         listen=("127.0.0.1", 0),
         admin=None,
         discovery=None,
         known_hosts={},
-        sockets=RESERVED + SPARE_DESCRIPTORS,
+        sockets=RESERVED + TEST_DESCRIPTORS,
         hosts=StaticHosts((StaticHost("self-test", host),)),
     )
 
@@ -109,11 +113,11 @@
 
 
 async def _send_request(port: int, name: str, idempotency: Idempotency) -> int:
-    """The status of one request; `NOT_OURS` for a 200 with another body than the stand-in's."""
+    """Send a request; return its status, or `UNEXPECTED_BODY` for a 200 without `BODY`."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    is_read = idempotency is Idempotency.IDEMPOTENT
+    is_get = idempotency is Idempotency.IDEMPOTENT
     lines = [
-        f"{'GET' if is_read else 'POST'} /{name}/self-test HTTP/1.1",
+        f"{'GET' if is_get else 'POST'} /{name}/self-test HTTP/1.1",
         "Host: self-test",
         f"Request-Id: self-test-{name}",
         "Request-Timeout-Ms: 5000",
@@ -121,7 +125,7 @@
     ]
     if idempotency is Idempotency.KEYED:
         lines.append("Idempotency-Key: self-test")
-    if not is_read:
+    if not is_get:
         lines.append("Content-Length: 0")
     try:
         writer.write("\r\n".join(lines).encode() + b"\r\n\r\n")
@@ -129,5 +133,5 @@
     finally:
         writer.close()
     head, _, body = answer.partition(b"\r\n\r\n")
-    is_ours = body == BODY or b" 200 " not in head[:16]
-    return int(head.split(b" ", 2)[1]) if is_ours else NOT_OURS
+    is_expected = body == BODY or b" 200 " not in head[:16]
+    return int(head.split(b" ", 2)[1]) if is_expected else UNEXPECTED_BODY
--- a/quillroad/upgrade/supervisor.py
+++ b/quillroad/upgrade/supervisor.py
@@ -1,24 +1,24 @@
-"""Which of a gateway's processes serves: upgrades, ways back, crashes and the end. No I/O.
+"""Decides which worker of a gateway serves: upgrades, rollbacks, crashes and shutdown. No I/O.
 
-The supervisor holds the listening socket, starts workers and talks to them. It is the only one that
-grants leave to accept, and grants it to nobody while another may still have it: that worker has
-said that it yielded, or its end was seen. So there is one owner of the listener at most at every
-moment, whatever fails, and with none connections wait in the kernel.
+The supervisor holds the listening socket, starts workers and exchanges messages with them. Only it
+grants a worker permission to accept connections, and only after the previous holder has reported
+that it yielded, or its process has exited. So at most one worker owns the listener at any time,
+whatever fails; while none does, connections wait in the kernel's backlog.
 
-What happens is told by `heard`, `ended`, `ask` and `tick`, each with the time (seconds of one clock
-that never goes back); what is to be done comes back as commands, in order.
+Events are method calls (`message_received`, `worker_ended`, `operator_command`, `tick`), most with
+the time in seconds of a monotonic clock. They return commands to be carried out in order.
 
-    STARTING   nobody serves; the candidate is to
+    STARTING   no worker serves; the candidate starts
     SERVING    the owner serves
-    PROBING    ... and a candidate starts and proves itself
-    PREPARING  ... and understands, as a rehearsal, all that the owner knows
-    SWITCHING  the owner yields and hands over, the candidate is granted the listener
-    CANARY     the candidate is the owner; the one before stands by
-    RETURNING  the new owner yields, the one before is granted the listener again
-    STOPPING   all finish what they have
-
-`supervisor_state` has the state, `supervisor_recovery` what follows on faults; this module has the
-events and the way forward.
+    PROBING    the owner serves; a candidate starts and runs its self-test
+    PREPARING  the owner serves; the candidate reads its whole state as a rehearsal
+    SWITCHING  the owner yields and hands over; the candidate is granted the listener
+    CANARY     the candidate is the new owner; the previous owner stands by
+    RETURNING  the new owner yields; the previous owner is granted the listener again
+    STOPPING   all workers finish their open requests
+
+`supervisor_state` has the state and `supervisor_recovery` the reactions to faults; this module has
+the events and the regular course of an upgrade.
 """
 
 from __future__ import annotations
@@ -48,39 +48,40 @@
     ExitSupervisor,
     StopWorker,
 )
-from quillroad.upgrade.supervisor_recovery import HANGS, SupervisorRecovery
+from quillroad.upgrade.supervisor_recovery import HUNG_REASON, SupervisorRecovery
 from quillroad.upgrade.supervisor_state import Limits, Phase, WorkerInfo
 
 __all__ = ["Limits", "Phase", "Supervisor", "WorkerInfo"]
 
-SHOWN_CHARACTERS = 40  # of a command that is not known, in the answer
-REPORTS_IN_SILENCE = 4  # looks at the new owner within the silence after which it counts as hung
+MAX_SHOWN_CHARACTERS = 40  # of an unknown command, in the answer
+CHECKS_PER_SILENCE = 4  # checks of the new owner within `Limits.silence_s`
 
 
 class Supervisor(SupervisorRecovery):
-    """One gateway's supervisor, as decisions."""
+    """State machine of one gateway's supervisor: events in, commands out."""
 
     __slots__ = ()
 
-    # What happens.
+    # Events.
 
     def begin(self, now: float) -> list[Command]:
-        """Start the first worker: the listening socket is there."""
+        """Start the first worker. The listening socket has to be open."""
         self._start_worker(now)
-        self._enter(Phase.STARTING, now + self.limits.start_s)
+        self._enter_phase(Phase.STARTING, now + self.limits.start_s)
         return self._take_commands()
 
-    def heard(  # noqa: C901, PLR0912 - a case a message
+    def message_received(  # noqa: C901, PLR0912 - one case for each message
         self, now: float, number: int, message: Message
     ) -> list[Command]:
-        """Take a worker's message.
+        """Handle a worker's message.
 
-        What does not fit into the phase is passed over: it crossed a decision on its way.
+        A message that does not fit the phase is ignored: the worker sent it before it received the
+        supervisor's latest decision.
         """
         worker = self.workers.get(number)
         if worker is None or number in self._killed:
             return []
-        worker.heard = now
+        worker.last_message_at = now
         match message:
             case Hello():
                 self._hello(now, worker, message)
@@ -90,31 +91,31 @@
             case Unfit():
                 self._unfit(now, number, message.why)
             case Prepared():
-                self._is_prepared(now, worker, message)
+                self._worker_prepared(now, worker, message)
             case Yielded():
-                self._has_yielded(now, number, message)
+                self._worker_yielded(now, number, message)
             case StateAdopted():
                 worker.has_state = True
-                self._hand_over(now)
+                self._grant_to_candidate(now)
             case Owning():
-                if message.grant == self._grant and number in self.granted:
-                    self._owns(now, number)
+                if message.grant == self._newest_grant and number in self.granted:
+                    self._worker_accepts(now, number)
             case Report():
-                self._take_report(now, worker, message)
+                self._record_report(now, worker, message)
             case _:
                 self._log("not understood", number, type(message).__name__)
         return self._take_commands()
 
-    def ended(self, now: float, number: int, status: int) -> list[Command]:
-        """Note that a process has ended, and was waited for.
+    def worker_ended(self, now: float, number: int, status: int) -> list[Command]:
+        """Handle the exit of a worker's process, which has been reaped.
 
-        `status` is its exit status, or minus the signal's number.
+        `status` is its exit status, or the negative signal number.
         """
         if self.workers.pop(number, None) is None:
             return []
         self.granted.discard(number)
         self._killed.discard(number)
-        was_leaving = self.leaving.pop(number, None) is not None
+        was_retiring = self.retiring.pop(number, None) is not None
         if self.phase is Phase.STOPPING:
             if not self.workers:
                 self._commands.append(ExitSupervisor(0))
@@ -122,92 +123,93 @@
         for other in self.workers:
             if other not in self._killed:
                 self._send(other, Ended(number))
-        if was_leaving:
+        if was_retiring:
             self._log("retired", number)
-            self._grant_all_descriptors()
+            self._restore_descriptor_limit()
         elif number == self.candidate:
-            self._lost_candidate(now, f"it ended with {status}", status)
+            self._candidate_exited(now, f"it ended with {status}", status)
         elif number == self.standby:
-            self._lost_standby(now, number, status)
+            self._standby_exited(now, number, status)
         elif number == self.owner:
-            self._lost_owner(now, status)
+            self._owner_exited(now, status)
         return self._take_commands()
 
-    def lost(self, number: int, why: str) -> list[Command]:
-        """Kill a worker to which nothing can be said any more, or that makes no sense."""
+    def channel_lost(self, number: int, why: str) -> list[Command]:
+        """Kill a worker whose channel failed: it cannot be reached, or sent malformed packets."""
         if number in self.workers and number not in self._killed:
             self._log("cut off", number, why)
             self._kill(number)
         return self._take_commands()
 
     def reload(self) -> list[int]:
-        """Workers to signal, since they are to read their configuration again.
+        """Return the workers to signal so that they reload their configuration.
 
-        A process that has not said `Hello` could not take a signal yet, and would end by it; its
-        `Welcome` tells it.
+        A worker that has not yet sent `Hello` has no signal handler, and SIGHUP would end it. Its
+        `Welcome` tells it to read the configuration as a reload does.
         """
         self.reloaded = True
         return [number for number, worker in self.workers.items() if worker.welcomed]
 
-    def operator_asked(self, now: float, what: str) -> tuple[str, list[Command]]:
-        """Take an operator's word: `upgrade`, `check`, `rollback` or `stop`.
+    def operator_command(self, now: float, command: str) -> tuple[str, list[Command]]:
+        """Handle an operator's command: `upgrade`, `check`, `rollback` or `stop`.
 
-        `check` is whether an upgrade would begin. Returns why not, or nothing, and the commands.
+        `check` starts a candidate and ends it once it has passed its self-test. Returns why the
+        command is refused (empty if it is not), and the commands to carry out.
         """
-        if what == "stop":
+        if command == "stop":
             self._stop(now)
             refusal = ""
-        elif what in ("upgrade", "check"):
-            refusal = self._ask_for_upgrade(now, only_checking=what == "check")
-        elif what == "rollback":
-            refusal = self._ask_for_rollback(now)
+        elif command in ("upgrade", "check"):
+            refusal = self._begin_upgrade(now, check_only=command == "check")
+        elif command == "rollback":
+            refusal = self._begin_rollback(now)
         else:
-            refusal = f"no such command: {what[:SHOWN_CHARACTERS]!r}"
+            refusal = f"no such command: {command[:MAX_SHOWN_CHARACTERS]!r}"
         return refusal, self._take_commands()
 
     def tick(self, now: float) -> list[Command]:
-        """Take note that time has passed."""
-        for number, kill_at in list(self.leaving.items()):
+        """Handle timeouts, and judge the new owner during the canary phase."""
+        for number, kill_at in list(self.retiring.items()):
             if now >= kill_at and number not in self._killed:
                 self._log("has not finished", number)
                 self._kill(number)
         owner = self.workers.get(self.owner)
         if self.phase is Phase.CANARY and owner is not None:
-            if now - owner.heard > self.limits.silence_s:
-                self._go_back(now, HANGS)
+            if now - owner.last_message_at > self.limits.silence_s:
+                self._roll_back(now, HUNG_REASON)
             elif why := self.canary.regression():
-                self._go_back(now, why)
-        if self.due is not None and now >= self.due:
-            self.due = None
-            self._phase_is_late(now)
+                self._roll_back(now, why)
+        if self.phase_deadline is not None and now >= self.phase_deadline:
+            self.phase_deadline = None
+            self._phase_timed_out(now)
         return self._take_commands()
 
-    def next_s(self, now: float) -> float | None:
-        """Seconds until `tick` is due; None where nothing is waited for."""
-        times = [at for number, at in self.leaving.items() if number not in self._killed]
-        if self.due is not None:
-            times.append(self.due)
+    def next_tick_s(self, now: float) -> float | None:
+        """Return the seconds until `tick` is due; None if no timeout is pending."""
+        times = [at for number, at in self.retiring.items() if number not in self._killed]
+        if self.phase_deadline is not None:
+            times.append(self.phase_deadline)
         if self.phase is Phase.CANARY:
-            times.append(now + self.limits.silence_s / REPORTS_IN_SILENCE)
+            times.append(now + self.limits.silence_s / CHECKS_PER_SILENCE)
         return max(0.0, min(times) - now) if times else None
 
-    # What operators ask for.
+    # Commands of operators.
 
-    def _ask_for_upgrade(self, now: float, only_checking: bool) -> str:
+    def _begin_upgrade(self, now: float, check_only: bool) -> str:
         if self.phase is not Phase.SERVING:
             return f"not now: {self.phase}"
-        if self.leaving.keys() - self._killed:
+        if self.retiring.keys() - self._killed:
             return "not now: the process before has not finished yet"
-        self._operator_waits, self._only_checking = True, only_checking
-        # First: a process has descriptors from its start on.
-        self._send(self.owner, DescriptorLimit(self.limits.left))
+        self._operator_is_waiting, self._check_only = True, check_only
+        # Lower the owner's limit first: the candidate holds descriptors as soon as it starts.
+        self._send(self.owner, DescriptorLimit(self.limits.owner_descriptors))
         self._start_worker(now)
-        self._enter(Phase.PROBING, now + self.limits.start_s)
+        self._enter_phase(Phase.PROBING, now + self.limits.start_s)
         return ""
 
-    def _ask_for_rollback(self, now: float) -> str:
+    def _begin_rollback(self, now: float) -> str:
         if self.phase is Phase.CANARY and self.standby:
-            self._go_back(now, "asked for")
+            self._roll_back(now, "asked for")
         elif self.phase in (Phase.PROBING, Phase.PREPARING):
             self._abort(now, "asked for")
         else:
@@ -221,9 +223,9 @@
         self._commands.append(CloseListener())
         serves = self.standby or self.owner
         if not self.granted and serves in self.workers:
-            # What the kernel has accepted is to be answered.
+            # Connections that wait in the kernel's backlog have to be answered.
             self._grant_listener(now, serves)
-        self._enter(Phase.STOPPING, now + self.limits.retire_s)
+        self._enter_phase(Phase.STOPPING, now + self.limits.retire_s)
         for number, worker in self.workers.items():
             if number == self.candidate and not (worker.ready and number in self.granted):
                 self._kill(number)
@@ -232,7 +234,7 @@
         if not self.workers:
             self._commands.append(ExitSupervisor(0))
 
-    # The way forward.
+    # Regular course of an upgrade.
 
     def _hello(self, now: float, worker: WorkerInfo, message: Hello) -> None:
         if message.version != VERSION:
@@ -240,7 +242,7 @@
             self._unfit(now, worker.number, why)
             return
         is_alone = self.phase is Phase.STARTING
-        descriptors = self.limits.descriptors if is_alone else self.limits.base
+        descriptors = self.limits.descriptors if is_alone else self.limits.candidate_descriptors
         worker.welcomed = True
         self._send(worker.number, Welcome(descriptors, self.reloaded))
 
@@ -253,77 +255,77 @@
             self._candidate_passed(now, worker)
 
     def _candidate_passed(self, now: float, worker: WorkerInfo) -> None:
-        """The candidate proved itself: rehearse the hand-over, unless it was to be checked only."""
-        together_mb = sum(one.memory_mb for one in self.workers.values())
+        """The candidate passed its self-test: rehearse the hand-over, or end it after a `check`."""
+        total_mb = sum(one.memory_mb for one in self.workers.values())
         allowed_mb = self.limits.memory_mb
-        if allowed_mb and together_mb > allowed_mb:
-            why = f"both processes take {together_mb:.0f} MB, {allowed_mb:.0f} are allowed"
+        if allowed_mb and total_mb > allowed_mb:
+            why = f"both processes take {total_mb:.0f} MB, {allowed_mb:.0f} are allowed"
             self._abort(now, why)
             return
-        if self._only_checking:
+        if self._check_only:
             self._log("fit", worker.number)
             self._abort(now, "")
             return
         self.workers[self.owner].prepared = False
         give = Give(0, worker.number)
         self._commands.append(ConnectWorkers(self.owner, worker.number, give))
-        self._enter(Phase.PREPARING, now + self.limits.prepare_s)
+        self._enter_phase(Phase.PREPARING, now + self.limits.prepare_s)
 
-    def _is_prepared(self, now: float, worker: WorkerInfo, message: Prepared) -> None:
-        """A side of the rehearsal is done; once both are, the owner is to yield."""
+    def _worker_prepared(self, now: float, worker: WorkerInfo, message: Prepared) -> None:
+        """One side has finished the rehearsal; once both have, the owner has to yield."""
         worker.prepared = True
         if worker.number == self.candidate:
             for line in message.left:
                 self._log("left behind", worker.number, line)
         both = [self.workers.get(self.owner), self.workers.get(self.candidate)]
         if self.phase is Phase.PREPARING and all(one is not None and one.prepared for one in both):
-            self._send(self.owner, Yield(self._grant))
-            self._enter(Phase.SWITCHING, now + self.limits.switch_s)
+            self._send(self.owner, Yield(self._newest_grant))
+            self._enter_phase(Phase.SWITCHING, now + self.limits.switch_s)
 
-    def _has_yielded(self, now: float, number: int, message: Yielded) -> None:
-        if message.grant != self._grant:
+    def _worker_yielded(self, now: float, number: int, message: Yielded) -> None:
+        if message.grant != self._newest_grant:
             return
         self.granted.discard(number)
         if number != self.owner:
             return
         if self.phase is Phase.SWITCHING:
-            self._hand_over(now)
+            self._grant_to_candidate(now)
         elif self.phase is Phase.RETURNING:
             self._grant_to_standby(now)
 
-    def _hand_over(self, now: float) -> None:
-        """Grant the candidate the listener, once nobody else has it and it holds the state."""
+    def _grant_to_candidate(self, now: float) -> None:
+        """Grant the candidate the listener once no worker has it and the state is adopted."""
         candidate = self.workers.get(self.candidate)
-        is_free = self.phase is Phase.SWITCHING and not self.granted
-        if is_free and candidate is not None and candidate.has_state:
+        may_grant = self.phase is Phase.SWITCHING and not self.granted
+        if may_grant and candidate is not None and candidate.has_state:
             self._grant_listener(now, self.candidate)
 
-    def _owns(self, now: float, number: int) -> None:
-        """A worker says that it accepts, as it was granted."""
-        self._anyone_served, self._serves_since = True, now
+    def _worker_accepts(self, now: float, number: int) -> None:
+        """A worker accepts connections under its grant: enter the phase that follows."""
+        self._any_worker_served, self._serving_since = True, now
         if self.phase is Phase.SWITCHING and number == self.candidate:
             self.standby, self.owner, self.candidate = self.owner, number, 0
             self.canary.begin(now)
             if self.standby in self.workers:
-                self._enter(Phase.CANARY, now + self.limits.canary_s)
+                self._enter_phase(Phase.CANARY, now + self.limits.canary_s)
                 self._log("serves", number)
                 return
             self.standby = 0
         elif self.phase is Phase.RETURNING and number == self.standby:
-            before, self.owner, self.standby = self.owner, number, 0
-            if before in self.workers:
-                self._retire(now, before)
+            previous, self.owner, self.standby = self.owner, number, 0
+            if previous in self.workers:
+                self._retire(now, previous)
             self._log("serves again", number)
             self._end_upgrade(self.last)
         elif number == self.candidate:
             self.owner, self.candidate = number, 0
         elif number != self.owner:
             return
-        self._enter(Phase.SERVING, None)
+        self._enter_phase(Phase.SERVING, None)
         self._log("serves", number)
-        self._grant_all_descriptors()
+        self._restore_descriptor_limit()
 
-    def _take_report(self, now: float, worker: WorkerInfo, report: Report) -> None:
+    def _record_report(self, now: float, worker: WorkerInfo, report: Report) -> None:
         worker.memory_mb, worker.open = report.memory_mb, report.open
         worker.connections = report.connections
         worker.moved += report.moved
--- a/quillroad/upgrade/supervisor_commands.py
+++ b/quillroad/upgrade/supervisor_commands.py
@@ -1,4 +1,4 @@
-"""What the supervisor's decisions ask of the process that carries them out, in order. No I/O."""
+"""Commands by which the supervisor's state machine drives `SupervisorProcess`. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartWorker:
-    """Start a process as this worker."""
+    """Start a process as the worker with this number."""
 
     worker: int
 
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectWorkers:
-    """Connect two workers by a pair of sockets.
+    """Connect two workers by a socket pair.
 
-    `Give` goes to the first and `Take` to the second, each with its end of the pair.
+    `Give` is sent to the giver and `Take` to the taker, each with its end of the pair.
     """
 
     giver: int
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StopWorker:
-    """Ask a process to drain and end (SIGTERM)."""
+    """Ask a worker to drain and exit (SIGTERM)."""
 
     worker: int
 
 
 @dataclass(frozen=True, slots=True)
 class KillWorker:
-    """End a process at once (SIGKILL)."""
+    """Kill a worker at once (SIGKILL)."""
 
     worker: int
 
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """A line for the log; `why` for what failed."""
+    """Write a line to the log; `why` is the reason of a failure."""
 
     event: str
     worker: int = 0
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UpgradeEnded:
-    """What became of the upgrade that an operator asked for: `why` is empty where it holds."""
+    """Report the result of the upgrade to the operator; `why` is empty if it succeeded."""
 
     why: str
 
 
 @dataclass(frozen=True, slots=True)
 class ExitSupervisor:
-    """End the supervisor with this exit status."""
+    """Exit the supervisor with this status."""
 
     status: int
 
--- a/quillroad/upgrade/supervisor_state.py
+++ b/quillroad/upgrade/supervisor_state.py
@@ -1,7 +1,7 @@
-"""What the supervisor knows of its workers and of the upgrade, and the small steps on it. No I/O.
+"""The supervisor's state: its workers, the phase of the upgrade, and basic operations. No I/O.
 
-All decisions follow from the phase and from two sets: who was granted leave to accept and may still
-have it (`granted`), and who is on the way out (`leaving`).
+All decisions follow from the phase and two collections: `granted` has the workers that may accept
+connections, `retiring` those that finish their requests and exit.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Phase(StrEnum):
-    """Where an upgrade stands; `supervisor` explains each phase."""
+    """Phase of a gateway's supervisor; module `supervisor` explains each."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -37,37 +37,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Times in seconds. `docs/operators/upgrades.md` says when to change which."""
-
-    start_s: float = 10.0  # for a new process to be ready
-    prepare_s: float = 5.0  # for the rehearsal
-    switch_s: float = 2.0  # for each step while nobody accepts
-    canary_s: float = 30.0  # in which the process before stands by
-    retire_s: float = 10.0  # for a process to finish
-    silence_s: float = 2.0  # without a report, after which the new owner counts as hung
-    memory_mb: float = 0.0  # for all processes together; 0: no limit
-    descriptors: int = 1024  # for all workers together
-    base: int = 64  # of them, for one that does not serve yet
-    again_s: float = 0.1  # before the next start after a crash; it doubles
-    again_most_s: float = 5.0
-    calm_s: float = 10.0  # of service after which a crash counts as the first again
+    """Timeouts and limits. `docs/operators/upgrades.md` says when to change which."""
+
+    start_s: float = 10.0  # until a new worker is ready
+    prepare_s: float = 5.0  # for the rehearsal of the hand-over
+    switch_s: float = 2.0  # for each step during which no worker accepts
+    canary_s: float = 30.0  # duration of the canary phase, during which the standby is kept
+    retire_s: float = 10.0  # for a retiring worker to finish
+    silence_s: float = 2.0  # without a message, after which the new owner counts as hung
+    memory_mb: float = 0.0  # of all workers together; 0: no limit
+    descriptors: int = 1024  # of all workers together
+    candidate_descriptors: int = 64  # of them, for a worker that does not serve yet
+    restart_backoff_s: float = 0.1  # doubles with each crash; the first restart is immediate
+    max_restart_backoff_s: float = 5.0
+    stable_after_s: float = 10.0  # of service, after which the backoff starts again
 
     @property
-    def left(self) -> int:
-        """Descriptors of the process that serves while another starts beside it."""
-        return self.descriptors - self.base - 2 * batch_of(self.descriptors)
+    def owner_descriptors(self) -> int:
+        """Descriptor limit of the owner while a candidate runs beside it."""
+        return self.descriptors - self.candidate_descriptors - 2 * batch_of(self.descriptors)
 
 
 @dataclass(slots=True)
 class WorkerInfo:
-    """What the supervisor knows of a process. `heard` is when it sent something last."""
+    """What the supervisor knows of a worker, mostly from its reports."""
 
     number: int
-    heard: float
+    last_message_at: float
     welcomed: bool = False
     ready: bool = False
     prepared: bool = False
-    has_state: bool = False  # all that the owner knew
+    has_state: bool = False  # has adopted the owner's final state
     memory_mb: float = 0.0
     open: int = 0
     connections: int = 0
@@ -76,10 +76,10 @@
 
 @dataclass(slots=True)
 class SupervisorState:
-    """One gateway's processes.
+    """State of one gateway's supervisor.
 
-    `owner` is the worker that serves or did last, `candidate` the one that is to, `standby` the one
-    that did before; 0 is nobody.
+    `owner` is the number of the worker that serves or served last, `candidate` of the one that is
+    to take over, `standby` of the previous owner during a canary phase; 0 means none.
     """
 
     limits: Limits = field(default_factory=Limits)
@@ -90,36 +90,37 @@
     candidate: int = 0
     standby: int = 0
     granted: set[int] = field(default_factory=set)
-    leaving: dict[int, float] = field(default_factory=dict)  # and when they are killed
-    due: float | None = None  # end of the phase
-    last: str = ""  # what became of the last upgrade
-    # There was a reload: workers that start read their configuration as it read it.
+    # Retiring workers, each with the time at which it is killed unless it has exited.
+    retiring: dict[int, float] = field(default_factory=dict)
+    phase_deadline: float | None = None  # when the current phase times out
+    last: str = ""  # why the last upgrade failed; empty after a success
+    # A reload has happened: new workers read their configuration as the reload did.
     reloaded: bool = False
     _commands: list[Command] = field(default_factory=list)
-    _last_worker: int = 0
-    _grant: int = 0  # number of the newest grant
-    _crashes: int = 0  # in a row
-    _serves_since: float = 0.0  # the owner
-    _anyone_served: bool = False
-    _operator_waits: bool = False  # to hear of the upgrade
-    _only_checking: bool = False  # the candidate is to prove itself, and no more
+    _newest_worker: int = 0
+    _newest_grant: int = 0  # number of the newest grant
+    _consecutive_crashes: int = 0  # without `Limits.stable_after_s` of service between them
+    _serving_since: float = 0.0  # of the owner
+    _any_worker_served: bool = False
+    _operator_is_waiting: bool = False  # for the result of the upgrade
+    _check_only: bool = False  # end the candidate after its self-test
     _killed: set[int] = field(default_factory=set)
 
-    # Small steps, each of which may add commands.
+    # Basic operations, each of which may add commands.
 
-    def _enter(self, phase: Phase, due: float | None) -> None:
-        """Enter a phase that may last until `due` (None: for as long as it will)."""
+    def _enter_phase(self, phase: Phase, deadline: float | None) -> None:
+        """Enter a phase that times out at `deadline` (None: never)."""
         if phase is not self.phase:
             self.phase = phase
             self._log(phase.value)
-        # While another worker than the owner may accept, the time for its answer stays.
+        # While a worker other than the owner may accept, the timeout for its answer stays.
         other_may_accept = phase is Phase.SERVING and bool(self.granted - {self.owner})
-        if due is not None or not other_may_accept:
-            self.due = due
+        if deadline is not None or not other_may_accept:
+            self.phase_deadline = deadline
 
     def _start_worker(self, now: float) -> None:
-        self._last_worker += 1
-        self.candidate = self._last_worker
+        self._newest_worker += 1
+        self.candidate = self._newest_worker
         self.workers[self.candidate] = WorkerInfo(self.candidate, now)
         self._commands.append(StartWorker(self.candidate))
 
@@ -133,27 +134,27 @@
             self._commands.append(KillWorker(number))
 
     def _retire(self, now: float, number: int) -> None:
-        self.leaving[number] = now + self.limits.retire_s
+        self.retiring[number] = now + self.limits.retire_s
         self._send(number, Retire())
 
     def _grant_listener(self, now: float, number: int) -> None:
-        """Grant a worker leave to accept; nobody else may still have it."""
-        assert not self.granted - {number}, "two would accept"
-        self._grant += 1
+        """Grant a worker the listener; no other worker may still have it."""
+        assert not self.granted - {number}, "two workers would accept connections"
+        self._newest_grant += 1
         self.granted.add(number)
-        self._send(number, Own(self._grant))
-        self.due = now + self.limits.switch_s
+        self._send(number, Own(self._newest_grant))
+        self.phase_deadline = now + self.limits.switch_s
 
-    def _grant_all_descriptors(self) -> None:
-        """A worker that serves alone may hold all descriptors."""
-        if self.phase is Phase.SERVING and not self.leaving:
+    def _restore_descriptor_limit(self) -> None:
+        """Let the owner hold all descriptors again, if no other worker is left."""
+        if self.phase is Phase.SERVING and not self.retiring:
             self._send(self.owner, DescriptorLimit(self.limits.descriptors))
 
     def _end_upgrade(self, why: str) -> None:
-        """Tell who waits what became of the upgrade; `why` is empty where it holds."""
+        """Record the result of the upgrade and report it to an operator who waits for it."""
         self.last = why
-        if self._operator_waits:
-            self._operator_waits = False
+        if self._operator_is_waiting:
+            self._operator_is_waiting = False
             self._commands.append(UpgradeEnded(why))
 
     def _log(self, event: str, worker: int = 0, why: str = "") -> None:
@@ -164,7 +165,7 @@
         return commands
 
     def status(self) -> Iterator[str]:
-        """Lines for an operator."""
+        """Yield the lines of the `status` command."""
         yield f"phase {self.phase}" + (f", last upgrade: {self.last}" if self.last else "")
         for number, worker in self.workers.items():
             yield (
@@ -177,6 +178,6 @@
             "serves": number in self.granted,
             "candidate": number == self.candidate,
             "stands by": number == self.standby,
-            "leaves": number in self.leaving,
+            "leaves": number in self.retiring,
         }
         return [name for name, has_role in roles.items() if has_role]
--- a/tests/upgrade/quick.py
+++ b/tests/upgrade/quick.py
@@ -1,4 +1,4 @@
-"""The file that turns upgrades on, with times of a test."""
+"""Upgrades file with short times, for tests."""
 
 FILE = """
 [times]
--- a/tests/upgrade/test_channel.py
+++ b/tests/upgrade/test_channel.py
@@ -110,13 +110,13 @@
     """A channel that records the messages, descriptors and end reasons it received."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.messages: list[Message] = []
+        self.received: list[Message] = []
         self.fds: list[int] = []
         self.why: list[str] = []
         self.channel = Channel(asyncio.get_running_loop(), sock, self._record, self.why.append)
 
     def _record(self, message: Message, fds: list[int]) -> None:
-        self.messages.append(message)
+        self.received.append(message)
         self.fds += fds
 
 
@@ -148,7 +148,7 @@
     one.channel.close()
     other.channel.send(Yield(2))
     await until(lambda: bool(other.why))
-    assert other.messages == [Release(1, 16)] and other.why == ["the peer closed the socket"]
+    assert other.received == [Release(1, 16)] and other.why == ["the peer closed the socket"]
 
 
 @on_loop
@@ -157,8 +157,8 @@
     big = State({"module": b"x" * (4 * 1024 * 1024)}, False)
     one.channel.send(big)
     one.channel.send(Yield(1))
-    await until(lambda: len(other.messages) == 2)
-    assert other.messages == [big, Yield(1)]
+    await until(lambda: len(other.received) == 2)
+    assert other.received == [big, Yield(1)]
     unread_pair = pair()
     sender = RecordingEnd(unread_pair[0])
     for number in range(5000):
@@ -180,5 +180,5 @@
         end = RecordingEnd(near)
         far.send(junk)
         await until(lambda end=end: bool(end.why))  # type: ignore[misc]
-        assert end.why == [why] and not end.messages
+        assert end.why == [why] and not end.received
         far.close()
--- a/tests/upgrade/test_machines.py
+++ b/tests/upgrade/test_machines.py
@@ -1,5 +1,6 @@
-"""Keeper and seats together in one simulated machine: any process may end at any message, and
-one at most accepts.
+"""The state machines of supervisor and workers in one simulated machine without I/O.
+
+Any process may end at any message; at most one worker may accept connections at any time.
 """
 
 from __future__ import annotations
@@ -58,25 +59,25 @@
 
 @dataclass
 class Process:
-    seat: WorkerState = field(default_factory=WorkerState)
-    other: int = 0
+    state: WorkerState = field(default_factory=WorkerState)
+    sibling: int = 0
     ready: bool = False
     finishing: bool = False
-    mute: bool = False
-    waits: float = 0.0
-    holds: set[int] = field(default_factory=set)  # client connections it reads from
+    hangs: bool = False
+    sibling_end_due: float = 0.0
+    holds: set[int] = field(default_factory=set)  # client connections that it reads from
     waiting: set[int] = field(default_factory=set)
     batches: dict[int, set[int]] = field(default_factory=dict)
     kept: dict[int, set[int]] = field(default_factory=dict)
     stopping: bool = False
-    limit: int = 0  # connections that it may hold
+    limit: int = 0  # maximum number of connections
 
-    def limited(self, act: LimitDescriptors) -> None:
-        self.limit = act.descriptors + (self.limit if act.more else -RESERVED)
+    def set_limit(self, action: LimitDescriptors) -> None:
+        self.limit = action.descriptors + (self.limit if action.more else -RESERVED)
 
     def descriptors(self) -> int:
-        """The most that it may hold: what is no connection, connections, copies of those on
-        their way.
+        """The most descriptors that it may hold: reserved ones, connections, and the duplicates
+        of connections that are being moved.
         """
         copies = [*self.batches.values(), *self.kept.values()]
         return RESERVED + max(0, self.limit) + sum(map(len, copies))
@@ -84,128 +85,131 @@
 
 @dataclass
 class Machine:
-    """What lies between processes is in order for each pair, and in any order between pairs."""
+    """Messages of one pair of processes arrive in order; those of different pairs in any order."""
 
     supervisor: Supervisor = field(default_factory=lambda: Supervisor(LIMITS))
     now: float = 0.0
     processes: dict[int, Process] = field(default_factory=dict)
-    wires: dict[tuple[int, int], deque[tuple[Message, set[int]]]] = field(default_factory=dict)
-    settled: list[str] = field(default_factory=list)
+    queues: dict[tuple[int, int], deque[tuple[Message, set[int]]]] = field(default_factory=dict)
+    upgrade_results: list[str] = field(default_factory=list)
     status: int | None = None
-    said: list[tuple[str, int]] = field(default_factory=list)  # what each process sent, in order
-    kill_at: tuple[str, int, int] | None = None  # kind of message, sender, who ends
-    did: list[tuple[str, int]] = field(
-        default_factory=list
-    )  # what each process carried out, in order
-    fail_at: tuple[str, int] | None = None  # what cannot be carried out, once, and by whom
-    lost: set[int] = field(
-        default_factory=set
-    )  # client connections that a process may have taken along
-    closed: set[int] = field(
-        default_factory=set
-    )  # that one ended between two requests, as it finished
-
-    def post(
+    # Messages sent: kind and sender, in order.
+    sent: list[tuple[str, int]] = field(default_factory=list)
+    kill_at: tuple[str, int, int] | None = None  # message kind, its sender, process to kill
+    # Commands carried out: name and worker, in order.
+    executed: list[tuple[str, int]] = field(default_factory=list)
+    fail_at: tuple[str, int] | None = None  # command that fails once, and worker in which it fails
+    # Client connections that a killed process may have held alone.
+    lost: set[int] = field(default_factory=set)
+    # Client connections that a worker closed between two requests.
+    closed: set[int] = field(default_factory=set)
+
+    def send(
         self, sender: int, to: int, message: Message, connections: set[int] | None = None
     ) -> None:
         if sender and sender not in self.processes:
             return
         kind = type(message).__name__
         if sender:
-            self.said.append((kind, sender))
+            self.sent.append((kind, sender))
         fault = self.kill_at
         if fault is not None and fault[:2] == (kind, sender):
             self.kill_at = None
             self.end(fault[2])
             if fault[2] == sender:
                 return
-        self.wires.setdefault((sender, to), deque()).append((message, connections or set()))
+        self.queues.setdefault((sender, to), deque()).append((message, connections or set()))
 
     def end(self, number: int, status: int = -9) -> None:
-        """A process is gone; what it sent before may still be read."""
+        """End a process; messages that it sent before are still delivered."""
         process = self.processes.pop(number, None)
         if process is None:
             return
         self.closed |= process.holds
         if status < 0:
-            other = self.processes.get(process.other)
-            for batch, held in process.kept.items():  # of which some the other one still offers
-                self.lost |= set() if other is not None and batch in other.seat.offered else held
-            for batch, held in process.batches.items():  # of which some the other one has
+            other = self.processes.get(process.sibling)
+            for batch, held in process.kept.items():  # unless the sibling still offers this batch
+                self.lost |= set() if other is not None and batch in other.state.offered else held
+            for batch, held in process.batches.items():  # unless the sibling already has this batch
                 self.lost |= set() if other is not None and batch in other.kept else held
             self.lost |= process.holds
-        for (sender, to), wire in list(self.wires.items()):
+        for (sender, to), queue in list(self.queues.items()):
             if to == number:
-                wire.clear()
+                queue.clear()
             if sender == number and to == 0:
-                while wire:
-                    self.carry(self.supervisor.heard(self.now, number, wire.popleft()[0]))
-        if process.other in self.processes:
-            wire = self.wires.get((number, process.other), deque())
-            while wire:
-                self.deliver(number, process.other)
-            if process.other in self.processes:
-                self.act(process.other, self.processes[process.other].seat.link_lost())
-        self.carry(self.supervisor.ended(self.now, number, status))
-
-    def carry(self, acts: list[commands.Command]) -> None:
-        for act in acts:
-            match act:
+                while queue:
+                    self.perform_all(
+                        self.supervisor.message_received(self.now, number, queue.popleft()[0])
+                    )
+        if process.sibling in self.processes:
+            queue = self.queues.get((number, process.sibling), deque())
+            while queue:
+                self.deliver(number, process.sibling)
+            if process.sibling in self.processes:
+                self.perform_worker(
+                    process.sibling, self.processes[process.sibling].state.link_lost()
+                )
+        self.perform_all(self.supervisor.worker_ended(self.now, number, status))
+
+    def perform_all(self, actions: list[commands.Command]) -> None:
+        for action in actions:
+            match action:
                 case commands.StartWorker():
-                    self.processes[act.worker] = Process()
-                    self.post(act.worker, 0, Hello(VERSION))
+                    self.processes[action.worker] = Process()
+                    self.send(action.worker, 0, Hello(VERSION))
                 case commands.SendMessage():
-                    self.post(0, act.worker, act.message)
+                    self.send(0, action.worker, action.message)
                 case commands.ConnectWorkers():
                     for one, other, message in (
-                        (act.giver, act.taker, act.message),
-                        (act.taker, act.giver, Take()),
+                        (action.giver, action.taker, action.message),
+                        (action.taker, action.giver, Take()),
                     ):
                         if one in self.processes:
-                            self.processes[one].other = other
-                            self.post(0, one, Take(other) if isinstance(message, Take) else message)
+                            self.processes[one].sibling = other
+                            self.send(0, one, Take(other) if isinstance(message, Take) else message)
                 case commands.StopWorker():
-                    if act.worker in self.processes:
-                        self.processes[act.worker].stopping = True
+                    if action.worker in self.processes:
+                        self.processes[action.worker].stopping = True
                 case commands.KillWorker():
-                    self.end(act.worker)
+                    self.end(action.worker)
                 case commands.UpgradeEnded():
-                    self.settled.append(act.why)
+                    self.upgrade_results.append(action.why)
                 case commands.ExitSupervisor():
-                    self.status = act.status
+                    self.status = action.status
         self.check()
 
-    def act(self, number: int, acts: list[WorkerCommand]) -> None:
+    def perform_worker(self, number: int, actions: list[WorkerCommand]) -> None:
         process = self.processes[number]
-        for act in acts:
-            step = (act.name if isinstance(act, Step) else type(act).__name__, number)
-            self.did.append(step)
+        for action in actions:
+            step = (action.name if isinstance(action, Step) else type(action).__name__, number)
+            self.executed.append(step)
             if step == self.fail_at:
                 self.fail_at = None
-                if isinstance(act, LimitDescriptors):  # set first, whatever fails then
-                    process.limited(act)
-                if act is Step.ACCEPT:
+                if isinstance(action, LimitDescriptors):  # the limit is set before the failure
+                    process.set_limit(action)
+                if action is Step.ACCEPT:
                     self.end(number, 1)
-                elif isinstance(act, OwnBatch):  # those that it can't serve it ends
-                    self.closed |= process.kept.pop(act.batch)
+                elif isinstance(action, OwnBatch):  # connections that it cannot serve are closed
+                    self.closed |= process.kept.pop(action.batch)
                 else:
-                    if isinstance(act, ReleaseBatch):
-                        process.seat.batch_released(act.batch)
-                        process.batches.pop(act.batch, None)  # copies are closed first
-                    self.part(number)
+                    if isinstance(action, ReleaseBatch):
+                        process.state.batch_released(action.batch)
+                        # Its duplicates are closed before the failure.
+                        process.batches.pop(action.batch, None)
+                    self.close_link(number)
                 if number not in self.processes:
                     return
                 continue
-            match act:
+            match action:
                 case ToSupervisor():
-                    self.post(number, 0, act.message)
+                    self.send(number, 0, action.message)
                 case ToSibling():
-                    if process.seat.role is not LinkRole.NONE:
-                        self.post(number, process.other, act.message)
+                    if process.state.role is not LinkRole.NONE:
+                        self.send(number, process.sibling, action.message)
                 case ExportState():
-                    self.post(number, process.other, State({}, act.final))
+                    self.send(number, process.sibling, State({}, action.final))
                 case AdoptState():
-                    self.act(number, process.seat.adopted(act.state.final, []))
+                    self.perform_worker(number, process.state.adopted(action.state.final, []))
                 case Step.MIGRATE:
                     process.waiting = set(process.holds)
                     self.offer(number)
@@ -214,106 +218,109 @@
                 case Step.FINISH:
                     process.finishing = True
                 case LimitDescriptors():
-                    process.limited(act)
+                    process.set_limit(action)
                 case KeepBatch():
-                    process.kept[act.batch] = self.carried
+                    process.kept[action.batch] = self.received_connections
                 case OwnBatch():
-                    process.holds |= process.kept.pop(act.batch, set())
+                    process.holds |= process.kept.pop(action.batch, set())
                 case Step.AWAIT_SIBLING_END:
-                    process.waits = self.now + 1.0
+                    process.sibling_end_due = self.now + 1.0
                 case DropBatches():
                     process.kept.clear()
                 case ReleaseBatch():
-                    process.batches.pop(act.batch, None)
-                    process.seat.batch_released(act.batch)
+                    process.batches.pop(action.batch, None)
+                    process.state.batch_released(action.batch)
                     self.offer(number)
                 case TakeBackBatch():
-                    process.holds |= process.batches.pop(act.batch, set())
+                    process.holds |= process.batches.pop(action.batch, set())
             if number not in self.processes:
                 return
         self.check()
 
-    carried: set[int] = field(default_factory=set)
+    received_connections: set[int] = field(default_factory=set)
 
-    def part(self, number: int) -> None:
-        """The link of a worker is cut, as after a fault of its own: what was sent before is
-        still read.
+    def close_link(self, number: int) -> None:
+        """Close the link of a worker to its sibling, as after a fault of the worker. Messages
+        that it sent before are still delivered.
         """
-        other = self.processes[number].other
-        self.wires.get((other, number), deque()).clear()
-        self.act(number, self.processes[number].seat.link_lost())
-        wire = self.wires.get((number, other), deque())
-        while wire and other in self.processes:
+        other = self.processes[number].sibling
+        self.queues.get((other, number), deque()).clear()
+        self.perform_worker(number, self.processes[number].state.link_lost())
+        queue = self.queues.get((number, other), deque())
+        while queue and other in self.processes:
             self.deliver(number, other)
-        if other in self.processes and self.processes[other].other == number:
-            self.act(other, self.processes[other].seat.link_lost())
+        if other in self.processes and self.processes[other].sibling == number:
+            self.perform_worker(other, self.processes[other].state.link_lost())
 
     def offer(self, number: int) -> None:
         process = self.processes[number]
-        while (offer := process.seat.offer(len(process.waiting))) is not None:
+        while (offer := process.state.offer(len(process.waiting))) is not None:
             batch, size = offer
             chosen = set(sorted(process.waiting)[:size])
             process.waiting -= chosen
             process.holds -= chosen
             process.batches[batch] = chosen
-            self.post(number, process.other, Connections(batch, [0] * size), set(chosen))
+            self.send(number, process.sibling, Connections(batch, [0] * size), set(chosen))
             if number not in self.processes:
                 return
 
     def deliver(self, sender: int, to: int) -> None:
-        message, self.carried = self.wires[(sender, to)].popleft()
+        message, self.received_connections = self.queues[(sender, to)].popleft()
         if to == 0:
-            self.carry(self.supervisor.heard(self.now, sender, message))
+            self.perform_all(self.supervisor.message_received(self.now, sender, message))
             return
         process = self.processes.get(to)
-        if process is None or process.mute:
+        if process is None or process.hangs:
             return
         if sender == 0 and isinstance(message, Welcome):
             process.limit = message.descriptors - RESERVED
-            self.post(to, 0, Ready())
+            self.send(to, 0, Ready())
         else:
-            told = process.seat.supervisor_said if sender == 0 else process.seat.sibling_said
-            self.act(to, told(message))
+            handle = process.state.supervisor_said if sender == 0 else process.state.sibling_said
+            self.perform_worker(to, handle(message))
 
     def run(self, choose: st.DataObject | None = None, until: float = 60.0) -> None:
-        """Deliver what there is, then let time pass, until nothing happens any more."""
+        """Deliver all messages, then advance the clock by 0.1 s.
+
+        Repeats until time `until`, or until the supervisor exits.
+        """
         while self.now < until and self.status is None:
-            while open_wires := sorted(w for w, queue in self.wires.items() if queue):
-                at = choose.draw(st.integers(0, len(open_wires) - 1)) if choose is not None else 0
-                self.deliver(*open_wires[at])
+            while pending := sorted(pair for pair, queue in self.queues.items() if queue):
+                at = choose.draw(st.integers(0, len(pending) - 1)) if choose is not None else 0
+                self.deliver(*pending[at])
             self.now += 0.1
             for number, process in list(self.processes.items()):
-                if process.waits and self.now >= process.waits:
-                    process.waits = 0.0
-                    self.act(number, process.seat.waited())
+                if process.sibling_end_due and self.now >= process.sibling_end_due:
+                    process.sibling_end_due = 0.0
+                    self.perform_worker(number, process.state.waited())
                 if process.finishing or process.stopping:
                     self.end(number, 0)
-                elif process.seat.accepts and not process.mute:
-                    self.post(number, 0, Report(served=10))
-            self.carry(self.supervisor.tick(self.now))
+                elif process.state.accepts and not process.hangs:
+                    self.send(number, 0, Report(served=10))
+            self.perform_all(self.supervisor.tick(self.now))
 
     def check(self) -> None:
-        accepting = [n for n, p in self.processes.items() if p.seat.accepts]
-        assert len(accepting) <= 1, "two accept"
+        accepting = [n for n, p in self.processes.items() if p.state.accepts]
+        assert len(accepting) <= 1, "more than one worker accepts"
         assert set(accepting) <= self.supervisor.granted
         readers = [c for p in self.processes.values() for c in p.holds]
-        assert len(readers) == len(set(readers)), "a connection with two readers"
-        told = [message for wire in self.wires.values() for message, _ in wire]
+        assert len(readers) == len(set(readers)), "more than one worker reads from a connection"
+        in_transit = [message for queue in self.queues.values() for message, _ in queue]
         if not any(
-            isinstance(message, DescriptorLimit) for message in told
-        ):  # what is told is heard in some turns
+            isinstance(message, DescriptorLimit) for message in in_transit
+        ):  # limits still in transit are not in force yet
             held = sum(process.descriptors() for process in self.processes.values())
-            assert held <= LIMITS.descriptors, "more descriptors than there are"
+            assert held <= LIMITS.descriptors, "workers hold more descriptors than the limit"
 
     def serving(self) -> int:
-        accepting = [n for n, p in self.processes.items() if p.seat.accepts]
+        accepting = [n for n, p in self.processes.items() if p.state.accepts]
         assert len(accepting) == 1
         return accepting[0]
 
 
 def started() -> Machine:
     machine = Machine()
-    machine.carry(machine.supervisor.begin(0.0))
+    machine.perform_all(machine.supervisor.begin(0.0))
     machine.run(until=3.0)
     assert machine.serving() == 1
     machine.processes[1].holds = set(IDLE)
@@ -321,105 +328,115 @@
 
 
 def upgrade(machine: Machine, choose: st.DataObject | None = None, seconds: float = 40.0) -> None:
-    why, acts = machine.supervisor.operator_asked(machine.now, "upgrade")
+    why, actions = machine.supervisor.operator_command(machine.now, "upgrade")
     assert not why
-    machine.carry(acts)
+    machine.perform_all(actions)
     machine.run(choose, machine.now + seconds)
 
 
 def test_an_upgrade_hands_everything_over() -> None:
     machine = started()
     upgrade(machine)
-    assert machine.settled == [""] and machine.serving() == 2 and list(machine.processes) == [2]
+    assert (
+        machine.upgrade_results == [""]
+        and machine.serving() == 2
+        and list(machine.processes) == [2]
+    )
     assert machine.processes[2].holds == IDLE
     upgrade(machine)
     assert machine.serving() == 3 and machine.processes[3].holds == IDLE
 
 
-def steps() -> list[tuple[str, int]]:
-    """Every message that a worker sends in an upgrade, from the machines' own run."""
+def sent_messages() -> list[tuple[str, int]]:
+    """Return every (message kind, sender) of workers in an undisturbed upgrade."""
     machine = started()
-    machine.said.clear()
+    machine.sent.clear()
     upgrade(machine)
-    return sorted({(kind, sender) for kind, sender in machine.said if kind not in ("Report",)})
+    return sorted({(kind, sender) for kind, sender in machine.sent if kind not in ("Report",)})
 
 
 @pytest.mark.parametrize("victim", [1, 2])
-@pytest.mark.parametrize(("kind", "sender"), steps())
-def test_whoever_ends_at_any_step_somebody_serves(kind: str, sender: int, victim: int) -> None:
+@pytest.mark.parametrize(("kind", "sender"), sent_messages())
+def test_a_worker_killed_at_any_message_leaves_one_that_serves(
+    kind: str, sender: int, victim: int
+) -> None:
     machine = started()
     machine.kill_at = (kind, sender, victim)
     upgrade(machine)
-    assert machine.kill_at is None, "the step was never reached"
-    assert len(machine.settled) == 1
+    assert machine.kill_at is None, "the message was never sent"
+    assert len(machine.upgrade_results) == 1
     survivor = machine.serving()
     assert machine.supervisor.phase is Phase.SERVING and machine.supervisor.granted == {survivor}
     if victim == 2:
-        assert survivor == 1 and machine.settled[0]
-    # Only what was the dead process's own is gone: nothing that the other one held a copy of.
+        assert survivor == 1 and machine.upgrade_results[0]
+    # Only connections that the killed process alone held are lost, none that the other one had.
     assert IDLE - machine.lost <= machine.processes[survivor].holds
     moving = ("Come", "BatchReceived", "Connections", "Release", "AttemptsInFlight", "Owning")
     assert not machine.lost or victim == 1 or kind in moving
-    upgrade(machine)  # and the next one works
-    assert machine.settled[-1] == "" and machine.serving() > survivor
+    upgrade(machine)  # the next upgrade succeeds
+    assert machine.upgrade_results[-1] == "" and machine.serving() > survivor
 
 
-@pytest.mark.parametrize(("kind", "sender"), [s for s in steps() if s[1] == 2])
-def test_a_new_process_that_hangs_at_any_step_does_not_keep_the_gateway(
+@pytest.mark.parametrize(("kind", "sender"), [s for s in sent_messages() if s[1] == 2])
+def test_a_new_worker_that_hangs_at_any_message_is_replaced_by_the_old_one(
     kind: str, sender: int
 ) -> None:
     machine = started()
-    post = machine.post
+    send = machine.send
 
     def hang(at: int, to: int, message: Message, connections: set[int] | None = None) -> None:
         if at == 2 and type(message).__name__ == kind:
-            machine.processes[2].mute = True
-        if not (at == 2 and machine.processes.get(2) is not None and machine.processes[2].mute):
-            post(at, to, message, connections)
+            machine.processes[2].hangs = True
+        if not (at == 2 and machine.processes.get(2) is not None and machine.processes[2].hangs):
+            send(at, to, message, connections)
 
-    machine.post = hang  # type: ignore[assignment, method-assign]
+    machine.send = hang  # type: ignore[assignment, method-assign]
     upgrade(machine)
-    assert machine.settled and machine.settled[0] and machine.serving() == 1
+    assert machine.upgrade_results and machine.upgrade_results[0] and machine.serving() == 1
 
 
-def acts() -> list[tuple[str, int]]:
-    """All that workers carry out in an upgrade and on the way back, from the machines' own run."""
+def executed_commands() -> list[tuple[str, int]]:
+    """Return every (command, worker) carried out in an undisturbed upgrade and a rollback."""
     machine = started()
-    machine.did.clear()
-    machine.carry(machine.supervisor.operator_asked(machine.now, "upgrade")[1])
+    machine.executed.clear()
+    machine.perform_all(machine.supervisor.operator_command(machine.now, "upgrade")[1])
     machine.run(until=machine.now + 1.0)
-    machine.carry(machine.supervisor.operator_asked(machine.now, "rollback")[1])
+    machine.perform_all(machine.supervisor.operator_command(machine.now, "rollback")[1])
     machine.run(until=machine.now + 5.0)
     upgrade(machine)
-    return sorted({step for step in machine.did if step[1] < 3})
+    return sorted({step for step in machine.executed if step[1] < 3})
 
 
 @pytest.mark.parametrize("back", [False, True])
-@pytest.mark.parametrize(("what", "who"), acts())
-def test_whatever_cannot_be_carried_out_somebody_serves(what: str, who: int, back: bool) -> None:
-    """A fault inside a step, on either side, on the way forward and on the way back."""
+@pytest.mark.parametrize(("command", "worker"), executed_commands())
+def test_a_command_that_fails_in_a_worker_leaves_one_that_serves(
+    command: str, worker: int, back: bool
+) -> None:
+    """A command fails in the old or the new worker, during an upgrade or a rollback."""
     machine = started()
-    machine.fail_at = (what, who)
-    machine.carry(machine.supervisor.operator_asked(machine.now, "upgrade")[1])
+    machine.fail_at = (command, worker)
+    machine.perform_all(machine.supervisor.operator_command(machine.now, "upgrade")[1])
     machine.run(until=machine.now + 1.0)
     if back:
-        machine.carry(machine.supervisor.operator_asked(machine.now, "rollback")[1])
+        machine.perform_all(machine.supervisor.operator_command(machine.now, "rollback")[1])
     machine.run(until=machine.now + 40.0)
-    assert len(machine.settled) == 1
+    assert len(machine.upgrade_results) == 1
     survivor = machine.serving()
     assert machine.supervisor.phase is Phase.SERVING and machine.supervisor.granted == {survivor}
-    # Nobody was killed: each connection is served, or its client saw it end between two requests.
+    # No worker was killed: each connection is served, or was closed between two requests.
     assert machine.processes[survivor].holds | machine.closed == IDLE
     machine.fail_at = None
     upgrade(machine)
-    assert machine.settled[-1] == "" and machine.serving() > survivor
+    assert machine.upgrade_results[-1] == "" and machine.serving() > survivor
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.data())
-def test_any_order_and_any_ends(data: st.DataObject) -> None:
+def test_upgrades_and_stop_with_any_message_order_and_any_killed_worker(
+    data: st.DataObject,
+) -> None:
     machine = started()
-    kinds = steps()
+    kinds = sent_messages()
     for _ in range(data.draw(st.integers(1, 3))):
         if data.draw(st.booleans()):
             kind, sender = data.draw(st.sampled_from(kinds))
@@ -428,42 +445,46 @@
         upgrade(machine, data, 25.0)
         machine.kill_at = None
         machine.serving()
-    why, acts = machine.supervisor.operator_asked(machine.now, "stop")
-    machine.carry(acts)
+    why, actions = machine.supervisor.operator_command(machine.now, "stop")
+    machine.perform_all(actions)
     machine.run(until=machine.now + 5.0)
     assert not why and machine.status == 0 and not machine.processes
 
 
-def test_a_bad_new_process_hands_back() -> None:
+def test_a_new_worker_that_fails_requests_is_rolled_back() -> None:
     machine = started()
-    machine.carry(machine.supervisor.operator_asked(machine.now, "upgrade")[1])
+    machine.perform_all(machine.supervisor.operator_command(machine.now, "upgrade")[1])
     machine.run(until=machine.now + 1.0)
     assert machine.serving() == 2
-    machine.carry(machine.supervisor.heard(machine.now, 2, Report(served=10, failed=90)))
+    machine.perform_all(
+        machine.supervisor.message_received(machine.now, 2, Report(served=10, failed=90))
+    )
     machine.run(until=machine.now + 10.0)
     assert (
-        machine.serving() == 1 and list(machine.processes) == [1] and "failed" in machine.settled[0]
+        machine.serving() == 1
+        and list(machine.processes) == [1]
+        and "failed" in machine.upgrade_results[0]
     )
     assert machine.processes[1].holds == IDLE
 
 
-def test_a_rollback_by_command_and_a_second_upgrade_meanwhile() -> None:
+def test_rollback_command_and_refusal_of_a_second_upgrade() -> None:
     machine = started()
-    machine.carry(machine.supervisor.operator_asked(machine.now, "upgrade")[1])
-    assert machine.supervisor.operator_asked(machine.now, "upgrade")[0] == "not now: probing"
+    machine.perform_all(machine.supervisor.operator_command(machine.now, "upgrade")[1])
+    assert machine.supervisor.operator_command(machine.now, "upgrade")[0] == "not now: probing"
     machine.run(until=machine.now + 1.0)
     assert machine.serving() == 2
-    why, acts = machine.supervisor.operator_asked(machine.now, "rollback")
-    machine.carry(acts)
+    why, actions = machine.supervisor.operator_command(machine.now, "rollback")
+    machine.perform_all(actions)
     machine.run(until=machine.now + 5.0)
-    assert not why and machine.serving() == 1 and machine.settled == ["asked for"]
+    assert not why and machine.serving() == 1 and machine.upgrade_results == ["asked for"]
     assert (
-        machine.supervisor.operator_asked(machine.now, "rollback")[0]
+        machine.supervisor.operator_command(machine.now, "rollback")[0]
         == "nothing to go back to: serving"
     )
 
 
-def test_an_unfit_or_too_large_candidate_changes_nothing() -> None:
+def test_an_unfit_incompatible_or_too_large_candidate_is_killed_before_the_hand_over() -> None:
     for message, limit, why in (
         (Unfit("self-test: status-check: no answer"), 0.0, "self-test: status-check: no answer"),
         (Hello(VERSION + 1), 0.0, f"it speaks version {VERSION + 1}, this is {VERSION}"),
@@ -471,80 +492,90 @@
     ):
         supervisor = Supervisor(Limits(memory_mb=limit))
         supervisor.begin(0.0)
-        supervisor.heard(0.0, 1, Hello(VERSION))
-        supervisor.heard(0.0, 1, Ready(60.0))
-        supervisor.heard(0.0, 1, Owning(1))
-        _, acts = supervisor.operator_asked(1.0, "upgrade")
-        acts = supervisor.heard(1.1, 2, message)
-        assert commands.UpgradeEnded(why) in acts and commands.KillWorker(2) in acts
+        supervisor.message_received(0.0, 1, Hello(VERSION))
+        supervisor.message_received(0.0, 1, Ready(60.0))
+        supervisor.message_received(0.0, 1, Owning(1))
+        _, actions = supervisor.operator_command(1.0, "upgrade")
+        actions = supervisor.message_received(1.1, 2, message)
+        assert commands.UpgradeEnded(why) in actions and commands.KillWorker(2) in actions
         assert supervisor.granted == {1} and not any(
             isinstance(a, commands.SendMessage) and a.worker == 1 and isinstance(a.message, Give)
-            for a in acts
+            for a in actions
         )
 
 
-def test_a_check_proves_the_build_and_changes_nothing() -> None:
+def test_check_tests_the_candidate_without_an_upgrade() -> None:
     machine = started()
-    why, acts = machine.supervisor.operator_asked(machine.now, "check")
-    machine.said.clear()
-    machine.carry(acts)
+    why, actions = machine.supervisor.operator_command(machine.now, "check")
+    machine.sent.clear()
+    machine.perform_all(actions)
     machine.run(until=machine.now + 5.0)
-    assert not why and machine.settled == [""] and machine.serving() == 1
+    assert not why and machine.upgrade_results == [""] and machine.serving() == 1
     assert list(machine.processes) == [1]
-    assert {kind for kind, _ in machine.said} == {"Hello", "Ready", "Report"}
+    assert {kind for kind, _ in machine.sent} == {"Hello", "Ready", "Report"}
 
 
-def test_who_starts_after_a_reload_reads_what_the_reload_read() -> None:
+def test_a_worker_started_after_a_reload_is_told_to_read_its_configuration_as_reloaded() -> None:
     supervisor = Supervisor()
     supervisor.begin(0.0)
-    assert supervisor.heard(0.0, 1, Hello(VERSION))[-1] == commands.SendMessage(1, Welcome(1024))
-    supervisor.heard(0.0, 1, Ready())
-    supervisor.heard(0.0, 1, Owning(1))
+    assert supervisor.message_received(0.0, 1, Hello(VERSION))[-1] == commands.SendMessage(
+        1, Welcome(1024)
+    )
+    supervisor.message_received(0.0, 1, Ready())
+    supervisor.message_received(0.0, 1, Owning(1))
     assert supervisor.reload() == [1]
-    supervisor.operator_asked(1.0, "upgrade")
-    assert supervisor.reload() == [1]  # the new one could not take a signal yet
-    assert supervisor.heard(1.0, 2, Hello(VERSION))[-1] == commands.SendMessage(
+    supervisor.operator_command(1.0, "upgrade")
+    assert supervisor.reload() == [1]  # the new worker has no signal handler yet
+    assert supervisor.message_received(1.0, 2, Hello(VERSION))[-1] == commands.SendMessage(
         2, Welcome(64, reloaded=True)
     )
     assert supervisor.reload() == [1, 2]
 
 
-def test_crashes_back_off_and_calm_forgets_them() -> None:
-    supervisor, now, waits = Supervisor(Limits(again_s=0.1, again_most_s=1.0, calm_s=10.0)), 0.0, []
-    acts = supervisor.begin(now)
+def test_crash_backoff_doubles_and_restarts_after_stable_service() -> None:
+    supervisor, now, waits = (
+        Supervisor(Limits(restart_backoff_s=0.1, max_restart_backoff_s=1.0, stable_after_s=10.0)),
+        0.0,
+        [],
+    )
+    actions = supervisor.begin(now)
     for served_s in (0.1,) * 7 + (20.0, 0.1):
-        (worker,) = (act.worker for act in acts if isinstance(act, commands.StartWorker))
+        (worker,) = (
+            action.worker for action in actions if isinstance(action, commands.StartWorker)
+        )
         for message in (Hello(VERSION), Ready()):
-            supervisor.heard(now, worker, message)
-        supervisor.heard(now, worker, Owning(supervisor._grant))
+            supervisor.message_received(now, worker, message)
+        supervisor.message_received(now, worker, Owning(supervisor._newest_grant))
         assert supervisor.phase is Phase.SERVING
         now += served_s
-        acts, wait_s = supervisor.ended(now, worker, -11), 0.0
-        if not any(isinstance(act, commands.StartWorker) for act in acts):
-            wait_s = supervisor.next_s(now) or 0.0
+        actions, wait_s = supervisor.worker_ended(now, worker, -11), 0.0
+        if not any(isinstance(action, commands.StartWorker) for action in actions):
+            wait_s = supervisor.next_tick_s(now) or 0.0
             now += wait_s
-            acts = supervisor.tick(now)
+            actions = supervisor.tick(now)
         waits.append(round(wait_s, 3))
     assert waits == [0.0, 0.2, 0.4, 0.8, 1.0, 1.0, 1.0, 0.0, 0.2]
 
 
-def test_a_configuration_that_cannot_work_ends_the_keeper_and_not_the_gateway() -> None:
+def test_an_invalid_configuration_at_the_first_start_exits_the_supervisor() -> None:
     supervisor = Supervisor()
     supervisor.begin(0.0)
-    supervisor.heard(0.0, 1, Hello(VERSION))
-    assert commands.ExitSupervisor(2) in supervisor.ended(0.1, 1, 2)
+    supervisor.message_received(0.0, 1, Hello(VERSION))
+    assert commands.ExitSupervisor(2) in supervisor.worker_ended(0.1, 1, 2)
 
 
 @given(st.integers(0, 500), st.integers(0, 500), st.floats(0.5, 4.0))
-def test_bounds_hold_the_share_and_narrow(part: int, more: int, sure: float) -> None:
-    whole = part + more
-    least, most = wilson_interval(part, whole, sure)
-    assert 0.0 <= least <= most <= 1.0
-    if whole:
-        assert least <= part / whole + 1e-9 and most >= part / whole - 1e-9
-        wide = most - least
-        least, most = wilson_interval(4 * part, 4 * whole, sure)
-        assert most - least <= wide + 1e-9
+def test_wilson_interval_contains_the_proportion_and_narrows_with_more_samples(
+    count: int, rest: int, z_score: float
+) -> None:
+    total = count + rest
+    lower, upper = wilson_interval(count, total, z_score)
+    assert 0.0 <= lower <= upper <= 1.0
+    if total:
+        assert lower <= count / total + 1e-9 and upper >= count / total - 1e-9
+        width = upper - lower
+        lower, upper = wilson_interval(4 * count, 4 * total, z_score)
+        assert upper - lower <= width + 1e-9
 
 
 @pytest.mark.parametrize(
@@ -558,7 +589,7 @@
         (RequestCounts(0, 0, 60), True),
     ],
 )
-def test_the_canary_is_sure_before_it_speaks(new: RequestCounts, worse: bool) -> None:
+def test_the_canary_reports_only_significant_regressions(new: RequestCounts, worse: bool) -> None:
     canary = Canary(CanaryTuning())
     for i in range(20):
         canary.record_old(i / 10, RequestCounts(10, 0, 0))
@@ -567,7 +598,7 @@
     assert bool(canary.regression()) is worse
 
 
-def test_a_new_process_to_which_nobody_comes() -> None:
+def test_a_new_worker_that_receives_no_requests_is_a_regression() -> None:
     canary = Canary(CanaryTuning())
     for i in range(20):
         canary.record_old(i / 10, RequestCounts(10, 0, 0))
@@ -580,30 +611,32 @@
 
 
 @pytest.mark.parametrize("reports", [[], [2.058]])
-def test_a_new_process_without_a_second_report_is_not_said_to_have_no_requests(
+def test_missing_reports_of_a_new_worker_do_not_count_as_no_requests(
     reports: list[float],
 ) -> None:
-    """It may be slow to tell: a report that is due is no report of nothing."""
+    """A late report says nothing about requests: only the time between reports that have arrived
+    counts towards "no request", otherwise a slow new worker is rolled back.
+    """
     supervisor = Supervisor(Limits(silence_s=2.0))
     supervisor.begin(0.0)
-    supervisor.heard(0.0, 1, Hello(VERSION))
-    supervisor.heard(0.0, 1, Ready(30.0))
-    supervisor.heard(0.0, 1, Owning(1))
+    supervisor.message_received(0.0, 1, Hello(VERSION))
+    supervisor.message_received(0.0, 1, Ready(30.0))
+    supervisor.message_received(0.0, 1, Owning(1))
     for i in range(1, 20):
-        supervisor.heard(i / 10, 1, Report(served=108))
-    supervisor.operator_asked(1.9, "upgrade")
-    supervisor.heard(1.9, 2, Hello(VERSION))
-    supervisor.heard(1.9, 2, Ready(30.0))
-    supervisor.heard(1.9, 1, Prepared())
-    supervisor.heard(1.9, 2, Prepared())
-    supervisor.heard(2.0, 2, StateAdopted())
-    supervisor.heard(2.0, 1, Yielded(1))
-    supervisor.heard(2.0, 2, Owning(2))
+        supervisor.message_received(i / 10, 1, Report(served=108))
+    supervisor.operator_command(1.9, "upgrade")
+    supervisor.message_received(1.9, 2, Hello(VERSION))
+    supervisor.message_received(1.9, 2, Ready(30.0))
+    supervisor.message_received(1.9, 1, Prepared())
+    supervisor.message_received(1.9, 2, Prepared())
+    supervisor.message_received(2.0, 2, StateAdopted())
+    supervisor.message_received(2.0, 1, Yielded(1))
+    supervisor.message_received(2.0, 2, Owning(2))
     for at in reports:
-        supervisor.heard(at, 2, Report())
+        supervisor.message_received(at, 2, Report())
     supervisor.tick(2.705)
     assert not supervisor.last
-    supervisor.heard(2.71, 2, Report())
-    supervisor.heard(2.81, 2, Report())
+    supervisor.message_received(2.71, 2, Report())
+    supervisor.message_received(2.81, 2, Report())
     supervisor.tick(2.82)
     assert supervisor.phase is Phase.RETURNING and "no request" in supervisor.last
--- a/tests/upgrade/test_upgrades.py
+++ b/tests/upgrade/test_upgrades.py
@@ -1,4 +1,7 @@
-"""Upgrades of the program under load, good builds and broken ones: every request accounted for."""
+"""Upgrades of real processes under load, to working and to broken builds.
+
+Every request is accounted for: it has exactly one answer, and hosts received no extra attempts.
+"""
 
 from __future__ import annotations
 
@@ -35,8 +38,8 @@
     RequestClass("status-check", 0.58, 1.4, 2.0),
     RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
-# Whose clients wait for longer than a process takes to start, on a busy machine, too.
-PATIENT = [
+# Clients wait for longer than a process takes to start, even on a busy machine.
+PATIENT_REQUEST_CLASSES = [
     RequestClass("status-check", 20.0, 25.0, 2.0),
     RequestClass("seat-checkout", 20.0, 25.0, 8.0, keyed=True, body_bytes=200),
 ]
@@ -45,7 +48,7 @@
 
 
 @dataclass
-class Scene:
+class UpgradeSetup:
     environment: Environment
     builds: Builds
 
@@ -53,7 +56,7 @@
         return await self.environment.gateway.send_command("status")
 
     async def upgrade(self, broken: str = "") -> str:
-        """What became of one; empty: it holds, and the process before has ended."""
+        """Upgrade to a build and wait until one worker is left; return the error, empty if none."""
         self.builds.put(broken)
         lines = await self.environment.gateway.send_command("upgrade")
         while len(await self.status()) > 2:
@@ -71,28 +74,28 @@
     async def under_load(
         self, *builds: str, rate: float = 150.0, most: int = 200
     ) -> tuple[list[str], Load]:
-        """Upgrade to one build after another under steady load of both classes, on `most`
-        connections.
+        """Upgrade to one build after another under steady load of both request classes, on at
+        most `most` connections; return the result of each upgrade, and the load.
         """
         load = self.environment.load(weights=(3, 1), most=most)
         sending = asyncio.ensure_future(load.open_loop(steady(rate, 120.0)))
         await until(lambda: len(load.records) > 30)
-        became = [await self.upgrade(broken) for broken in builds]
+        results = [await self.upgrade(broken) for broken in builds]
         count = len(load.records)
         await until(lambda: len(load.records) > count + 30)
         sending.cancel()
         await load.settle()
-        return became, load
+        return results, load
 
 
 @asynccontextmanager
-async def scene(
+async def upgrade_setup(
     folder: Path,
     hosts: int = 4,
     delay: float = 0.03,
     operators: bool = False,
     request_classes: list[RequestClass] = REQUEST_CLASSES,
-) -> AsyncIterator[Scene]:
+) -> AsyncIterator[UpgradeSetup]:
     builds = Builds(folder / "build")
     async with Environment(
         folder,
@@ -104,19 +107,19 @@
         path=builds.folder,
         operators=operators,
     ) as environment:
-        yield Scene(environment, builds)
+        yield UpgradeSetup(environment, builds)
 
 
 @asynccontextmanager
-async def watched(here: Scene) -> AsyncIterator[list[int]]:
-    """How many descriptors the workers held together, looked at every few milliseconds."""
+async def descriptor_counts(setup: UpgradeSetup) -> AsyncIterator[list[int]]:
+    """Sample the number of descriptors that all workers hold together, every 2 ms."""
     counts: list[int] = []
 
     async def watch() -> None:
         while True:
-            held = here.environment.gateway.processes()
+            held = setup.environment.gateway.processes()
             counts.append(
-                sum(count for pid, count in held.items() if pid != here.environment.gateway.pid)
+                sum(count for pid, count in held.items() if pid != setup.environment.gateway.pid)
             )
             await asyncio.sleep(0.002)
 
@@ -127,41 +130,40 @@
         watching.cancel()
 
 
-def in_order(scene: Scene, load: Load, lost: int = 0) -> None:
-    """Every request has its one answer, and the hosts saw what the gateway may have sent. A
-    machine that stands still for longer than an aim brings refusals with or without an upgrade,
-    so a few are let pass.
+def check_no_request_lost(setup: UpgradeSetup, load: Load, lost: int = 0) -> None:
+    """Check that every request has one answer and that hosts received only attempts that the
+    gateway may send. A stall of the machine beyond a latency objective causes rejections with or
+    without an upgrade, so up to 5 % are allowed.
     """
     whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
     assert whole.adds_up()
     assert (whole.late, whole.failed) == (0, 0)
     assert whole.rejected <= 0.05 * whole.sent
     assert whole.unanswered <= lost
-    assert scene.environment.violations(load) == []
+    assert setup.environment.violations(load) == []
     assert load.refused_connects == 0
 
 
 @on_loop
-async def test_one_upgrade_after_another_under_load(tmp_path: Path) -> None:
-    async with scene(tmp_path) as here:
-        first = here.workers()
-        became, load = await here.under_load("", "", "")
-        assert became == ["", "", ""]
-        in_order(here, load)
-        assert len(here.workers()) == 1 and here.workers() != first
-        # Clients kept their connections: those that rested moved, and none of them had to connect
-        # anew.
+async def test_successive_upgrades_under_load_lose_no_request(tmp_path: Path) -> None:
+    async with upgrade_setup(tmp_path) as setup:
+        first = setup.workers()
+        results, load = await setup.under_load("", "", "")
+        assert results == ["", "", ""]
+        check_no_request_lost(setup, load)
+        assert len(setup.workers()) == 1 and setup.workers() != first
+        # Idle connections moved to the new process; no client had to connect again.
         assert not any(record.resent for record in load.records)
 
 
 @on_loop
-async def test_a_check_starts_the_build_and_ends_it(tmp_path: Path) -> None:
-    async with scene(tmp_path) as here:
-        before = here.workers()
-        assert (await here.environment.gateway.send_command("check"))[-1] == "done"
-        here.builds.put("fails its self-test")
-        assert "self-test" in (await here.environment.gateway.send_command("check"))[-1]
-        assert before[0] in here.workers()
+async def test_check_starts_the_build_and_ends_it(tmp_path: Path) -> None:
+    async with upgrade_setup(tmp_path) as setup:
+        before = setup.workers()
+        assert (await setup.environment.gateway.send_command("check"))[-1] == "done"
+        setup.builds.put("fails its self-test")
+        assert "self-test" in (await setup.environment.gateway.send_command("check"))[-1]
+        assert before[0] in setup.workers()
 
 
 @pytest.mark.parametrize(
@@ -175,48 +177,52 @@
     ],
 )
 @on_loop
-async def test_a_broken_build_changes_nothing(tmp_path: Path, broken: str, why: str) -> None:
-    async with scene(tmp_path) as here:
-        before = here.workers()
-        became, load = await here.under_load(broken, rate=80.0)
-        assert why in became[0]
-        assert here.workers() == before
-        in_order(here, load)
+async def test_a_build_that_fails_before_the_switch_is_rejected(
+    tmp_path: Path, broken: str, why: str
+) -> None:
+    async with upgrade_setup(tmp_path) as setup:
+        before = setup.workers()
+        results, load = await setup.under_load(broken, rate=80.0)
+        assert why in results[0]
+        assert setup.workers() == before
+        check_no_request_lost(setup, load)
 
 
 @on_loop
-async def test_a_build_that_hangs_is_given_up_and_the_next_one_holds(tmp_path: Path) -> None:
-    async with scene(tmp_path) as here:
-        became, load = await here.under_load("hangs before it is ready", "", rate=80.0)
-        assert became == ["probing: not in time", ""]
-        in_order(here, load)
+async def test_a_build_that_hangs_before_it_is_ready_times_out_and_the_next_one_succeeds(
+    tmp_path: Path,
+) -> None:
+    async with upgrade_setup(tmp_path) as setup:
+        results, load = await setup.under_load("hangs before it is ready", "", rate=80.0)
+        assert results == ["probing: not in time", ""]
+        check_no_request_lost(setup, load)
 
 
 @on_loop
-async def test_a_build_that_serves_errors_hands_back(tmp_path: Path) -> None:
-    async with scene(tmp_path) as here:
-        before = here.workers()
-        became, load = await here.under_load("serves errors")
-        assert became[0].startswith("failed: ") and here.workers() == before
+async def test_a_build_that_serves_errors_is_rolled_back(tmp_path: Path) -> None:
+    async with upgrade_setup(tmp_path) as setup:
+        before = setup.workers()
+        results, load = await setup.under_load("serves errors")
+        assert results[0].startswith("failed: ") and setup.workers() == before
         whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
         assert whole.failed >= 20 and (whole.late, whole.unanswered, whole.rejected) == (0, 0, 0)
         assert whole.sent == whole.within_objective + whole.after_objective + whole.failed
         last = [record.status for record in load.records[-20:]]
         assert set(last) == {200} and load.refused_connects == 0
-        assert here.environment.violations(load) == []
+        assert setup.environment.violations(load) == []
 
 
 @on_loop
-async def test_a_build_that_hangs_once_it_serves_is_ended_and_the_old_one_serves(
+async def test_a_build_that_hangs_once_it_serves_is_rolled_back(
     tmp_path: Path,
 ) -> None:
-    async with scene(tmp_path) as here:
-        before = here.workers()
-        became, load = await here.under_load("hangs once it serves", rate=80.0)
-        assert became[0] and here.workers() == before
+    async with upgrade_setup(tmp_path) as setup:
+        before = setup.workers()
+        results, load = await setup.under_load("hangs once it serves", rate=80.0)
+        assert results[0] and setup.workers() == before
         whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
-        # It took nothing: what came meanwhile waited in the kernel, and was answered by the old
-        # one.
+        # The hung process accepted no connection: they waited in the kernel's backlog, and the old
+        # process answered them.
         assert (whole.late, whole.unanswered) == (0, 0) and load.refused_connects == 0
         assert {record.status for record in load.records[-20:]} == {200}
 
@@ -237,47 +243,49 @@
     ],
 )
 @on_loop
-async def test_either_process_killed_in_the_middle_of_a_message(
+async def test_a_process_killed_while_it_sends_a_message_loses_only_its_own_requests(
     tmp_path: Path, who: str, kind: str
 ) -> None:
-    """The machines' own test walks every step; here the kernel's part is real: descriptors,
-    ends, the queue.
+    """`test_machines` covers every message in simulation. Here the kernel's part is real:
+    descriptors, process exits and the accept queue.
     """
-    async with scene(tmp_path) as here:
-        (old,) = here.workers()
-        here.builds.mark_new()
-        here.builds.fault("new" if who == "new" else old, kind)
-        became, load = await here.under_load("", rate=80.0)
-        here.builds.no_fault()
-        assert len(here.workers()) == 1
-        assert (here.workers() == [old]) is (who == "new")
-        assert bool(became[0]) is (who == "new" or kind in ("State", "Yielded"))
-        # A process that is killed takes along the requests that it holds, and nothing else.
+    async with upgrade_setup(tmp_path) as setup:
+        (old,) = setup.workers()
+        setup.builds.mark_new()
+        setup.builds.fault("new" if who == "new" else old, kind)
+        results, load = await setup.under_load("", rate=80.0)
+        setup.builds.no_fault()
+        assert len(setup.workers()) == 1
+        assert (setup.workers() == [old]) is (who == "new")
+        assert bool(results[0]) is (who == "new" or kind in ("State", "Yielded"))
+        # A killed process loses the requests that it holds, and no others.
         held = 0 if who == "new" and kind != "BatchReceived" else 16
-        in_order(here, load, held)
-        assert await here.upgrade() == ""
+        check_no_request_lost(setup, load, held)
+        assert await setup.upgrade() == ""
 
 
 @on_loop
-async def test_open_requests_stay_and_a_second_one_of_the_same_id_is_not_sent(
+async def test_a_request_open_in_the_old_process_is_not_sent_again_by_the_new_one(
     tmp_path: Path,
 ) -> None:
-    """A client that asks again through the new process, while the old one has an attempt out."""
-    async with scene(tmp_path, hosts=2, request_classes=PATIENT) as here:
-        for host in here.environment.hosts:
+    """A client repeats a request at the new process while the old one has an attempt in flight:
+    a second attempt with the same request id would execute the request twice.
+    """
+    async with upgrade_setup(tmp_path, hosts=2, request_classes=PATIENT_REQUEST_CLASSES) as setup:
+        for host in setup.environment.hosts:
             host.hangs = True
-        load = here.environment.load()
+        load = setup.environment.load()
         record, data = load.request(1)
-        sock = socket.create_connection(here.environment.gateway.address)
+        sock = socket.create_connection(setup.environment.gateway.address)
         sock.sendall(data)
-        await until(lambda: bool(here.environment.receipts()))
-        upgrading = asyncio.ensure_future(here.upgrade())
-        while not any("stands by" in line for line in await here.status()):
+        await until(lambda: bool(setup.environment.receipts()))
+        upgrading = asyncio.ensure_future(setup.upgrade())
+        while not any("stands by" in line for line in await setup.status()):
             await asyncio.sleep(0.005)
-        reader, writer = await asyncio.open_connection(*here.environment.gateway.address)
+        reader, writer = await asyncio.open_connection(*setup.environment.gateway.address)
         writer.write(data)
         assert (await reader.readline()).startswith(b"HTTP/1.1 400")
-        for host in here.environment.hosts:
+        for host in setup.environment.hosts:
             host.hangs = False
             for connection in host.connections:
                 connection.answer()
@@ -285,52 +293,54 @@
         got = await asyncio.get_running_loop().sock_recv(sock, 4096)
         assert got.startswith(b"HTTP/1.1 200")
         assert await upgrading == ""
-        # The connection moved after its answer, to a process that sends the request now: it is
-        # known no more.
+        # After its answer the connection moved to the new process, which no longer knows the
+        # request id and sends the request.
         await asyncio.get_running_loop().sock_sendall(sock, data)
         assert (await asyncio.get_running_loop().sock_recv(sock, 4096)).startswith(b"HTTP/1.1 200")
-        assert record.id == here.environment.receipts()[0].id
+        assert record.id == setup.environment.receipts()[0].id
         sock.close()
         writer.close()
 
 
 @on_loop
-async def test_a_drain_told_in_the_middle_is_kept_by_whoever_sends(tmp_path: Path) -> None:
-    async with scene(tmp_path) as here:
-        load = here.environment.load(weights=(3, 1), most=200)
+async def test_a_drain_reported_during_an_upgrade_applies_to_both_processes(tmp_path: Path) -> None:
+    async with upgrade_setup(tmp_path) as setup:
+        load = setup.environment.load(weights=(3, 1), most=200)
         sending = asyncio.ensure_future(load.open_loop(steady(150.0, 60.0)))
         await until(lambda: len(load.records) > 30)
-        upgrading = asyncio.ensure_future(here.upgrade())
-        await until(lambda: len(here.workers()) == 2)
-        host = here.environment.hosts[0]
-        told = here.environment.tell(host, lifecycle="draining")
+        upgrading = asyncio.ensure_future(setup.upgrade())
+        await until(lambda: len(setup.workers()) == 2)
+        host = setup.environment.hosts[0]
+        told = setup.environment.tell(host, lifecycle="draining")
         assert await upgrading == ""
         count = len(load.records)
         await until(lambda: len(load.records) > count + 60)
         sending.cancel()
         await load.settle()
-        in_order(here, load)
+        check_no_request_lost(setup, load)
         assert not [receipt for receipt in host.receipts if receipt.at > told + 0.5]
 
 
 @pytest.mark.parametrize("when", ["as it starts", "as it stands by"])
 @on_loop
-async def test_a_reload_in_the_middle_counts_for_both(tmp_path: Path, when: str) -> None:
-    """Hosts are told by another discovery from a reload on, and one of them drains there. A new
-    process that has read the file before, or can't take a signal yet, must not go on by the old
-    one.
+async def test_a_reload_during_an_upgrade_applies_to_both_processes(
+    tmp_path: Path, when: str
+) -> None:
+    """The reload switches to another discovery server, which reports one host as draining. A new
+    process that read the file before the reload, or has no signal handler yet, must not keep
+    using the old server.
     """
-    async with scene(tmp_path) as here:
-        gateway, host = here.environment.gateway, here.environment.hosts[0]
-        other = await Discovery(here.environment.hosts).start()
+    async with upgrade_setup(tmp_path) as setup:
+        gateway, host = setup.environment.gateway, setup.environment.hosts[0]
+        other = await Discovery(setup.environment.hosts).start()
         other.tell(host.name, lifecycle="draining")
-        load = here.environment.load(weights=(3, 1), most=200)
+        load = setup.environment.load(weights=(3, 1), most=200)
         sending = asyncio.ensure_future(load.open_loop(steady(150.0, 60.0)))
         await until(lambda: len(load.records) > 30)
-        upgrading = asyncio.ensure_future(here.upgrade())
-        await until(lambda: len(here.workers()) == 2)
+        upgrading = asyncio.ensure_future(setup.upgrade())
+        await until(lambda: len(setup.workers()) == 2)
         while when == "as it stands by" and not any(
-            "stands by" in line for line in await here.status()
+            "stands by" in line for line in await setup.status()
         ):
             await asyncio.sleep(0.005)
         gateway.reconfigure(discovery=f"127.0.0.1:{other.port}")
@@ -341,22 +351,24 @@
         await until(lambda: len(load.records) > count + 60)
         sending.cancel()
         await load.settle()
-        in_order(here, load)
+        check_no_request_lost(setup, load)
         assert not [receipt for receipt in host.receipts if receipt.at > told + 0.5]
         other.stop()
 
 
 @on_loop
-async def test_both_processes_killed_at_once(tmp_path: Path) -> None:
-    """They take along what they hold; the keeper starts another, and connects wait for it."""
-    async with scene(tmp_path) as here:
-        load = here.environment.load(weights=(3, 1), most=200)
+async def test_when_both_processes_are_killed_a_new_one_starts(tmp_path: Path) -> None:
+    """The requests that they hold are lost. The supervisor starts another worker, and connection
+    attempts wait for it in the kernel's backlog.
+    """
+    async with upgrade_setup(tmp_path) as setup:
+        load = setup.environment.load(weights=(3, 1), most=200)
         sending = asyncio.ensure_future(load.open_loop(steady(100.0, 60.0)))
         await until(lambda: len(load.records) > 30)
-        upgrading = asyncio.ensure_future(here.upgrade())
-        while not any("stands by" in line for line in await here.status()):
+        upgrading = asyncio.ensure_future(setup.upgrade())
+        while not any("stands by" in line for line in await setup.status()):
             await asyncio.sleep(0.005)
-        both = here.workers()
+        both = setup.workers()
         assert len(both) == 2
         for pid in both:
             os.kill(pid, signal.SIGKILL)
@@ -366,27 +378,27 @@
         sending.cancel()
         await load.settle()
         whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
-        # What waited in the kernel for longer than its aim allows is refused, and none is answered
-        # late.
+        # Requests that waited in the kernel for longer than their objective allows are rejected;
+        # none is answered late.
         assert whole.unanswered <= 16 and (whole.late, load.refused_connects) == (0, 0)
         assert {record.status for record in load.records[-20:]} == {200}
-        assert here.environment.violations(load) == []
-        assert here.workers() and not set(here.workers()) & set(both)
+        assert setup.environment.violations(load) == []
+        assert setup.workers() and not set(setup.workers()) & set(both)
 
 
 @on_loop
-async def test_descriptors_hold_while_every_place_is_busy(tmp_path: Path) -> None:
-    """As many clients as there are places, each asking again at once, through two upgrades and
-    one that is given up.
+async def test_descriptor_limit_holds_while_every_connection_is_busy(tmp_path: Path) -> None:
+    """As many clients as connections are allowed, each sending its next request at once, during
+    two upgrades and one that fails.
     """
-    async with scene(tmp_path, hosts=12) as here:
-        load = here.environment.load(weights=(3, 1))
-        async with watched(here) as held:
-            # Until the last upgrade holds: with nobody left that asks, the canary takes the new
-            # process for one to which nothing comes.
+    async with upgrade_setup(tmp_path, hosts=12) as setup:
+        load = setup.environment.load(weights=(3, 1))
+        async with descriptor_counts(setup) as held:
+            # The load lasts until the last upgrade has succeeded: without requests, the canary
+            # would roll the new process back because it receives none.
             load.begin_closed_loop((SOCKETS - RESERVED) // 2)
             await until(lambda: len(load.records) > 1000)
-            assert [await here.upgrade(broken) for broken in ("", "exits at once", "")] == [
+            assert [await setup.upgrade(broken) for broken in ("", "exits at once", "")] == [
                 "",
                 "it ended with 3",
                 "",
@@ -398,65 +410,69 @@
             == whole.within_objective + whole.after_objective + whole.rejected + whole.failed
         )
         assert (whole.late, whole.failed, whole.unanswered) == (0, 0, 0)
-        assert here.environment.violations(load) == [] and load.refused_connects == 0
+        assert setup.environment.violations(load) == [] and load.refused_connects == 0
         assert max(held) <= SOCKETS
 
 
 @on_loop
-async def test_both_together_stay_within_the_descriptors_and_none_leaks(tmp_path: Path) -> None:
-    async with scene(tmp_path) as here:
-        address = here.environment.gateway.address
-        # With the load's no more than may rest in an upgrade, which sets some descriptors apart:
-        # else a load that a busy machine holds up opens more, and those that rested longest end for
-        # them.
+async def test_both_processes_stay_within_the_descriptor_limit_and_none_leaks(
+    tmp_path: Path,
+) -> None:
+    async with upgrade_setup(tmp_path) as setup:
+        address = setup.environment.gateway.address
+        # Together with the load's, no more connections than may be idle during an upgrade, which
+        # reserves some descriptors. Otherwise a load that a busy machine delays opens more
+        # connections, and the gateway closes those that were idle longest.
         least = (SOCKETS - 64 - 2 * batch_of(SOCKETS) - RESERVED) // 2
         resting = int(RESTING_FRACTION * least) - 24
         clients = [await asyncio.open_connection(*address) for _ in range(resting)]
-        for _ in range(2):  # whoever asked once only is let go soon
+        for _ in range(2):  # connections with a single request are closed early
             for _, writer in clients:
                 writer.write(UP)
             for reader, _ in clients:
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
         counts = []
-        async with watched(here) as held:
+        async with descriptor_counts(setup) as held:
             for _ in range(3):
-                assert await here.upgrade() == ""
-                counts.append(sum(here.environment.gateway.processes().values()))
-            became, load = await here.under_load("", rate=200.0, most=24)
-        assert became == [""]
-        in_order(here, load)
+                assert await setup.upgrade() == ""
+                counts.append(sum(setup.environment.gateway.processes().values()))
+            results, load = await setup.under_load("", rate=200.0, most=24)
+        assert results == [""]
+        check_no_request_lost(setup, load)
         assert max(held) <= SOCKETS
         assert max(counts) - min(counts) <= 2
-        for reader, writer in clients:  # every one of them has moved four times
+        for reader, writer in clients:  # each connection has moved four times
             writer.write(UP)
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
             writer.close()
 
 
 @on_loop
-async def test_a_crash_is_met_by_a_new_start_and_connects_wait(tmp_path: Path) -> None:
-    async with scene(tmp_path, request_classes=PATIENT) as here:
-        (pid,) = here.workers()
+async def test_a_crashed_worker_is_restarted_and_connection_attempts_wait(tmp_path: Path) -> None:
+    async with upgrade_setup(tmp_path, request_classes=PATIENT_REQUEST_CLASSES) as setup:
+        (pid,) = setup.workers()
         os.kill(pid, signal.SIGKILL)
-        load = here.environment.load(weights=(1, 0))
+        load = setup.environment.load(weights=(1, 0))
         await load.burst(20)
         assert {record.status for record in load.records} == {200} and load.refused_connects == 0
-        assert here.workers() != [pid]
+        assert setup.workers() != [pid]
 
 
 @on_loop
-async def test_the_end_of_the_keeper(tmp_path: Path) -> None:
-    """SIGTERM drains; SIGKILL leaves a worker that answers what it has and ends, and a socket
-    that the next one takes over.
+async def test_a_supervisor_that_is_terminated_or_killed_leaves_no_request_unanswered(
+    tmp_path: Path,
+) -> None:
+    """SIGTERM drains. After SIGKILL the worker answers its open requests and exits, and the next
+    supervisor replaces the stale control socket.
     """
-    async with scene(tmp_path, delay=0.3) as here:
-        gateway = here.environment.gateway
+    async with upgrade_setup(tmp_path, delay=0.3) as setup:
+        gateway = setup.environment.gateway
         assert stat.S_IMODE(gateway.control.stat().st_mode) == 0o600
         for how in (signal.SIGKILL, signal.SIGTERM):
-            load = here.environment.load(weights=(1, 0), prefix=f"e{how}-")
+            load = setup.environment.load(weights=(1, 0), prefix=f"e{how}-")
             asking = asyncio.ensure_future(load.burst(5))
-            await until(lambda: len(here.environment.receipts()) >= 5)
-            workers = here.workers()
+            await until(lambda: len(setup.environment.receipts()) >= 5)
+            workers = setup.workers()
             os.kill(gateway.pid, how)
             assert gateway.process is not None
             status = await gateway.process.wait()
@@ -468,8 +484,8 @@
                     not any(Path(f"/proc/{pid}").exists() for pid in workers)
                 )
             )
-            here.environment.hosts[0].receipts.clear()
-            for host in here.environment.hosts:
+            setup.environment.hosts[0].receipts.clear()
+            for host in setup.environment.hosts:
                 host.receipts.clear()
             if how == signal.SIGKILL:
                 assert gateway.control.exists()
@@ -478,9 +494,9 @@
 
 
 @on_loop
-async def test_the_commands_of_an_operator(tmp_path: Path) -> None:
-    async with scene(tmp_path) as here:
-        folder = here.environment.gateway.control.parent
+async def test_commands_of_the_operator(tmp_path: Path) -> None:
+    async with upgrade_setup(tmp_path) as setup:
+        folder = setup.environment.gateway.control.parent
 
         async def command(*words: str) -> tuple[int, str]:
             process = await asyncio.create_subprocess_exec(
@@ -501,9 +517,9 @@
         assert await command("upgrade") == (0, "done")
         assert (await command("status"))[1].startswith("worker 3: serves, 0 open")
         assert await command("rollback") == (1, "error: nothing to go back to: serving")
-        here.builds.put("exits at once")
+        setup.builds.put("exits at once")
         assert await command("upgrade") == (1, "error: it ended with 3")
-        os.kill(here.environment.gateway.pid, signal.SIGKILL)
+        os.kill(setup.environment.gateway.pid, signal.SIGKILL)
         status, said = await command("status")
         assert status == 1 and said.startswith("quillroad: no gateway at ")
 
@@ -561,7 +577,7 @@
     assert (done.returncode, done.stderr.splitlines()[-1]) == (2, f"quillroad: {said}")
 
 
-def test_gateways_share_a_file_by_their_names(tmp_path: Path) -> None:
+def test_gateways_share_an_upgrades_file_by_their_names(tmp_path: Path) -> None:
     file = tmp_path / "upgrades.toml"
     file.write_text('control = "/run/{name}.sock"')
     assert load_upgrades(file, name="n-0.a").control == Path("/run/n-0.a.sock")
@@ -570,7 +586,7 @@
             load_upgrades(file, name=name)
 
 
-def test_what_is_off_is_not_imported() -> None:
+def test_disabled_upgrades_are_not_imported() -> None:
     code = (
         "import sys, quillroad.__main__, quillroad.start\n"
         "names = ('quillroad.upgrade', 'msgspec', 'click')\n"
@@ -588,19 +604,19 @@
 
 
 @on_loop
-async def test_what_operators_did_by_hand_stays_over_an_upgrade_and_back(tmp_path: Path) -> None:
-    """One address for them, which is theirs who accepts."""
-    async with scene(tmp_path, operators=True) as here:
-        gateway = here.environment.gateway
+async def test_actions_of_operators_survive_an_upgrade_and_a_rollback(tmp_path: Path) -> None:
+    """All workers share one admin address; the one that accepts client connections serves it."""
+    async with upgrade_setup(tmp_path, operators=True) as setup:
+        gateway = setup.environment.gateway
         assert await gateway.call("POST", "/hosts/s-0/maint") == 200
-        became, _ = await here.under_load("")
-        assert became == [""]
-        assert await gateway.call("POST", "/hosts/s-1/maint") == 200  # at the one that took over
-        counts = [len(host.receipts) for host in here.environment.hosts]
-        became, _ = await here.under_load("serves errors")  # it hands back
-        assert became != [""]
+        results, _ = await setup.under_load("")
+        assert results == [""]
+        assert await gateway.call("POST", "/hosts/s-1/maint") == 200  # at the new process
+        counts = [len(host.receipts) for host in setup.environment.hosts]
+        results, _ = await setup.under_load("serves errors")  # rolled back
+        assert results != [""]
         assert await gateway.call("GET", "/healthcheck") == 200
-        assert [len(host.receipts) for host in here.environment.hosts][:2] == counts[:2]
-        assert sum(len(host.receipts) for host in here.environment.hosts) > sum(counts)
+        assert [len(host.receipts) for host in setup.environment.hosts][:2] == counts[:2]
+        assert sum(len(host.receipts) for host in setup.environment.hosts) > sum(counts)
         for name in ("s-0", "s-1"):
             assert await gateway.call("POST", f"/hosts/{name}/ready") == 200
