--- a/quillroad/upgrade/canary.py
+++ b/quillroad/upgrade/canary.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CanaryTuning:
-    """Thresholds of the comparison. The rates of false and missed alarms have not been measured."""
+    """Thresholds of the comparison."""
 
     z_score: float = 3.0  # standard deviations of the confidence intervals
     failed_margin: float = 0.02  # allowed increase of the proportion of failed requests
@@ -25,7 +25,7 @@
     unserved_margin: float = 0.25
     min_requests: int = 40  # of the new process, before its proportions are compared
     baseline_s: float = 10.0  # the last seconds of the old process that form the baseline
-    # Without any request, the new process is worse once the old one would have received so many.
+    # A new process without requests is worse once the old rate predicts at least this many.
     min_expected_requests: float = 40.0
 
 
--- a/quillroad/upgrade/messages.py
+++ b/quillroad/upgrade/messages.py
@@ -38,7 +38,7 @@
 
 
 def batch_of(descriptors: int) -> int:
-    """Return how many connections move in one batch, for a gateway of so many descriptors.
+    """Return how many connections move in one batch, given the gateway's descriptor limit.
 
     While a batch moves, both processes hold a copy of each descriptor that their limits do not
     count. An upgrade therefore reserves twice as many descriptors as a batch has.
@@ -79,7 +79,7 @@
 class Give(Struct, tag="give", array_like=True):
     """Supervisor to the serving worker, with its end of a socket pair: prepare to hand over.
 
-    Meanwhile the worker at the other end of the pair holds `descriptors` of the descriptors.
+    The serving worker's limit falls by `descriptors`, which the other worker may hold meanwhile.
     """
 
     descriptors: int
@@ -182,15 +182,16 @@
 
 
 class Release(Struct, tag="release", array_like=True):
-    """Worker to worker: the receiver owns the batch, and its descriptor limit rises."""
+    """Worker to worker: the receiver owns the batch; its limit rises by `descriptors`."""
 
     batch: int
     descriptors: int
 
 
 class AttemptsInFlight(Struct, tag="out", array_like=True):
-    """Worker to worker: the sender's attempts in flight and overdue, by host.
+    """Worker to worker: the sender's own attempts in flight and its open requests.
 
+    `at` has, for each host, its number and the counts of attempts in flight and of overdue ones.
     `opened` and `ended` are the ids of requests opened and ended since the last such message.
     """
 
--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -98,12 +98,12 @@
         self._processes.pop(number, None)
         self._perform_all(self._supervisor.worker_ended(time.monotonic(), number, status))
 
-    def operator_command(self, command: str) -> str:
+    def operator_command(self, command_name: str) -> str:
         """Carry out an operator's command; return why it is refused, or an empty string."""
-        why, commands = self._supervisor.operator_command(time.monotonic(), command)
+        why, commands = self._supervisor.operator_command(time.monotonic(), command_name)
         self._perform_all(commands)
         if why:
-            log.error("%s: %s", command, why)
+            log.error("%s: %s", command_name, why)
         return why
 
     def reload(self) -> None:
--- a/tests/upgrade/test_machines.py
+++ b/tests/upgrade/test_machines.py
@@ -59,7 +59,7 @@
 
 @dataclass
 class Process:
-    state: WorkerState = field(default_factory=WorkerState)
+    worker_state: WorkerState = field(default_factory=WorkerState)
     sibling: int = 0
     ready: bool = False
     finishing: bool = False
@@ -129,25 +129,27 @@
         if status < 0:
             other = self.processes.get(process.sibling)
             for batch, held in process.kept.items():  # unless the sibling still offers this batch
-                self.lost |= set() if other is not None and batch in other.state.offered else held
+                self.lost |= (
+                    set() if other is not None and batch in other.worker_state.offered else held
+                )
             for batch, held in process.batches.items():  # unless the sibling already has this batch
                 self.lost |= set() if other is not None and batch in other.kept else held
             self.lost |= process.holds
-        for (sender, to), queue in list(self.queues.items()):
+        for (sender, to), link_queue in list(self.queues.items()):
             if to == number:
-                queue.clear()
+                link_queue.clear()
             if sender == number and to == 0:
-                while queue:
+                while link_queue:
                     self.perform_all(
-                        self.supervisor.message_received(self.now, number, queue.popleft()[0])
+                        self.supervisor.message_received(self.now, number, link_queue.popleft()[0])
                     )
         if process.sibling in self.processes:
-            queue = self.queues.get((number, process.sibling), deque())
-            while queue:
+            link_queue = self.queues.get((number, process.sibling), deque())
+            while link_queue:
                 self.deliver(number, process.sibling)
             if process.sibling in self.processes:
                 self.perform_worker(
-                    process.sibling, self.processes[process.sibling].state.link_lost()
+                    process.sibling, self.processes[process.sibling].worker_state.link_lost()
                 )
         self.perform_all(self.supervisor.worker_ended(self.now, number, status))
 
@@ -193,7 +195,7 @@
                     self.closed |= process.kept.pop(action.batch)
                 else:
                     if isinstance(action, ReleaseBatch):
-                        process.state.batch_released(action.batch)
+                        process.worker_state.batch_released(action.batch)
                         # Its duplicates are closed before the failure.
                         process.batches.pop(action.batch, None)
                     self.close_link(number)
@@ -204,12 +206,14 @@
                 case ToSupervisor():
                     self.send(number, 0, action.message)
                 case ToSibling():
-                    if process.state.role is not LinkRole.NONE:
+                    if process.worker_state.role is not LinkRole.NONE:
                         self.send(number, process.sibling, action.message)
                 case ExportState():
                     self.send(number, process.sibling, State({}, action.final))
                 case AdoptState():
-                    self.perform_worker(number, process.state.adopted(action.state.final, []))
+                    self.perform_worker(
+                        number, process.worker_state.adopted(action.state.final, [])
+                    )
                 case Step.MIGRATE:
                     process.waiting = set(process.holds)
                     self.offer(number)
@@ -229,7 +233,7 @@
                     process.kept.clear()
                 case ReleaseBatch():
                     process.batches.pop(action.batch, None)
-                    process.state.batch_released(action.batch)
+                    process.worker_state.batch_released(action.batch)
                     self.offer(number)
                 case TakeBackBatch():
                     process.holds |= process.batches.pop(action.batch, set())
@@ -245,16 +249,16 @@
         """
         other = self.processes[number].sibling
         self.queues.get((other, number), deque()).clear()
-        self.perform_worker(number, self.processes[number].state.link_lost())
-        queue = self.queues.get((number, other), deque())
-        while queue and other in self.processes:
+        self.perform_worker(number, self.processes[number].worker_state.link_lost())
+        link_queue = self.queues.get((number, other), deque())
+        while link_queue and other in self.processes:
             self.deliver(number, other)
         if other in self.processes and self.processes[other].sibling == number:
-            self.perform_worker(other, self.processes[other].state.link_lost())
+            self.perform_worker(other, self.processes[other].worker_state.link_lost())
 
     def offer(self, number: int) -> None:
         process = self.processes[number]
-        while (offer := process.state.offer(len(process.waiting))) is not None:
+        while (offer := process.worker_state.offer(len(process.waiting))) is not None:
             batch, size = offer
             chosen = set(sorted(process.waiting)[:size])
             process.waiting -= chosen
@@ -276,7 +280,11 @@
             process.limit = message.descriptors - RESERVED
             self.send(to, 0, Ready())
         else:
-            handle = process.state.supervisor_said if sender == 0 else process.state.sibling_said
+            handle = (
+                process.worker_state.supervisor_said
+                if sender == 0
+                else process.worker_state.sibling_said
+            )
             self.perform_worker(to, handle(message))
 
     def run(self, choose: st.DataObject | None = None, until: float = 60.0) -> None:
@@ -292,15 +300,15 @@
             for number, process in list(self.processes.items()):
                 if process.sibling_end_due and self.now >= process.sibling_end_due:
                     process.sibling_end_due = 0.0
-                    self.perform_worker(number, process.state.waited())
+                    self.perform_worker(number, process.worker_state.waited())
                 if process.finishing or process.stopping:
                     self.end(number, 0)
-                elif process.state.accepts and not process.hangs:
+                elif process.worker_state.accepts and not process.hangs:
                     self.send(number, 0, Report(served=10))
             self.perform_all(self.supervisor.tick(self.now))
 
     def check(self) -> None:
-        accepting = [n for n, p in self.processes.items() if p.state.accepts]
+        accepting = [n for n, p in self.processes.items() if p.worker_state.accepts]
         assert len(accepting) <= 1, "more than one worker accepts"
         assert set(accepting) <= self.supervisor.granted
         readers = [c for p in self.processes.values() for c in p.holds]
@@ -313,7 +321,7 @@
             assert held <= LIMITS.descriptors, "workers hold more descriptors than the limit"
 
     def serving(self) -> int:
-        accepting = [n for n, p in self.processes.items() if p.state.accepts]
+        accepting = [n for n, p in self.processes.items() if p.worker_state.accepts]
         assert len(accepting) == 1
         return accepting[0]
 
@@ -408,13 +416,13 @@
 
 
 @pytest.mark.parametrize("back", [False, True])
-@pytest.mark.parametrize(("command", "worker"), executed_commands())
+@pytest.mark.parametrize(("command", "failing_worker"), executed_commands())
 def test_a_command_that_fails_in_a_worker_leaves_one_that_serves(
-    command: str, worker: int, back: bool
+    command: str, failing_worker: int, back: bool
 ) -> None:
     """A command fails in the old or the new worker, during an upgrade or a rollback."""
     machine = started()
-    machine.fail_at = (command, worker)
+    machine.fail_at = (command, failing_worker)
     machine.perform_all(machine.supervisor.operator_command(machine.now, "upgrade")[1])
     machine.run(until=machine.now + 1.0)
     if back:
--- a/tests/upgrade/test_upgrades.py
+++ b/tests/upgrade/test_upgrades.py
@@ -130,7 +130,7 @@
         watching.cancel()
 
 
-def check_no_request_lost(setup: UpgradeSetup, load: Load, lost: int = 0) -> None:
+def check_no_request_lost(given_setup: UpgradeSetup, load: Load, lost: int = 0) -> None:
     """Check that every request has one answer and that hosts received only attempts that the
     gateway may send. A stall of the machine beyond a latency objective causes rejections with or
     without an upgrade, so up to 5 % are allowed.
@@ -140,7 +140,7 @@
     assert (whole.late, whole.failed) == (0, 0)
     assert whole.rejected <= 0.05 * whole.sent
     assert whole.unanswered <= lost
-    assert setup.environment.violations(load) == []
+    assert given_setup.environment.violations(load) == []
     assert load.refused_connects == 0
 
 
@@ -311,14 +311,14 @@
         upgrading = asyncio.ensure_future(setup.upgrade())
         await until(lambda: len(setup.workers()) == 2)
         host = setup.environment.hosts[0]
-        told = setup.environment.tell(host, lifecycle="draining")
+        reported_at = setup.environment.tell(host, lifecycle="draining")
         assert await upgrading == ""
         count = len(load.records)
         await until(lambda: len(load.records) > count + 60)
         sending.cancel()
         await load.settle()
         check_no_request_lost(setup, load)
-        assert not [receipt for receipt in host.receipts if receipt.at > told + 0.5]
+        assert not [receipt for receipt in host.receipts if receipt.at > reported_at + 0.5]
 
 
 @pytest.mark.parametrize("when", ["as it starts", "as it stands by"])
@@ -345,14 +345,14 @@
             await asyncio.sleep(0.005)
         gateway.reconfigure(discovery=f"127.0.0.1:{other.port}")
         os.kill(gateway.pid, signal.SIGHUP)
-        told = time.monotonic()
+        reported_at = time.monotonic()
         assert await upgrading == ""
         count = len(load.records)
         await until(lambda: len(load.records) > count + 60)
         sending.cancel()
         await load.settle()
         check_no_request_lost(setup, load)
-        assert not [receipt for receipt in host.receipts if receipt.at > told + 0.5]
+        assert not [receipt for receipt in host.receipts if receipt.at > reported_at + 0.5]
         other.stop()
 
 
