--- a/tests/upgrade/test_machines.py
+++ b/tests/upgrade/test_machines.py
@@ -313,7 +313,7 @@
         assert set(accepting) <= self.supervisor.granted
         readers = [c for p in self.processes.values() for c in p.holds]
         assert len(readers) == len(set(readers)), "more than one worker reads from a connection"
-        in_transit = [message for queue in self.queues.values() for message, _ in queue]
+        in_transit = [message for link_queue in self.queues.values() for message, _ in link_queue]
         if not any(
             isinstance(message, DescriptorLimit) for message in in_transit
         ):  # limits still in transit are not in force yet
