--- a/quillroad/discovery/consul/__init__.py
+++ b/quillroad/discovery/consul/__init__.py
@@ -1,1 +1,1 @@
-"""Consul's health API as a source of hosts (https://developer.hashicorp.com/consul/api-docs)."""
+"""Host discovery from Consul's health API (https://developer.hashicorp.com/consul/api-docs)."""
--- a/quillroad/discovery/consul/health.py
+++ b/quillroad/discovery/consul/health.py
@@ -1,7 +1,7 @@
-"""What an answer of `/v1/health/service/:name` says of each instance. No I/O.
+"""Decoder for answers of `/v1/health/service/:name`. No I/O.
 
 Source: https://developer.hashicorp.com/consul/api-docs/health#list-service-instances-for-service.
-Fields that are not named here are passed over. An entry that cannot be read is left out alone.
+Unknown fields are ignored. An entry that cannot be read is skipped; the others are still used.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from quillroad.discovery.instance import Instance, InstanceStatus
 
 NODE_MAINTENANCE, SERVICE_MAINTENANCE = "_node_maintenance", "_service_maintenance:"
-MOST_ENTRIES = 20_000  # of one answer: ten times the largest fleet
-LEAST_WEIGHT = 1e-3
-LONGEST_NUMBER = 15  # digits of a number in the metadata
-SHOWN_CHARACTERS = 40  # of a value that makes no sense, in the reason
+MAX_ENTRIES = 20_000  # in one answer: ten times the largest fleet
+MIN_WEIGHT = 1e-3
+MAX_NUMBER_DIGITS = 15  # of a number in the metadata
+SHOWN_CHARACTERS = 40  # of an invalid value, in the error
 
 
 class ConsulError(Exception):
-    """An answer that cannot be used; the text is one plain line."""
+    """An answer that cannot be used; the message is a single line."""
 
 
-class _Tagged(msgspec.Struct):
+class _TaggedAddress(msgspec.Struct):
     address: str = ""
     port: int = 0
-    Address: str = ""  # the catalogue writes its names large
+    Address: str = ""  # node and service catalogue entries capitalise the names
     Port: int = 0
 
 
@@ -47,7 +47,7 @@
     ID: str
     Address: str = ""
     Port: int = 0
-    TaggedAddresses: dict[str, _Tagged] | None = None
+    TaggedAddresses: dict[str, _TaggedAddress] | None = None
     Meta: dict[str, str] | None = None
     Weights: _Weights | None = None
 
@@ -65,10 +65,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MetadataKeys:
-    """Under which keys of `Service.Meta` an instance tells what, and which tagged address to use.
+    """Keys of `Service.Meta` to read, and the tagged address to use.
 
-    No tagged address: the service's own address, and the node's where it has none. Starts are Unix
-    time in milliseconds.
+    Without a tagged address the service's own address is used, or the node's if the service has
+    none. The value under `started` is Unix time in milliseconds.
     """
 
     zone: str = "zone"
@@ -79,20 +79,23 @@
 
 
 class HealthReading(NamedTuple):
-    """The instances, and a plain line for each entry that could not be read."""
+    """The instances of an answer, and one message for each entry that could not be read."""
 
     instances: tuple[Instance, ...]
     unread: tuple[str, ...]
 
 
 def read_health(body: bytes, keys: MetadataKeys) -> HealthReading:
-    """All entries of an answer; raises `ConsulError` where it is no list of entries."""
+    """Return the instances of an answer.
+
+    Raises `ConsulError` if `body` is not a list of entries or has more than `MAX_ENTRIES`.
+    """
     try:
         entries = msgspec.json.decode(body, type=list[msgspec.Raw])
     except msgspec.DecodeError as error:
-        raise ConsulError(f"no list of entries: {error}") from None
-    if len(entries) > MOST_ENTRIES:
-        raise ConsulError(f"{len(entries)} entries, at most {MOST_ENTRIES} are taken")
+        raise ConsulError(f"the answer is not a JSON list of entries: {error}") from None
+    if len(entries) > MAX_ENTRIES:
+        raise ConsulError(f"{len(entries)} entries, at most {MAX_ENTRIES} are accepted")
     instances, unread = [], []
     for number, raw in enumerate(entries):
         try:
@@ -105,28 +108,28 @@
 def _instance(entry: _Entry, keys: MetadataKeys) -> Instance:
     node, service, meta = entry.Node, entry.Service, entry.Service.Meta or {}
     if not service.ID or not node.Node:
-        raise ValueError("no name of a node or service")
+        raise ValueError("Node.Node or Service.ID is empty")
     status, is_warning = status_of(entry.Checks or [])
     weights = service.Weights or _Weights()
     weight = weights.Warning if is_warning else weights.Passing
     return Instance(
-        id=f"{node.Node}/{service.ID}",  # a service's id is unique within its node only
+        id=f"{node.Node}/{service.ID}",  # a service id is unique only within its node
         address=_address(node, service, keys.tagged_address),
         status=status if weight > 0 else InstanceStatus.DRAINING,
         zone=meta.get(keys.zone, ""),
         machine_type=meta.get(keys.machine_type, ""),
         cell=_number(meta, keys.cell),
-        weight=max(weight, LEAST_WEIGHT),
+        weight=max(weight, MIN_WEIGHT),
         started_us=_number(meta, keys.started) * 1000,
     )
 
 
 def status_of(checks: list[_Check]) -> tuple[InstanceStatus, bool]:
-    """The status that its checks give an instance, and whether there is a warning.
+    """Return the status of an instance with these checks, and whether one of them warns.
 
-    Maintenance, of the node or of the service, is a drain: somebody wants it empty, and its process
-    runs. Any other check that is critical makes it unhealthy. An unknown status is taken for
-    critical.
+    Maintenance of the node or the service counts as a drain: an operator wants the instance empty,
+    and its process still runs. Any other critical check makes the instance unhealthy. An unknown
+    check status counts as critical.
     """
     if any(_is_maintenance(check) for check in checks):
         return InstanceStatus.DRAINING, False
@@ -141,7 +144,10 @@
 
 
 def _tagged_address(node: _Node, service: _Service, tag: str) -> Address:
-    """The service's address of this tag, or the node's; what they lack is as without a tag."""
+    """Return the service's address with this tag, or the node's.
+
+    A host or port that the tagged address lacks is the one used without a tag.
+    """
     host, port = service.Address or node.Address, service.Port
     if not tag:
         return host, port
@@ -154,7 +160,7 @@
 def _address(node: _Node, service: _Service, tag: str) -> Address:
     host, port = _tagged_address(node, service, tag)
     if not host or not 0 < port < 65536:
-        raise ValueError(f"no address: {host!r}:{port}")
+        raise ValueError(f"invalid address: {host!r}:{port}")
     return host, port
 
 
@@ -162,7 +168,7 @@
     text = meta.get(key, "")
     if not text:
         return 0
-    if not (text.isascii() and text.isdigit() and len(text) <= LONGEST_NUMBER):
+    if not (text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS):
         shown = text[:SHOWN_CHARACTERS]
-        raise ValueError(f"Meta.{key}: needs a whole number, not {shown!r}")
+        raise ValueError(f"Meta.{key}: expected a whole number, found {shown!r}")
     return int(text)
--- a/quillroad/discovery/consul/merge.py
+++ b/quillroad/discovery/consul/merge.py
@@ -1,11 +1,11 @@
-"""One list out of what several agents say at the same time. No I/O.
-
-Two agents are watched at once, since a blocking query to an agent that died is as silent as one to
-an agent that has nothing to say: a change that reaches either is heard at once. Where they differ
-the more careful word counts: an instance is in service only where every agent that is heard says
-so. They agree again within one round of Raft, so that costs a moment of service on the way back and
-nothing on the way out. An agent that is not heard has no word, as long as another has one; where
-none is heard, the last list stays in use.
+"""Merge of the instance lists of several agents into one. No I/O.
+
+Two agents are queried at the same time, because a blocking query to a dead agent is as silent as
+one to an agent without changes; this way a change is noticed as soon as either agent reports it.
+Where the lists differ, the more severe status counts: an instance is in service only if every
+responding agent reports it in service. The agents agree again within one round of Raft, so an
+instance returns to service slightly later and leaves it without delay. The list of a failed agent
+is ignored while another agent responds; if none responds, the last list stays in use.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 from quillroad.discovery.instance import Instance, InstanceStatus, SourceHealth, SourceState
 
-# The higher, the more careful.
-CAUTION = {InstanceStatus.UP: 0, InstanceStatus.DRAINING: 1, InstanceStatus.UNHEALTHY: 2}
+# Of two statuses the one with the higher value counts.
+STATUS_SEVERITY = {InstanceStatus.UP: 0, InstanceStatus.DRAINING: 1, InstanceStatus.UNHEALTHY: 2}
 
 Instances = tuple[Instance, ...]
 
 
 class MergedViews:
-    """What each watch was told last. `state` is that of the source as a whole."""
+    """The last list of each watch. `state` is the state of the source as a whole."""
 
     def __init__(self) -> None:
         self._views: dict[Hashable, dict[str, Instance]] = {}
@@ -29,14 +29,14 @@
         self.state = SourceState()
 
     def update(self, watch: Hashable, now: float, instances: Instances) -> Instances | None:
-        """Take over a whole list from one watch; returns the merged list if it changed."""
+        """Store the full list of one watch; returns the merged list if it changed."""
         self._views[watch] = {instance.id: instance for instance in instances}
         if self.state.health is not SourceHealth.FRESH:
             self.state = SourceState(SourceHealth.FRESH, now)
         return self._merge()
 
     def failed(self, watch: Hashable, now: float, why: str) -> Instances | None:
-        """Forget a watch that is not heard any more; returns the merged list if it changed."""
+        """Discard the list of a failed watch; returns the merged list if it changed."""
         view = self._views.pop(watch, None)
         if self._views:
             return self._merge() if view is not None else None
@@ -50,11 +50,11 @@
         first, *others = self._views.values()
         merged = []
         for name, instance in first.items():
-            said = [instance, *(view[name] for view in others if name in view)]
-            if len(said) == len(self._views):
-                merged.append(max(said, key=lambda one: CAUTION[one.status]))
-        in_order = tuple(sorted(merged, key=lambda one: one.id))
-        if in_order == self._merged:
+            reported = [instance, *(view[name] for view in others if name in view)]
+            if len(reported) == len(self._views):
+                merged.append(max(reported, key=lambda entry: STATUS_SEVERITY[entry.status]))
+        merged_by_id = tuple(sorted(merged, key=lambda entry: entry.id))
+        if merged_by_id == self._merged:
             return None
-        self._merged = in_order
-        return in_order
+        self._merged = merged_by_id
+        return merged_by_id
--- a/quillroad/discovery/consul/register.py
+++ b/quillroad/discovery/consul/register.py
@@ -1,15 +1,16 @@
-"""The gateway's own entry in Consul: what to say to the agent next, and when. No I/O.
+"""State machine for the gateway's own service entry in Consul. No I/O.
+
+It decides which call the agent gets next, and when.
 
 Source: Consul's API, "Service - Agent" (api-docs/agent/service: register, deregister) and "Check -
-Agent" (api-docs/agent/check: TTL checks, update). Times are seconds of one clock that never goes
-back.
+Agent" (api-docs/agent/check: TTL checks, update). Times are seconds of a monotonic clock.
 
-    UNREGISTERED  the agent does not have it: register, with a backoff that doubles while that fails
+    UNREGISTERED  the agent does not have the entry: register it, with exponential backoff
     REGISTERED    update the check every third of its TTL, and at once when its status changes; an
-                  agent that does not know the check any more (404, 500) has lost it, so it is
-                  registered anew
-    LEAVING       deregister at once, and again for a while; then it is left to the TTL
-    GONE          nothing more is said
+                  agent that answers 404 or 500 has lost the entry, which is then registered again
+    LEAVING       deregister at once, and retry for `DEREGISTER_TIMEOUT_S`; after that the entry
+                  expires by its TTL
+    GONE          no further calls
 """
 
 from __future__ import annotations
@@ -19,18 +20,20 @@
 from enum import Enum
 from urllib.parse import quote
 
-FIRST_WAIT_S = 0.25  # before the second call, while the agent does not answer; it doubles
-LONGEST_WAIT_S = 8.0
-LEAVE_S = 2.0  # in which a drain tries to deregister: new connections are taken for 0.55 s of it
-LEAVE_AGAIN_S = 0.1  # between two attempts to deregister
-UPDATE_INTERVAL = 1 / 3  # of the TTL: two updates may get lost
-DEREGISTER_AFTER = 20  # times the TTL, after which Consul drops an entry that nobody updates
+INITIAL_WAIT_S = 0.25  # after the first failed call; doubles with each further failure
+MAX_WAIT_S = 8.0
+DEREGISTER_TIMEOUT_S = 2.0  # retry limit in a drain, which accepts new connections for 0.55 s of it
+DEREGISTER_RETRY_S = 0.1  # between two attempts to deregister
+UPDATE_INTERVAL_IN_TTLS = 1 / 3  # of the TTL: two updates in a row may be lost
+DEREGISTER_AFTER_TTLS = (
+    20  # multiple of the TTL after which Consul removes an entry whose check stays critical
+)
 
 PASSING, CRITICAL = "passing", "critical"  # statuses of a check
 
 
 class RegistrationState(Enum):
-    """Where the entry stands; the module's docstring explains each."""
+    """State of the entry; the module docstring describes each."""
 
     UNREGISTERED = "out"
     REGISTERED = "in"
@@ -40,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """What is registered.
+    """The service entry to register.
 
     `ttl_s` is the time without an update after which Consul counts the check as critical.
     """
@@ -54,13 +57,13 @@
 
     @property
     def check(self) -> str:
-        """The id of its TTL check."""
+        """The id of the entry's TTL check."""
         return f"service:{self.id}"
 
 
 @dataclass(frozen=True, slots=True)
 class AgentCall:
-    """A PUT to the agent. `status` is what it says of the check, if anything."""
+    """A PUT to the agent. `status` is the check status that it sets, "" if it sets none."""
 
     target: str
     body: bytes
@@ -69,41 +72,45 @@
 
 
 class Registration:
-    """One entry at one agent: `next_s` says when `call` is due, `answered` takes the result."""
+    """One entry at one agent.
+
+    `next_s` returns when the next call is due, `call` returns the call, and `answered` records its
+    result.
+    """
 
     def __init__(self, entry: Entry, now: float) -> None:
         self._entry = entry
         self.state = RegistrationState.UNREGISTERED
         self.due = now
-        self._wait_s = FIRST_WAIT_S
-        self._status = CRITICAL  # as it is
-        self._registered_status = ""  # as the agent has it
-        self._leaves_until = 0.0
-        # Something was said, so that the agent may have the entry though it has not answered.
+        self._wait_s = INITIAL_WAIT_S
+        self._status = CRITICAL  # the current status
+        self._registered_status = ""  # the status that the agent accepted last
+        self._deregister_until = 0.0
+        # A call was made, so the agent may have the entry even if it has not answered.
         self._agent_may_have_it = False
 
     def serves(self, now: float, ready: bool) -> None:
-        """Note whether the gateway has hosts to serve by."""
+        """Set the check status by whether the gateway has usable hosts."""
         self._status = PASSING if ready else CRITICAL
         is_registered = self.state is RegistrationState.REGISTERED
         if is_registered and self._registered_status != self._status:
             self.due = now
 
     def leave(self, now: float) -> None:
-        """The gateway drains: deregister from now on."""
+        """Start to deregister, because the gateway drains."""
         if self.state is RegistrationState.UNREGISTERED and not self._agent_may_have_it:
             self.state = RegistrationState.GONE
         elif self.state in (RegistrationState.UNREGISTERED, RegistrationState.REGISTERED):
             self.state = RegistrationState.LEAVING
             self.due = now
-            self._leaves_until = now + LEAVE_S
+            self._deregister_until = now + DEREGISTER_TIMEOUT_S
 
     def next_s(self, now: float) -> float | None:
-        """Seconds until something is to be said; None: nothing any more."""
+        """Return the seconds until the next call is due, or None if no call will follow."""
         return None if self.state is RegistrationState.GONE else max(0.0, self.due - now)
 
     def call(self) -> AgentCall:
-        """What to say now."""
+        """Return the call to make now."""
         self._agent_may_have_it = True
         if self.state is RegistrationState.UNREGISTERED:
             return self._register()
@@ -125,7 +132,7 @@
                 "Name": "quillroad serves",
                 "TTL": f"{entry.ttl_s:g}s",
                 "Status": self._status,
-                "DeregisterCriticalServiceAfter": f"{DEREGISTER_AFTER * entry.ttl_s:g}s",
+                "DeregisterCriticalServiceAfter": f"{DEREGISTER_AFTER_TTLS * entry.ttl_s:g}s",
             },
         }
         target = "/v1/agent/service/register?replace-existing-checks=true"
@@ -138,52 +145,54 @@
         return AgentCall(target, body, self._status)
 
     def answered(self, now: float, call: AgentCall, status: int) -> str:
-        """Take the agent's answer to `call`, 0 for none.
+        """Record the HTTP status of the agent's answer to `call`, 0 if there was no answer.
 
-        Returns a line for the log where that is news, else nothing.
+        Returns a log message if the answer changes the state of the entry or is the first failure
+        in a row, otherwise "".
         """
         if self.state is RegistrationState.LEAVING:
             return self._answered_while_leaving(now, call, status)
         if status == 200:
             return self._accepted(now, call)
         if self.state is RegistrationState.REGISTERED and status in (404, 500):
-            # Not at once: an agent that takes the entry and never knows it must not be called in a
-            # storm.
+            # Wait first: an agent that accepts the entry but never knows its check would otherwise
+            # be called in a tight loop.
             self.state = RegistrationState.UNREGISTERED
-            self.due = now + FIRST_WAIT_S
-            return "the agent has lost the entry: it is registered anew"
+            self.due = now + INITIAL_WAIT_S
+            return "the agent lost the entry; registering it again"
         return self._failed(now, status)
 
     def _answered_while_leaving(self, now: float, call: AgentCall, status: int) -> str:
         if not call.deregisters:
-            # The drain came while something else was on its way: that may have registered it.
+            # The drain started while this call was in flight; the call may have registered the
+            # entry.
             self.due = now
             return ""
         if status == 200:
             self.state = RegistrationState.GONE
             return "deregistered"
-        if status == 404 or now >= self._leaves_until:
+        if status == 404 or now >= self._deregister_until:
             self.state = RegistrationState.GONE
-            return f"could not deregister: {_reason(status)}; the TTL will"
-        self.due = now + LEAVE_AGAIN_S
+            return f"deregistering failed: {_reason(status)}; the entry expires by its TTL"
+        self.due = now + DEREGISTER_RETRY_S
         return ""
 
     def _accepted(self, now: float, call: AgentCall) -> str:
         was_unregistered = self.state is RegistrationState.UNREGISTERED
         self.state = RegistrationState.REGISTERED
-        self._wait_s = FIRST_WAIT_S
+        self._wait_s = INITIAL_WAIT_S
         self._registered_status = call.status or self._status
         is_current = self._registered_status == self._status
-        self.due = now + UPDATE_INTERVAL * self._entry.ttl_s if is_current else now
+        self.due = now + UPDATE_INTERVAL_IN_TTLS * self._entry.ttl_s if is_current else now
         return "registered" if was_unregistered else ""
 
     def _failed(self, now: float, status: int) -> str:
-        is_first = self._wait_s == FIRST_WAIT_S
+        is_first = self._wait_s == INITIAL_WAIT_S
         self.due = now + self._wait_s
-        self._wait_s = min(LONGEST_WAIT_S, 2 * self._wait_s)
+        self._wait_s = min(MAX_WAIT_S, 2 * self._wait_s)
         if self.state is RegistrationState.REGISTERED:
-            self.due = min(self.due, now + UPDATE_INTERVAL * self._entry.ttl_s)
-        return f"the agent does not take it: {_reason(status)}" if is_first else ""
+            self.due = min(self.due, now + UPDATE_INTERVAL_IN_TTLS * self._entry.ttl_s)
+        return f"the agent did not accept the entry: {_reason(status)}" if is_first else ""
 
 
 def _reason(status: int) -> str:
--- a/quillroad/discovery/consul/registrar.py
+++ b/quillroad/discovery/consul/registrar.py
@@ -1,4 +1,7 @@
-"""Keeps the gateway's own entry in Consul: `register` decides what to say, this module says it."""
+"""Keeps the gateway's own entry in Consul up to date.
+
+`register` decides which calls to make; this module sends them to the agent.
+"""
 
 from __future__ import annotations
 
@@ -16,16 +19,16 @@
 log = logging.getLogger("quillroad.discovery.consul")
 
 ANSWER_TIMEOUT_S = 1.0
-ANSWER_LIMIT_BYTES = 64 * 1024  # the agent answers with a line at most
-LOOK_INTERVAL_S = 0.1  # between two looks at whether there are hosts
+ANSWER_LIMIT_BYTES = 64 * 1024  # the agent answers with at most one line
+READY_CHECK_INTERVAL_S = 0.1  # between two checks of whether the gateway has usable hosts
 NO_ANSWER = 0
 
 
 class Registrar:
-    """One gateway's entry at its own agent.
+    """The entry of one gateway at its own agent.
 
-    `ready` says whether it has hosts. Where `serves` says no, since another process of this gateway
-    does, nothing is said.
+    `ready` returns whether the gateway has usable hosts. While `is_serving` returns False, because
+    a sibling process of this gateway serves, no call is made except to deregister.
     """
 
     def __init__(self, settings: Register, config: Config, ready: Callable[[], bool]) -> None:
@@ -42,35 +45,35 @@
         self.registration = Registration(entry, monotonic())
         self.is_serving: Callable[[], bool] = lambda: True
         self._task: asyncio.Task[None] | None = None
-        self._wakes = asyncio.Event()
+        self._wake_up = asyncio.Event()
 
     def start(self) -> None:
-        """Begin to register."""
+        """Start the task that registers and updates the entry."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
         registration = self.registration
         while (wait_s := registration.next_s(monotonic())) is not None:
             if not self.is_serving() and registration.state is not RegistrationState.LEAVING:
-                await asyncio.sleep(LOOK_INTERVAL_S)
+                await asyncio.sleep(READY_CHECK_INTERVAL_S)
                 continue
             registration.serves(monotonic(), self._ready())
             if wait_s > 0.0 and registration.next_s(monotonic()):
-                await self._sleep_until_woken(min(wait_s, LOOK_INTERVAL_S))
+                await self._sleep_until_woken(min(wait_s, READY_CHECK_INTERVAL_S))
                 continue
             call = registration.call()
             status = await self._send(call)
             if line := registration.answered(monotonic(), call, status):
-                log.info("own entry: %s", line)
+                log.info("consul: entry of this gateway: %s", line)
 
     async def _sleep_until_woken(self, timeout_s: float) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
-                await self._wakes.wait()
-        self._wakes.clear()
+                await self._wake_up.wait()
+        self._wake_up.clear()
 
     async def _send(self, call: AgentCall) -> int:
-        """The status of the answer, or `NO_ANSWER`."""
+        """Send a call; returns the status of the answer, or `NO_ANSWER`."""
         try:
             answer = await fetch(
                 self._settings.agent,
@@ -86,13 +89,13 @@
         return answer.status
 
     async def leave(self) -> None:
-        """Deregister, for 2 s at the most; then the TTL does."""
+        """Deregister; after 2 s without success the entry is left to expire by its TTL."""
         self.registration.leave(monotonic())
-        self._wakes.set()
+        self._wake_up.set()
         if self._task is not None:
             await asyncio.wait({self._task})
 
     def stop(self) -> None:
-        """Say nothing more."""
+        """Stop making calls."""
         if self._task is not None:
             self._task.cancel()
--- a/quillroad/discovery/consul/source.py
+++ b/quillroad/discovery/consul/source.py
@@ -1,4 +1,4 @@
-"""Watches a service in Consul: blocking queries to two agents at once, each with fail-over."""
+"""Watch of a Consul service by blocking queries to two agents at once, each with fail-over."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from urllib.parse import quote, urlencode
 
 from quillroad.config import Address, Config, ConsulHosts
-from quillroad.discovery.consul.agents import Agents, Limits, Verdict, judge
+from quillroad.discovery.consul.agents import Agents, Limits, Verdict, classify_answer
 from quillroad.discovery.consul.health import (
     ConsulError,
     HealthReading,
@@ -25,13 +25,16 @@
 
 log = logging.getLogger("quillroad.discovery.consul")
 
-WATCHES = 2  # agents that are queried at the same time, where there are as many
+MAX_WATCHES = 2  # agents queried at the same time, if that many are configured
 BODY_LIMIT_BYTES = 32 * 1024 * 1024  # 2,000 instances are about 2 MB
-SHOWN_UNREAD = 5  # entries of one answer that could not be read, in the log
+SHOWN_UNREAD = 5  # per answer: unreadable entries that are logged
 
 
 class UnusableAnswerError(Exception):
-    """No usable answer; the text is one plain line. `denied`: the token has not the rights."""
+    """An agent gave no usable answer; the message is a single line.
+
+    `denied` tells that the token lacks permission.
+    """
 
     def __init__(self, why: str, denied: bool = False) -> None:
         super().__init__(why)
@@ -40,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthQuery:
-    """Where to query and for what, how often, and how long to wait for agents that fail."""
+    """The agents and service to query, the pace of queries, and the backoff of failing agents."""
 
     hosts: ConsulHosts
     pace: QueryPace
@@ -48,11 +51,14 @@
 
     @property
     def metadata_keys(self) -> MetadataKeys:
-        """Under which keys the service's metadata tells what."""
+        """The metadata keys and the tagged address to read."""
         return MetadataKeys(*self.hosts.meta, self.hosts.tagged_address)
 
     def target(self, index: int) -> str:
-        """Path and query of a health query that blocks past `index`; 0 answers at once."""
+        """Return path and query string of a health query.
+
+        The agent answers once its index is above `index`, or at once if that is 0.
+        """
         hosts = self.hosts
         options = {
             "dc": hosts.datacenter,
@@ -69,17 +75,17 @@
 
 
 def query_for(hosts: ConsulHosts) -> HealthQuery:
-    """The query that a configuration means."""
+    """Return the health query for the configured hosts."""
     return HealthQuery(
-        hosts, QueryPace(wait_s=hosts.wait_s), Limits(most_stale_s=hosts.most_stale_s)
+        hosts, QueryPace(wait_s=hosts.wait_s), Limits(max_stale_s=hosts.most_stale_s)
     )
 
 
 class ConsulSource:
-    """One service.
+    """Source of the hosts of one Consul service.
 
-    The listener gets every list that differs from the one before, and never a list that nobody
-    told. After `stop` nothing more is told.
+    The listener gets each merged list that differs from the one before, and no list before an agent
+    has answered. It is not called after `stop`.
     """
 
     def __init__(self, query: HealthQuery, listener: SourceListener, seed: int) -> None:
@@ -91,47 +97,47 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start the watches."""
         loop, addresses = asyncio.get_running_loop(), self._query.hosts.agents
-        count = min(WATCHES, len(addresses))
+        count = min(MAX_WATCHES, len(addresses))
         for number in range(count):
             agents = Agents(addresses[number::count], self._query.limits, self._random.random())
             self._tasks.append(loop.create_task(self._watch(number, agents)))
 
     def stop(self) -> None:
-        """End all watches."""
+        """Cancel all watches."""
         for task in self._tasks:
             task.cancel()
         self._tasks = []
 
     @property
     def position(self) -> tuple[str, int]:
-        """Indexes of two agents cannot be compared."""
+        """Always ("", 0): indexes of two agents cannot be compared."""
         return "", 0
 
     def resume(self, position: int) -> None:
-        """Each agent is queried from its own index on."""
+        """Do nothing: each agent is queried from its own index on."""
 
     def load_known_hosts(self, config: Config) -> None:
-        """Nothing is known without asking."""
+        """Do nothing: the configuration lists no hosts of a Consul service."""
 
     def set_gateway_count(self, gateway_index: int, gateway_count: int) -> None:
-        """Each gateway queries an agent of its own."""
+        """Do nothing: gateways do not coordinate their queries to agents."""
 
     def switch_to(self, config: Config) -> None:
-        """Watch by another configuration; see `use`."""
+        """Watch the agents and service of another configuration; see `use`."""
         assert isinstance(config.hosts, ConsulHosts)
         self.use(query_for(config.hosts))
 
     def use(self, query: HealthQuery) -> None:
-        """Query other agents or another service; the list stays in use until they answer."""
+        """Restart the watches with another query; the list stays in use until an agent answers."""
         self.stop()
         self._query = query
         self._views = MergedViews()
         self.start()
 
     async def _watch(self, number: int, agents: Agents) -> None:
-        """Query forever; whatever goes wrong is one line in the log and a wait."""
+        """Query until cancelled; wait after a failure, log it unless it repeats the last."""
         index = QueryIndex(self._query.pace)
         last_reason = ""
         while True:
@@ -142,58 +148,65 @@
                 wait_s = agents.failed(monotonic(), error.denied)
                 reason = str(error)
             except Exception:
-                # Without a watch a drain would go unheard while all else seems well: no fault may
-                # end it.
-                log.exception("the watch of %s failed", self._query.hosts.service)
+                # An internal error must not end the watch: the gateway would miss drains without
+                # any other sign of a failure.
+                log.exception(
+                    "consul: internal error in the watch of service %s", self._query.hosts.service
+                )
                 wait_s = agents.failed(monotonic())
-                reason = "a fault of ours"
+                reason = "internal error"
             else:
                 last_reason = ""
                 continue
             index.reset()
             if reason != last_reason:
-                log.warning("consul: %s; next in %.1f s at %s:%d", reason, wait_s, *agents.current)
+                log.warning(
+                    "consul: %s; next query in %.1f s to agent %s:%d",
+                    reason,
+                    wait_s,
+                    *agents.current,
+                )
             last_reason = reason
-            self._tell(self._views.failed(number, monotonic(), reason))
+            self._report(self._views.failed(number, monotonic(), reason))
             await asyncio.sleep(wait_s * (0.5 + self._random.random() / 2))
 
     async def _query_once(self, number: int, agents: Agents, index: QueryIndex) -> None:
-        """One blocking query, whose answer is told. Raises `UnusableAnswerError`."""
+        """Make one blocking query and report its instances. Raises `UnusableAnswerError`."""
         address = agents.current
-        where = f"agent {address[0]}:{address[1]}"
-        response = await self._fetch(address, where, index)
-        reading = self._read(response, where)
+        agent = f"agent {address[0]}:{address[1]}"
+        response = await self._fetch(address, agent, index)
+        reading = self._read(response, agent)
         if problem := index.update(response.headers.get("x-consul-index")):
-            log.info("consul: %s: %s", where, problem)
+            log.info("consul: %s: %s", agent, problem)
         for line in reading.unread[:SHOWN_UNREAD]:
-            log.warning("consul: %s: %s", where, line)
+            log.warning("consul: %s: %s", agent, line)
         agents.answered()
-        self._tell(self._views.update(number, monotonic(), reading.instances))
+        self._report(self._views.update(number, monotonic(), reading.instances))
 
-    async def _fetch(self, address: Address, where: str, index: QueryIndex) -> Response:
+    async def _fetch(self, address: Address, agent: str, index: QueryIndex) -> Response:
         token_file = self._query.hosts.token_file
         try:
             headers = token_headers(token_file)
         except OSError as error:
             raise UnusableAnswerError(
-                f"token: cannot read {token_file}: {error.strerror}"
+                f"cannot read token file {token_file}: {error.strerror}"
             ) from None
         target = self._query.target(index.value)
         try:
             return await fetch(address, target, headers, index.silence_s(), BODY_LIMIT_BYTES)
         except FetchError as error:
-            raise UnusableAnswerError(f"{where}: {error}") from None
+            raise UnusableAnswerError(f"{agent}: {error}") from None
 
-    def _read(self, response: Response, where: str) -> HealthReading:
-        verdict, reason = judge(response.status, response.headers, self._query.limits)
+    def _read(self, response: Response, agent: str) -> HealthReading:
+        verdict, reason = classify_answer(response.status, response.headers, self._query.limits)
         if verdict is not Verdict.USE:
-            raise UnusableAnswerError(f"{where}: {reason}", verdict is Verdict.DENIED)
+            raise UnusableAnswerError(f"{agent}: {reason}", verdict is Verdict.DENIED)
         try:
             return read_health(response.body, self._query.metadata_keys)
         except ConsulError as error:
-            raise UnusableAnswerError(f"{where}: {error}") from None
+            raise UnusableAnswerError(f"{agent}: {error}") from None
 
-    def _tell(self, instances: tuple[Instance, ...] | None) -> None:
+    def _report(self, instances: tuple[Instance, ...] | None) -> None:
         self._listener.on_state(self._views.state)
         if instances is not None:
             self._version += 1
--- a/quillroad/discovery/consul/token.py
+++ b/quillroad/discovery/consul/token.py
@@ -1,6 +1,6 @@
-"""The ACL token of calls to Consul.
+"""The ACL token sent with each call to Consul.
 
-It is read from its file with each call, so that it can be replaced while the gateway runs.
+The token file is read for every call, so that the token can be replaced while the gateway runs.
 """
 
 from __future__ import annotations
@@ -9,5 +9,8 @@
 
 
 def token_headers(file: Path | None) -> dict[str, str]:
-    """Headers with the token, none without a file. Raises `OSError` if it cannot be read."""
+    """Return the token header, or no header if `file` is None.
+
+    Raises `OSError` if the file cannot be read.
+    """
     return {"X-Consul-Token": file.read_text().strip()} if file else {}
--- a/quillroad/discovery/feed.py
+++ b/quillroad/discovery/feed.py
@@ -1,4 +1,4 @@
-"""Joins a source to the engine: each list goes through the reducer and takes effect at once."""
+"""Connects a source to the engine: each list is reduced and applied at once."""
 
 from __future__ import annotations
 
@@ -14,52 +14,52 @@
 log = logging.getLogger("quillroad.discovery")
 
 SHOWN_CHARACTERS = 2000  # of a list, in the log
-SHOWN_REFUSALS = 5  # entries of one list that were not believed, in the log
+SHOWN_IGNORED = 5  # per list: ignored entries that are logged
 
 # Called with an endpoint update, the endpoints' names and their addresses, by endpoint id.
 Update = Callable[[EndpointUpdate, dict[int, str], dict[int, Address]], None]
 
 
 class Feed:
-    """One source's way to the engine. `state` is the source's own."""
+    """Applies the lists of one source to the engine; `state` is the last state of the source."""
 
     def __init__(self, zones: Sequence[str], machine_types: Sequence[str], update: Update) -> None:
         self._reducer = Reducer(zones, machine_types)
         self._update = update
         self.state = SourceState()
-        self._last: Snapshot | None = None
+        self._last_snapshot: Snapshot | None = None
 
     def listener(self) -> SourceListener:
-        """What the source calls."""
-        return SourceListener(self._take, self._note)
+        """Return the callbacks for the source."""
+        return SourceListener(self._apply_snapshot, self._record_state)
 
     def start_times(self) -> dict[str, tuple[int, bool]]:
-        """See `Reducer.starts`."""
+        """See `Reducer.start_times`."""
         return self._reducer.start_times()
 
     def restore_start_times(self, starts: Mapping[str, tuple[int, bool]]) -> None:
-        """See `Reducer.learn`; a list that was told already takes effect again with it."""
+        """See `Reducer.restore_start_times`; applies the last list again with them."""
         self._reducer.restore_start_times(starts)
-        if self._last is not None:
-            self._take(self._last)
+        if self._last_snapshot is not None:
+            self._apply_snapshot(self._last_snapshot)
 
-    def _take(self, snapshot: Snapshot) -> None:
-        self._last = snapshot
+    def _apply_snapshot(self, snapshot: Snapshot) -> None:
+        self._last_snapshot = snapshot
         reduced = self._reducer.reduce(snapshot, time.time_ns() // 1000)
-        for line in reduced.refused[:SHOWN_REFUSALS]:
-            log.warning("list %d: %s", snapshot.version, line)
+        for entry in reduced.ignored[:SHOWN_IGNORED]:
+            log.warning("list %d: ignored entry: %s", snapshot.version, entry)
         shown = ", ".join(
             f"{reduced.names[endpoint.id]} {endpoint.status.name.lower()}"
             for endpoint in reduced.update.endpoints
         )
-        log.info("list %d: %s", snapshot.version, shown[:SHOWN_CHARACTERS] or "nothing")
+        log.info("list %d: %s", snapshot.version, shown[:SHOWN_CHARACTERS] or "no hosts")
         self._update(reduced.update, reduced.names, reduced.addresses)
 
-    def _note(self, state: SourceState) -> None:
+    def _record_state(self, state: SourceState) -> None:
         if state == self.state:
             return
-        before, self.state = self.state, state
+        previous, self.state = self.state, state
         if state.health is SourceHealth.STALE:
-            log.warning("the list is stale: %s; it stands as it was told last", state.why)
-        elif before.health is SourceHealth.STALE:
-            log.info("the list is fresh again, after %.1f s", state.since - before.since)
+            log.warning("the host list is stale: %s; the last list stays in use", state.why)
+        elif previous.health is SourceHealth.STALE:
+            log.info("the host list is up to date again after %.1f s", state.since - previous.since)
--- a/quillroad/discovery/fetch.py
+++ b/quillroad/discovery/fetch.py
@@ -1,4 +1,4 @@
-"""One HTTP request with a bound on its time and its size: what sources need of HTTP."""
+"""A minimal HTTP client: one request per connection, with limits on time and size."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class FetchError(Exception):
-    """No usable answer; the text is one plain line."""
+    """The request got no complete answer; the message is a single line."""
 
 
 class Response(NamedTuple):
-    """A whole answer; header names in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -28,7 +28,7 @@
 
 
 class _ResponseReader:
-    """Callbacks of the parser, with bounds on head and body."""
+    """Callbacks of the HTTP parser, with limits on the size of head and body."""
 
     def __init__(self, body_limit: int) -> None:
         self.headers: dict[str, str] = {}
@@ -38,21 +38,21 @@
         self._head_left = HEAD_LIMIT_BYTES
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header field; raises `FetchError` once the head is too long."""
+        """Store a header field; raises `FetchError` if the head exceeds its limit."""
         self._head_left -= len(name) + len(value)
         if self._head_left < 0:
-            raise FetchError("head too long")
+            raise FetchError("response head too long")
         self.headers[name.lower().decode("latin-1")] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of the body; raises `FetchError` once the body is too long."""
+        """Store a part of the body; raises `FetchError` if the body exceeds its limit."""
         self._body_left -= len(body)
         if self._body_left < 0:
-            raise FetchError("body too long")
+            raise FetchError("response body too long")
         self.body.append(body)
 
     def on_message_complete(self) -> None:
-        """Note that the response is whole."""
+        """Record that the response is complete."""
         self.complete = True
 
 
@@ -66,26 +66,26 @@
     method: str = "GET",
     body: bytes = b"",
 ) -> Response:
-    """Request `target` on a connection of its own.
+    """Send one request on a new connection and return the response.
 
-    `timeout_s` seconds are for the answer, `connect_s` for the connect, `body_limit` is in bytes.
-    Raises `FetchError` for whatever keeps an answer from being whole in time.
+    `timeout_s` limits the response and `connect_s` the connect, both in seconds; `body_limit` is in
+    bytes. Raises `FetchError` if no complete response arrives in time.
     """
     try:
         async with asyncio.timeout(connect_s):
-            source, sink = await asyncio.open_connection(*address)
+            stream, writer = await asyncio.open_connection(*address)
     except (OSError, TimeoutError) as error:
-        raise FetchError(f"cannot connect: {error or 'no answer'}") from None
+        raise FetchError(f"connect failed: {error or 'timed out'}") from None
     try:
-        sink.write(_request(address, target, headers, method, body))
+        writer.write(_request(address, target, headers, method, body))
         async with asyncio.timeout(timeout_s):
-            return await _read_response(source, body_limit)
+            return await _read_response(stream, body_limit)
     except TimeoutError:
-        raise FetchError("silent") from None
+        raise FetchError("response timed out") from None
     except OSError as error:
-        raise FetchError(f"broken off: {error}") from None
+        raise FetchError(f"connection lost: {error}") from None
     finally:
-        sink.close()
+        writer.close()
 
 
 def _request(
@@ -102,19 +102,19 @@
     return "\r\n".join(lines).encode() + b"\r\nConnection: close\r\n\r\n" + body
 
 
-async def _read_response(source: asyncio.StreamReader, body_limit: int) -> Response:
+async def _read_response(stream: asyncio.StreamReader, body_limit: int) -> Response:
     reader = _ResponseReader(body_limit)
     parser = httptools.HttpResponseParser(reader)
     while not reader.complete:
-        data = await source.read(READ_BYTES)
+        data = await stream.read(READ_BYTES)
         if not data:
-            raise FetchError("the answer is not whole")
+            raise FetchError("connection closed before the end of the response")
         try:
             parser.feed_data(data)
         except httptools.HttpParserError as error:
-            # The parser wraps what a callback raises.
+            # The parser wraps exceptions raised by callbacks.
             context = error.__context__
             if isinstance(context, FetchError):
                 raise context from None
-            raise FetchError(f"not HTTP: {error}") from None
+            raise FetchError(f"invalid HTTP response: {error}") from None
     return Response(parser.get_status_code(), reader.headers, b"".join(reader.body))
--- a/quillroad/discovery/freshness.py
+++ b/quillroad/discovery/freshness.py
@@ -1,75 +1,75 @@
-"""How current the endpoint list is: one clock that all steps of polling for it share. No I/O.
+"""Freshness of the endpoint list: one deadline that all steps of polling share. No I/O.
 
-A change counts as notified 6 s after discovery had it and could be reached, whatever became of a
-call. So there is one moment from which on a change may have been missed: the last sign of life of
-the watch, or the begin of the last call that failed, for until then discovery could not be reached.
-Noticing silence, connecting, waiting for this gateway's part of the round and the answer have to
-fit into the 6 s after that moment together. With a timeout for each of them they took up to 14 s.
+A change counts as notified 6 s after discovery had it and was reachable, even if the calls of this
+gateway failed. Changes may have been missed since one moment: the last sign of life of the watch,
+or the start of the last failed call, because discovery was not reachable until then. Detecting
+silence, connecting, waiting for this gateway's slot of the round and receiving the answer must fit
+into the 6 s after that moment together. With a separate timeout for each they took up to 14 s.
 
-The list itself never expires (static stability): what it holds is served by for as long as
-discovery says nothing, since a fleet that runs is not given up because nobody tells of it.
+The list itself never expires (static stability): its hosts stay in use while discovery is
+unreachable, because a discovery outage says nothing about the hosts.
 """
 
 from __future__ import annotations
 
-# A change counts as notified so long after discovery had it and could be reached: the operators'
-# own term.
+# Time after which a change counts as notified, once discovery has it and is reachable. "Notified"
+# is the term that operators use.
 NOTIFIED_AFTER_S = 6.0
-# The same after the configuration named another discovery service: the old list may be that of
-# another fleet.
+# The same after a switch to another discovery service: the old list may belong to another fleet.
 NOTIFIED_AFTER_MOVE_S = 4.0
-# For connecting and the answer. Hosts that leave may be sent to for 0.5 s more, which a slow answer
-# may use up.
+# Reserved for connecting and the answer. A slow answer may take 0.5 s longer: that is how long
+# requests may still be sent to a host that leaves.
 ANSWER_S = 0.5
-# Without a sign of life: one is due every 2 s, and loops and networks take up to half a second of
-# that.
+# A watch counts as silent after this time. A sign of life is due every 2 s; event loops and
+# networks delay it by up to half a second.
 SILENCE_S = 2.5
-# The first timeout of a call to an agent of one's own, which answers at once. An agent that fell
-# silent swallows calls, and when it is back its list counts as notified, so it is polled often.
+# The first timeout of a call to the gateway's own agent, which answers at once. An agent that hangs
+# never answers the calls made meanwhile, and its list counts as notified as soon as it responds
+# again, so it is polled often.
 AGENT_TIMEOUT_S = 0.4
-# After so many failed calls the timeout doubles: an agent that has become slow is heard, too.
+# The timeout doubles after this number of failed calls, so that a slow agent can answer.
 AGENT_CALLS_PER_DOUBLING = 20
 
 
 class EndpointFreshness:
-    """The clock of one gateway's endpoint list.
+    """Time since which the endpoint list of one gateway may be out of date.
 
-    Times are seconds of one clock that never goes back. `has_own_agent` says that the list comes
-    from an agent on this machine that answers at once.
+    Times are seconds of a monotonic clock. `has_own_agent` tells that the list comes from an agent
+    on this machine that answers at once.
     """
 
     def __init__(self, now: float, has_own_agent: bool) -> None:
         self._has_own_agent = has_own_agent
         self._failed_calls = 0  # since the last sign of life
-        self.since = now  # from when on a change may have been missed
+        self.since = now  # since when a change may have been missed
         self._notified_after_s = NOTIFIED_AFTER_S
 
     def heard(self, now: float) -> None:
-        """Note a sign of life of a watch: all that was told before it has come."""
+        """Record a sign of life of the watch: all changes sent before it have arrived."""
         self.since = max(self.since, now)
         self._notified_after_s = NOTIFIED_AFTER_S
         self._failed_calls = 0
 
     def failed(self, began: float) -> None:
-        """Note that a call that began then has brought no list."""
+        """Record that a call that began at `began` ended without a list."""
         if began > self.since:
             self.since = began
             self._notified_after_s = NOTIFIED_AFTER_S
         self._failed_calls += 1
 
     def moved(self, now: float) -> None:
-        """Note that another discovery service is to be polled from now on."""
+        """Record the switch to another discovery service."""
         self.since = now
         self._notified_after_s = NOTIFIED_AFTER_MOVE_S
         self._failed_calls = 0
 
     def first_byte_s(self) -> float:
-        """Seconds that a new call may take until its first list begins to come."""
+        """Return the timeout in seconds for the first byte of a new call's answer."""
         if not self._has_own_agent:
             return SILENCE_S
         doublings = self._failed_calls // AGENT_CALLS_PER_DOUBLING
         return min(SILENCE_S, AGENT_TIMEOUT_S * 2.0**doublings)
 
     def left_s(self, now: float) -> float:
-        """Seconds until the next call has to begin for its answer to come in time; not below 0."""
+        """Return the seconds until the next call must begin for a timely answer; at least 0."""
         return max(0.0, self.since + self._notified_after_s - ANSWER_S - now)
--- a/quillroad/discovery/instance.py
+++ b/quillroad/discovery/instance.py
@@ -1,4 +1,4 @@
-"""What sources tell: instances of the service, and how the source itself fares. No I/O."""
+"""Data that sources report: instances of the service and the source's own state. No I/O."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class InstanceStatus(Enum):
-    """What a source says of an instance."""
+    """Status of an instance as reported by its source."""
 
     UP = "up"
-    DRAINING = "draining"  # finishes what it has, wants nothing new: a drain, or maintenance
-    UNHEALTHY = "out"  # is there and may not be used: its check fails
+    DRAINING = "draining"  # finishes its requests, accepts no new ones: a drain, or maintenance
+    UNHEALTHY = "out"  # registered but not usable: its health check fails
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
     """One instance of the service.
 
-    `id` is the same at every gateway and after a restart of the process. `started_us` is when the
-    process last started (Unix time, microseconds), 0 where that is long ago or unknown.
+    `id` is the same at every gateway and after a restart of the process. `started_us` is the
+    time of the process's last start (Unix time, microseconds), 0 if that is long ago or unknown.
     """
 
     id: str
@@ -37,28 +37,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The whole list.
+    """The full list of instances.
 
-    `tells_starts`: the source knows when processes start, so that nothing has to be guessed from
-    their coming and going.
+    `reports_start_times` tells that the source knows when processes start, so that no restart has
+    to be inferred from an instance that leaves and returns.
     """
 
     instances: tuple[Instance, ...]
     version: int = 0
-    tells_starts: bool = False
+    reports_start_times: bool = False
 
 
 class SourceHealth(Enum):
-    """How a source fares."""
+    """Whether the list of a source is up to date."""
 
-    STARTING = "starting"  # has told nothing yet
+    STARTING = "starting"  # no list received yet
     FRESH = "fresh"
-    STALE = "stale"  # what it told stays in use, and nobody knows of later changes
+    STALE = "stale"  # the last list stays in use; later changes are unknown
 
 
 @dataclass(frozen=True, slots=True)
 class SourceState:
-    """A source's health, since when (monotonic seconds), and why, as one plain line."""
+    """Health of a source, since when (monotonic clock, seconds), and the reason in one line."""
 
     health: SourceHealth = SourceHealth.STARTING
     since: float = 0.0
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class SourceListener:
-    """Who is told of each list, and of the source's own state."""
+    """Callbacks for each new list and for changes of the source's state."""
 
     on_snapshot: Callable[[Snapshot], None]
     on_state: Callable[[SourceState], None] = field(default=lambda _: None)
--- a/quillroad/discovery/json_stream.py
+++ b/quillroad/discovery/json_stream.py
@@ -1,11 +1,11 @@
-"""JSON documents out of a stream of bytes. No I/O.
+"""Splits a byte stream into JSON documents. No I/O.
 
-Discovery writes one document a line, or one over many lines where it indents them. Between two
-documents come empty lines, as signs of life. A JSON string holds no line end, so in each line only
-the brackets outside of its strings count: once none is open, the document is whole.
+Discovery writes each document on one line, or on many lines if it indents them. Empty lines between
+documents are signs of life. A JSON string contains no line break, so counting the brackets outside
+of strings line by line finds the end of a document: it is complete when no bracket is open.
 
-Without this, an indented list is no JSON from its first line on, each new watch gets the same, and
-no drain is heard for as long as discovery indents.
+Reading line by line would reject an indented list at its first line, on each new watch again, and
+the gateway would miss all drains for as long as discovery indents.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 
 
 class BrokenDocumentError(Exception):
-    """What came cannot become a document any more; the text is one plain line."""
+    """The received bytes cannot become a complete document; the message is a single line."""
 
 
 class JsonDocumentStream:
-    """Cuts what comes into documents. One that has begun may hold `limit_bytes`."""
+    """Splits received bytes into documents of at most `limit_bytes` each."""
 
     def __init__(self, limit_bytes: int) -> None:
         self._limit_bytes = limit_bytes
-        self._lines: list[bytes] = []  # whole ones of the document that has begun
-        self._size = 0  # of these, in bytes
-        self._open_brackets = 0  # after them
+        self._lines: list[bytes] = []  # complete lines of the current document
+        self._size = 0  # of these lines, in bytes
+        self._open_brackets = 0  # at the end of these lines
         self._partial_line = b""
 
     @property
     def rest(self) -> bytes:
-        """What has come and is no whole document."""
+        """The received bytes that are not part of a complete document."""
         return b"\n".join([*self._lines, self._partial_line])
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Each document that is whole with `data`, in order.
+        """Yield each document that `data` completes, in order.
 
-        To be exhausted before the next call. Raises `BrokenDocumentError` where one cannot become
-        whole.
+        The iterator must be exhausted before the next call. Raises `BrokenDocumentError` if a
+        document cannot be completed any more or is too long.
         """
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         for line in lines:
@@ -48,39 +48,39 @@
             if document is not None:
                 yield document
         if self._size + len(self._partial_line) > self._limit_bytes:
-            raise BrokenDocumentError("a document without end")
+            raise BrokenDocumentError("a document is too long")
 
     def finish(self) -> Iterator[bytes]:
-        """The last document, which need not end with a line end. Raises as `feed` does."""
+        """Yield the last document, which needs no line break at its end. Raises as `feed` does."""
         yield from self.feed(b"\n")
         if self._lines:
-            raise self._broke_off()
+            raise self._incomplete_error()
 
     def _add_line(self, line: bytes) -> bytes | None:
-        """One more line; returns the document that it ends."""
+        """Add a line; returns the document that it completes, or None."""
         if not line.strip():
             if self._lines:
-                # A sign of life inside a document: its rest will not come, and waiting for it would
-                # leave unread all that comes after it.
-                raise self._broke_off()
+                # A sign of life inside a document: its rest will not arrive, and waiting for it
+                # would leave the documents after it unread.
+                raise self._incomplete_error()
             return None
         self._lines.append(line)
         self._size += len(line)
         without_strings = _STRING.sub(b"", line)
         if b'"' in without_strings:
-            raise BrokenDocumentError(f"a string without end: {line[:SHOWN_BYTES]!r}")
-        self._open_brackets += _opened(without_strings)
+            raise BrokenDocumentError(f"a string is not terminated: {line[:SHOWN_BYTES]!r}")
+        self._open_brackets += _net_open_brackets(without_strings)
         if self._open_brackets > 0:
             return None
         document = b"\n".join(self._lines)
         self._lines, self._size, self._open_brackets = [], 0, 0
         return document
 
-    def _broke_off(self) -> BrokenDocumentError:
-        return BrokenDocumentError(f"a document broke off: {self.rest[:SHOWN_BYTES]!r}")
+    def _incomplete_error(self) -> BrokenDocumentError:
+        return BrokenDocumentError(f"a document is incomplete: {self.rest[:SHOWN_BYTES]!r}")
 
 
-def _opened(line: bytes) -> int:
-    """Brackets that a line without strings opens, less those that it closes."""
+def _net_open_brackets(line: bytes) -> int:
+    """Return the number of opening minus closing brackets in a line without its strings."""
     opening = line.count(b"{") + line.count(b"[")
     return opening - line.count(b"}") - line.count(b"]")
--- a/quillroad/discovery/partial_line_recovery.py
+++ b/quillroad/discovery/partial_line_recovery.py
@@ -1,9 +1,9 @@
-"""What a broken document of the endpoint list still tells. No I/O.
+"""Recovery of drains from a broken document of the endpoint list. No I/O.
 
-A document that broke off or cannot be read whole is not believed as a list. But what it had told by
-then counts as notified: a host that it says drains or is gone must get nothing new, whatever became
-of the rest. A host of which only the id can be read has changed, and nobody knows how: until the
-next list it gets nothing new either.
+A document that is incomplete or cannot be read as a whole is not used as a list. But the changes in
+its readable part count as notified: a host that it reports as draining or removed must get no new
+requests. A host of which only the id can be read has changed in an unknown way, so it gets no new
+requests either until the next list.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 import re
 from typing import Any, NamedTuple
 
-LONGEST_BYTES = 256 * 1024  # looked at: a list of 1,000 hosts
-MOST_UNREADABLE = 64  # places where no entry could be read, before the search ends
-NOT_FOUND = -1  # of `str.find`
+MAX_SCANNED_BYTES = 256 * 1024  # of the document's start are scanned: a list of 1,000 hosts
+MAX_UNREADABLE_ENTRIES = 64  # positions without a readable entry after which the scan ends
+NOT_FOUND = -1  # result of `str.find`
 
 _decode = json.JSONDecoder().raw_decode
 _ID = re.compile(r'"instanceId"\s*:\s*"([^"\\{}]+)"')
 _IS_UP = re.compile(r'"lifecycle"\s*:\s*"up"')
 
 
-class _Found(NamedTuple):
-    """What stands at one brace: the id of a host that leaves, or none; and where it ends."""
+class _ScannedEntry(NamedTuple):
+    """The entry at an opening brace: the id of a host that leaves, or None, and the entry's end."""
 
     name: str | None
     end: int
@@ -30,31 +30,31 @@
 
 
 def draining_ids(document: bytes) -> list[str]:
-    """Ids of the hosts that a broken document says drain or are gone.
+    """Return the ids of hosts that a broken document reports as draining or removed.
 
-    Also those of which it may have been about to say so. They come in the document's order.
+    Hosts whose entry breaks off before their state are included. The order is the document's.
     """
-    text = document[:LONGEST_BYTES].decode("utf-8", "replace")
+    text = document[:MAX_SCANNED_BYTES].decode("utf-8", "replace")
     position = text.find('"instances"')
     if position != NOT_FOUND:
         position = text.find("{", position)
     names: list[str] = []
     unreadable = 0
-    while position != NOT_FOUND and unreadable < MOST_UNREADABLE:
-        found = _entry_at(text, position)
-        unreadable += not found.readable
-        if found.name is not None:
-            names.append(found.name)
-        position = text.find("{", found.end)
+    while position != NOT_FOUND and unreadable < MAX_UNREADABLE_ENTRIES:
+        scanned = _entry_at(text, position)
+        unreadable += not scanned.readable
+        if scanned.name is not None:
+            names.append(scanned.name)
+        position = text.find("{", scanned.end)
     return names
 
 
-def _entry_at(text: str, position: int) -> _Found:
+def _entry_at(text: str, position: int) -> _ScannedEntry:
     try:
         entry, end = _decode(text, position)
     except (ValueError, RecursionError):
         return _unreadable_entry_at(text, position)
-    return _Found(_leaving_id(entry), end, readable=True)
+    return _ScannedEntry(_leaving_id(entry), end, readable=True)
 
 
 def _leaving_id(entry: Any) -> str | None:
@@ -63,11 +63,11 @@
     return name if leaves and isinstance(name, str) else None
 
 
-def _unreadable_entry_at(text: str, position: int) -> _Found:
-    """Past what cannot be read, the next entry may be whole."""
+def _unreadable_entry_at(text: str, position: int) -> _ScannedEntry:
+    """Return the id in an unreadable entry; the scan goes on after its brace."""
     end = position + 1
     following = text.find("{", end)
     part = text[position : following if following != NOT_FOUND else len(text)]
     named = _ID.search(part)
     name = named[1] if named and not _IS_UP.search(part) else None
-    return _Found(name, end, readable=False)
+    return _ScannedEntry(name, end, readable=False)
--- a/quillroad/discovery/platform.py
+++ b/quillroad/discovery/platform.py
@@ -1,8 +1,8 @@
-"""The platform's discovery service: watches the endpoint list over HTTP.
+"""Source for the platform's discovery service, which watches the endpoint list over HTTP.
 
-The last list stays in use whatever happens to the watch (static stability): a fleet that runs is
-not given up because nobody tells of it. A watch that broke, fell silent or made no sense is begun
-again from the last generation understood.
+The last list stays in use even if the watch fails (static stability), because a discovery outage
+says nothing about the hosts. A watch that breaks off, falls silent or sends malformed data is
+restarted from the last generation that was read.
 """
 
 from __future__ import annotations
@@ -24,46 +24,46 @@
 
 log = logging.getLogger("quillroad.discovery.platform")
 
-SILENT = "silent"
-# After a timeout, for bytes that already lie in the kernel: timers run before sockets are read.
+SILENT = "no data before the timeout"
+# After a timeout, for bytes already in the socket buffer: timers run before sockets are read.
 LATE_READ_S = 0.05
 CONNECT_TIMEOUT_S = 1.0
-LIST_LIMIT_BYTES = 4 * 1024 * 1024  # of one document: a list of 10,000 hosts has about 2 MB
+LIST_LIMIT_BYTES = 4 * 1024 * 1024  # of one document: a list of 10,000 hosts is about 2 MB
 READ_BYTES = 65536
 SHOWN_CHARACTERS = 2000  # of a list, in the log
 
 
-class _Reader(asyncio.StreamReader):
-    """Gives what came before a reset, too.
+class _LossTolerantReader(asyncio.StreamReader):
+    """A stream reader that also returns the bytes received before a connection reset.
 
-    It counts as notified, and the library's reader drops it.
+    Their changes count as notified, but asyncio's reader discards them.
     """
 
     def set_exception(self, exc: BaseException) -> None:
-        """Take the loss of the connection for the end of what came."""
+        """Treat a lost connection as the end of the stream."""
         self.feed_eof()
 
 
 async def _connect(address: Address) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     loop = asyncio.get_running_loop()
-    reader = _Reader(loop=loop)
+    reader = _LossTolerantReader(loop=loop)
     protocol = asyncio.StreamReaderProtocol(reader, loop=loop)
     transport, _ = await loop.create_connection(lambda: protocol, *address)
     return reader, asyncio.StreamWriter(transport, protocol, reader, loop)
 
 
-class _Answer:
-    """One answer as the HTTP parser reports it."""
+class _Response:
+    """State of one HTTP response, filled in by callbacks of the HTTP parser."""
 
     def __init__(self) -> None:
-        self.status = 0  # 0: the head has not come yet
+        self.status = 0  # 0: the head has not arrived yet
         self.ended = False
-        self.body = b""  # that was not cut into documents yet
+        self.body = b""  # bytes not yet split into documents
         self.documents = JsonDocumentStream(LIST_LIMIT_BYTES)
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> bytes:
-        """Parse `data`; returns the bytes of the body in it."""
+        """Parse `data` and return its body bytes; `MalformedListError` for a status but 200."""
         self._parser.feed_data(data)
         if self.status not in (0, 200):
             raise MalformedListError(f"status {self.status}")
@@ -72,29 +72,28 @@
 
     @property
     def unread(self) -> bytes:
-        """What came and is no whole document."""
+        """The received bytes that are not part of a complete document."""
         return self.documents.rest + self.body
 
     # Callbacks of the parser.
 
     def on_headers_complete(self) -> None:
-        """Note the status."""
+        """Store the status."""
         self.status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Keep the bytes of the body."""
+        """Buffer body bytes."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Note the end."""
+        """Record that the response is complete."""
         self.ended = True
 
 
 class PlatformSource:
-    """Watches the endpoint list, one watch after another.
+    """Source that watches the endpoint list, one watch after another.
 
-    `update` is called with each change. Raises `ConfigError` from `begin` where the known list of
-    the configuration is no list.
+    `update` is called with each change.
     """
 
     def __init__(self, config: Config, update: Update) -> None:
@@ -102,14 +101,12 @@
         self.address = config.discovery
         self._update = update
         self._endpoint_list = PlatformList(config.zones, config.machine_types)
-        self._answer = _Answer()
-        self._list_received = False  # by the last call
-        self._partly_received = (
-            False  # by the last call: a part of a list, or one that is malformed
-        )
+        self._answer = _Response()
+        self._list_received = False  # in the last call
+        self._partly_received = False  # in the last call: a part of a list, or a malformed one
         self._task: asyncio.Task[None] | None = None
         settings = config.settings
-        # Where lists are pushed, each gateway has an agent of its own and shares it with nobody.
+        # If lists are pushed, each gateway has an agent of its own.
         self._is_shared = settings.discovery_is_polled
         self._schedule = PollSchedule(
             settings.gateway_count if self._is_shared else 1,
@@ -120,12 +117,15 @@
         self._freshness = EndpointFreshness(monotonic(), has_own_agent=not self._is_shared)
 
     def set_gateway_count(self, gateway_index: int, gateway_count: int) -> None:
-        """So many gateways poll this service now, and which of them this is, from 0."""
+        """Set the number of gateways that poll this service, and this one's index, from 0."""
         if self._is_shared:
             self._schedule.set_gateway_count(gateway_index, gateway_count)
 
     def load_known_hosts(self, config: Config) -> None:
-        """Serve by the list as this gateway last had it until discovery's first answer."""
+        """Use the configuration's known list until discovery's first answer.
+
+        Raises `ConfigError` if it is malformed.
+        """
         if config.known_hosts:
             try:
                 self._apply(self._endpoint_list.read(config.known_hosts, UpdateKind.CACHED))
@@ -134,29 +134,29 @@
 
     @property
     def position(self) -> tuple[str, int]:
-        """The service's address and the newest generation; ("", 0) if it is another service's."""
+        """The service's address and the last generation; ("", 0) until a new service answers."""
         if self._endpoint_list.needs_full_list:
             return "", 0
         host, port = self.address
         return f"{host}:{port}", self._endpoint_list.generation
 
     def resume(self, position: int) -> None:
-        """Go on from this generation of the same service, whose list is in use already."""
+        """Continue from this generation of the same service, whose list is already in use."""
         if position > self._endpoint_list.generation and not self._endpoint_list.needs_full_list:
             self._endpoint_list.generation = position
             if self._task is not None:
                 self.stop()
-                self._start_watch(0.0)  # this concerns one gateway alone: no round of polls is due
+                self._start_watch(0.0)  # only this gateway polls: no round is needed
 
     def start(self) -> None:
-        """Begin to watch, when it is this gateway's part of the round."""
+        """Start the watch, in this gateway's slot of the round."""
         self._start_watch(self._schedule.start_s(self._freshness.left_s(monotonic())))
 
     def _start_watch(self, wait_s: float) -> None:
         self._task = asyncio.get_running_loop().create_task(self._watch_forever(wait_s))
 
     def stop(self) -> None:
-        """End the watch; nothing is reported after that."""
+        """Cancel the watch; no change is reported after that."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -164,10 +164,10 @@
     def switch_to(self, config: Config) -> None:
         """Watch another discovery service; the list stays in use until its first answer.
 
-        The old watch takes no further step, so that nothing left in its buffers can undo what the
-        new one tells. Generations of two services cannot be compared, so the new one is asked for
-        its whole list. (Changes since generation 0 are no substitute: they leave out what was there
-        at generation 0.)
+        The old watch is cancelled, so that bytes left in its buffers cannot undo changes from the
+        new one. Generations of two services cannot be compared, so the full list of the new service
+        is requested. (Changes since generation 0 would lack the hosts that were there at
+        generation 0.)
         """
         assert config.discovery is not None
         self.address = config.discovery
@@ -178,22 +178,23 @@
             self.start()
 
     async def _watch_forever(self, wait_s: float) -> None:
-        """One watch after another, each after the wait that the schedule gives."""
+        """Run one watch after another, each after the wait that the schedule gives."""
         while True:
             await asyncio.sleep(wait_s)
             self._list_received = self._partly_received = False
-            self._answer = _Answer()
+            self._answer = _Response()
             began = monotonic()
             reason = await self._watch_until_it_ends()
-            # Here, where a watch that was cancelled for another never comes.
+            # A watch that was cancelled in favour of another does not reach this line, so its
+            # unread bytes are not used.
             if self._answer.unread.strip():
                 self._partly_received = True
-                self._recover_drains(self._answer.unread)
+                self._apply_recovered_drains(self._answer.unread)
             wait_s = self._next_wait_s(began, reason)
-            log.warning("watch of hosts lost: %s; again in %.1f s", reason, wait_s)
+            log.warning("watch of the host list ended: %s; next watch in %.1f s", reason, wait_s)
 
     async def _watch_until_it_ends(self) -> str:
-        """Why it ended, as one plain line."""
+        """Run one watch; returns the reason for its end in one line."""
         try:
             await self._watch()
         except TimeoutError as error:
@@ -206,11 +207,11 @@
         ) as error:
             return str(error) or type(error).__name__
         except Exception:
-            # Without a watch a drain would go unheard while all else seems well: no fault may end
-            # it.
-            log.exception("the watch of hosts failed")
-            return "a fault of ours"
-        return "ended"
+            # An internal error must not end the watch: the gateway would miss drains without any
+            # other sign of a failure.
+            log.exception("internal error in the watch of the host list")
+            return "internal error"
+        return "the connection or the response ended"
 
     def _next_wait_s(self, began: float, reason: str) -> float:
         took_s = monotonic() - began
@@ -218,7 +219,7 @@
             self._schedule.succeeded(took_s)
         else:
             self._freshness.failed(began)
-        # Silence mostly concerns all gateways at once, an end mostly this one alone.
+        # Silence usually affects all gateways at once, the end of a watch only this one.
         ended_alone = self._list_received and reason != SILENT
         return self._schedule.wait_s(
             self._freshness.left_s(began + took_s),
@@ -227,19 +228,19 @@
         )
 
     async def _watch(self) -> None:
-        """One watch until its connection ends."""
+        """Request the full list if needed, then watch until the connection ends."""
         if self._endpoint_list.needs_full_list:
             await self._request("/discovery/hosts")
             if self._endpoint_list.needs_full_list:
-                raise MalformedListError("no list")
+                raise MalformedListError("the answer to the request for the full list has no list")
         await self._request(f"/discovery/hosts?watch=1&from={self._endpoint_list.generation}")
 
     async def _request(self, target: str) -> None:
-        """Take over each document of an answer as it comes."""
+        """Send a request and apply each document of the response as it arrives."""
         async with asyncio.timeout(min(CONNECT_TIMEOUT_S, self._freshness.first_byte_s())):
             reader, writer = await _connect(self.address)
         try:
-            answer = self._answer = _Answer()
+            answer = self._answer = _Response()
             host = f"{self.address[0]}:{self.address[1]}"
             writer.write(f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
             while not answer.ended:
@@ -249,15 +250,15 @@
                 if self._list_received:
                     self._freshness.heard(monotonic())
                 for document in answer.documents.feed(answer.feed(data)):
-                    self._take_document(document)
+                    self._apply_document(document)
             if answer.ended:
                 for document in answer.documents.finish():
-                    self._take_document(document)
+                    self._apply_document(document)
         finally:
             writer.close()
 
     async def _read(self, reader: asyncio.StreamReader) -> bytes:
-        """Some bytes; none at the end. Raises `TimeoutError`."""
+        """Return some bytes, or none at the end. Raises `TimeoutError` if none arrive in time."""
         timeout_s = SILENCE_S if self._list_received else self._freshness.first_byte_s()
         try:
             async with asyncio.timeout(timeout_s):
@@ -266,12 +267,12 @@
             async with asyncio.timeout(LATE_READ_S):
                 return await reader.read(READ_BYTES)
 
-    def _take_document(self, document: bytes) -> None:
+    def _apply_document(self, document: bytes) -> None:
         try:
             change = self._endpoint_list.read_document(document)
         except MalformedListError:
             self._partly_received = True
-            self._recover_drains(document)
+            self._apply_recovered_drains(document)
             raise
         self._apply(change)
         self._list_received = True
@@ -287,14 +288,14 @@
             "list %d (%s): %s",
             update.version,
             update.kind.name.lower(),
-            shown[:SHOWN_CHARACTERS] or "nothing",
+            shown[:SHOWN_CHARACTERS] or "no hosts",
         )
         self._update(*change)
 
-    def _recover_drains(self, document: bytes) -> None:
+    def _apply_recovered_drains(self, document: bytes) -> None:
         change = self._endpoint_list.recover_drains(document)
         if change is None:
             return
         shown = ", ".join(change.names[endpoint.id] for endpoint in change.update.endpoints)
-        log.warning("of a broken line: %s draining", shown[:SHOWN_CHARACTERS])
+        log.warning("from an incomplete or malformed list: %s draining", shown[:SHOWN_CHARACTERS])
         self._update(*change)
--- a/quillroad/discovery/platform_list.py
+++ b/quillroad/discovery/platform_list.py
@@ -1,7 +1,7 @@
-"""The platform's endpoint list: reads its documents and keeps the list as it stands. No I/O.
+"""The platform's endpoint list: decodes its documents and keeps the current list. No I/O.
 
-A document holds a generation and entries, either the whole list or what has changed. Of a document
-that cannot be read whole, only the drains are taken over (`partial_line_recovery`).
+A document holds a generation and entries, either of the full list or of the changes. From a
+document that cannot be read as a whole, only the drains are used (`partial_line_recovery`).
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 
 class MalformedListError(Exception):
-    """Discovery sent something that is not an endpoint list; the text is one plain line."""
+    """Discovery sent a document that is not an endpoint list; the message is a single line."""
 
 
 class ListChange(NamedTuple):
-    """What the engine takes: the update, and by endpoint id the names and the addresses.
+    """An update for the engine, with names and addresses by endpoint id.
 
     An endpoint that was removed has no address.
     """
@@ -48,35 +48,35 @@
 
 
 class PlatformList:
-    """The list as this gateway last had it.
+    """The last endpoint list of this gateway.
 
-    `zones` and `machine_types` are the names in the order of the settings; names that they do not
-    have become -1.
+    `zones` and `machine_types` are the names in the order of the settings; unknown names are mapped
+    to -1.
     """
 
     def __init__(self, zones: Sequence[str], machine_types: Sequence[str]) -> None:
-        self.generation = 0  # of the newest document that was read
-        self.needs_full_list = False  # the generation is another discovery service's
+        self.generation = 0  # of the last document that was applied
+        self.needs_full_list = False  # set while `generation` belongs to the previous service
         self._zones = {name: i for i, name in enumerate(zones)}
         self._machine_types = {name: i for i, name in enumerate(machine_types)}
         self._endpoints: dict[str, Endpoint] = {}
         self._addresses: dict[str, Address] = {}
 
     def read_document(self, document: bytes) -> ListChange:
-        """Take over one JSON document. Raises `MalformedListError`, and then changes nothing."""
+        """Apply a JSON document. Raises `MalformedListError` and then changes nothing."""
         try:
             data = json.loads(document)
         except ValueError:
             raise MalformedListError(f"not JSON: {document[:SHOWN_BYTES]!r}") from None
         if not isinstance(data, dict):
-            raise MalformedListError(f"no object: {document[:SHOWN_BYTES]!r}")
+            raise MalformedListError(f"not a JSON object: {document[:SHOWN_BYTES]!r}")
         is_full = data.get("reset") or self.needs_full_list
         change = self.read(data, UpdateKind.FULL if is_full else UpdateKind.INCREMENTAL)
         self.needs_full_list = False
         return change
 
     def read(self, data: Mapping[str, Any], kind: UpdateKind) -> ListChange:
-        """Take over a decoded document as an update of this kind. Raises `MalformedListError`."""
+        """Apply a decoded document as an update of this kind. Raises `MalformedListError`."""
         generation, raw_entries = data.get("generation"), data.get("instances")
         if type(generation) is not int or not isinstance(raw_entries, list):
             raise MalformedListError("generation or instances missing")
@@ -97,11 +97,11 @@
         )
 
     def recover_drains(self, document: bytes) -> ListChange | None:
-        """Take the drains out of a document that cannot be read whole; None where it tells none.
+        """Apply the drains of a document that cannot be read as a whole; None if it has none.
 
-        Without this, a watch line that breaks off after it has told of a drain leaves the host in
-        use until the next list. The hosts count as draining, not as removed, so that a later whole
-        document can say otherwise, and the generation stays where it is.
+        Otherwise, after a watch line that breaks off behind the entry of a draining host, the host
+        would stay in use until the next list. Removed hosts count as draining too, so that a later
+        complete document can correct that, and the generation does not change.
         """
         drained = {
             name: self._endpoints[name]._replace(status=EndpointStatus.DRAINING)
--- a/quillroad/discovery/reducer.py
+++ b/quillroad/discovery/reducer.py
@@ -1,7 +1,7 @@
-"""Turns what a source tells into an endpoint update, names and addresses. No I/O.
+"""Reduces a source's list to an endpoint update, names and addresses. No I/O.
 
-What this module decides: what counts as gone, as draining, as freshly started, and which of two
-entries at one address is believed. A list is believed as it is, an empty one too: it does not
+This module decides which instances count as removed, draining or freshly started, and which of two
+entries with the same address is used. Each list is applied as it is, even an empty one: it does not
 matter why a host is gone.
 """
 
@@ -17,29 +17,29 @@
 from quillroad.config import Address
 from quillroad.discovery.instance import Instance, InstanceStatus, Snapshot
 
-REMEMBERED = 4096  # ids that left, the latest of them: one that comes back has been here before
-ID_BYTES = 6  # of an endpoint's id: a JSON number, and collisions among 10,000 names at 2e-7
+MAX_REMEMBERED_IDS = 4096  # of the latest hosts that left, to recognise those that return
+ID_BYTES = 6  # of an endpoint id: fits a JSON number; 10,000 names collide with probability 2e-7
 
 
 def endpoint_id(name: str) -> int:
-    """The balancer's number for a host: the same at every gateway, after a restart too."""
+    """Return the endpoint id of a host: the same at every gateway and after a restart."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=ID_BYTES).digest())
 
 
 class ReducedList(NamedTuple):
-    """What the engine takes, with a plain line for each entry that was not believed."""
+    """Update, names and addresses for the engine, and a message for each ignored entry."""
 
     update: EndpointUpdate
     names: dict[int, str]
     addresses: dict[int, Address]
-    refused: tuple[str, ...]
+    ignored: tuple[str, ...]
 
 
 @dataclass(slots=True)
 class _Remembered:
-    """What is remembered of an id.
+    """Start time and last state of an id.
 
-    `was_out` says that it was told to be unhealthy or gone, by a source that was alive.
+    `was_out` tells that a list of the source had the instance as unhealthy or lacked it.
     """
 
     started_us: int
@@ -47,13 +47,13 @@
 
 
 class Reducer:
-    """One for each source. `zones` and `machine_types` are the names in the order of the settings.
+    """Reducer of one source's lists. `zones` and `machine_types` are in the order of the settings.
 
-    A source that does not tell of starts leaves a question when an instance comes back: did its
-    process restart? One that was told to be unhealthy or gone and is back may have, so it counts as
-    started at that moment and gets slow start: without this, a process that flaps is flooded each
-    time. One that was merely not heard of, because the source was away, keeps what is known of it.
-    A drain is no restart.
+    If the source does not report start times, it is unknown whether the process of a returning
+    instance restarted. An instance that a list had as unhealthy or lacked may have restarted, so it
+    counts as started on its return and gets slow start: otherwise a flapping process would be
+    flooded with requests each time. If only the source was unavailable, the instance keeps its
+    start time. A drain is no restart.
     """
 
     def __init__(self, zones: Sequence[str], machine_types: Sequence[str]) -> None:
@@ -65,25 +65,25 @@
     def reduce(
         self, snapshot: Snapshot, now_us: int, kind: UpdateKind = UpdateKind.FULL
     ) -> ReducedList:
-        """The whole list as it is now; `now_us` is Unix time in microseconds."""
-        believed, refused = self._believed(snapshot.instances)
+        """Reduce a full list; `now_us` is Unix time in microseconds."""
+        accepted, ignored = self._accepted_instances(snapshot.instances)
         endpoints: list[Endpoint] = []
         names: dict[int, str] = {}
         addresses: dict[int, Address] = {}
-        for instance in believed.values():
-            started_us = self._started_us(instance, snapshot.tells_starts, now_us)
+        for instance in accepted.values():
+            started_us = self._started_us(instance, snapshot.reports_start_times, now_us)
             if instance.status is InstanceStatus.UNHEALTHY:
-                continue  # removed: it gets nothing new, and what it has may still be answered
+                continue  # removed: it gets no new requests, but may still answer those in flight
             endpoint = self._endpoint(instance, started_us)
             names[endpoint.id], addresses[endpoint.id] = instance.id, instance.address
             endpoints.append(endpoint)
         for name, remembered in self._remembered.items():
-            if name not in believed:
+            if name not in accepted:
                 remembered.was_out = True
-        self._forget(believed)
+        self._forget_oldest(accepted)
         self._is_first_list = False
         update = EndpointUpdate(kind, tuple(endpoints), snapshot.version)
-        return ReducedList(update, names, addresses, tuple(refused))
+        return ReducedList(update, names, addresses, tuple(ignored))
 
     def _endpoint(self, instance: Instance, started_us: int) -> Endpoint:
         is_up = instance.status is InstanceStatus.UP
@@ -97,44 +97,46 @@
             started_us=started_us,
         )
 
-    def _believed(self, instances: Sequence[Instance]) -> tuple[dict[str, Instance], list[str]]:
-        """The instances that are believed, by id, and a line for each of the others.
+    def _accepted_instances(
+        self, instances: Sequence[Instance]
+    ) -> tuple[dict[str, Instance], list[str]]:
+        """Return the accepted instances by id, and a message for each ignored entry.
 
-        One entry an id and one id an address. Of two with one id the one in service counts, then
-        the first. Of two ids at one address the one known before counts, then the one in service,
-        then the first by name: sending to both would send one process twice as much as is meant for
-        it.
+        One entry per id and one id per address are accepted. Of entries with the same id the first
+        one in service counts, or else the first. Of ids at the same address the order is: in
+        service, known before, first by name. Using both would send one process twice its share of
+        requests.
         """
-        refused: list[str] = []
-        by_id = _one_entry_an_id(instances, refused)
+        ignored: list[str] = []
+        by_id = _one_entry_per_id(instances, ignored)
         by_address: dict[Address, Instance] = {}
         for instance in sorted(by_id.values(), key=self._rank):
             first = by_address.setdefault(instance.address, instance)
             if first is not instance and instance.status is not InstanceStatus.UNHEALTHY:
-                refused.append(f"{instance.id}: at the address of {first.id}")
+                ignored.append(f"{instance.id}: has the same address as {first.id}")
         chosen = {instance.id for instance in by_address.values()}
-        believed = {
+        accepted = {
             instance.id: instance
             for instance in by_id.values()
             if instance.id in chosen or instance.status is InstanceStatus.UNHEALTHY
         }
-        return believed, refused
+        return accepted, ignored
 
     def _rank(self, instance: Instance) -> tuple[bool, bool, str]:
         remembered = self._remembered.get(instance.id)
         is_new = remembered is None or remembered.was_out
         return instance.status is not InstanceStatus.UP, is_new, instance.id
 
-    def _started_us(self, instance: Instance, tells_starts: bool, now_us: int) -> int:
+    def _started_us(self, instance: Instance, reports_start_times: bool, now_us: int) -> int:
         remembered = self._remembered.get(instance.id)
         is_out = instance.status is InstanceStatus.UNHEALTHY
         if remembered is None:
-            # On the first list all that is there was there before: it is the gateway that starts.
-            is_start_known = bool(tells_starts or instance.started_us or self._is_first_list)
+            # Hosts on the first list were running before: the gateway has started, not they.
+            is_start_known = bool(reports_start_times or instance.started_us or self._is_first_list)
             started_us = instance.started_us if is_start_known else now_us
             self._remembered[instance.id] = _Remembered(started_us, is_out)
             return started_us
-        if tells_starts:
+        if reports_start_times:
             remembered.started_us = instance.started_us
         elif remembered.was_out and not is_out:
             remembered.started_us = max(now_us, instance.started_us)
@@ -144,10 +146,10 @@
         return remembered.started_us
 
     def start_times(self) -> dict[str, tuple[int, bool]]:
-        """What is remembered of each id.
+        """Return start time and last state of each id.
 
-        When it started (Unix time, microseconds; 0: long ago), and whether it was told to be
-        unhealthy or gone.
+        The start time is Unix time in microseconds (0: long ago); the flag tells that the instance
+        was unhealthy or missing in the last list.
         """
         return {
             name: (remembered.started_us, remembered.was_out)
@@ -155,10 +157,10 @@
         }
 
     def restore_start_times(self, starts: Mapping[str, tuple[int, bool]]) -> None:
-        """Go on with what another process remembered, in the form of `starts`.
+        """Adopt the start times of another process, in the form of `start_times`.
 
-        Of two starts of one id the later counts: a host that came back a moment before stays
-        warming up.
+        Of two start times of one id the later counts, so that a host that has just returned
+        continues to warm up.
         """
         for name, (started_us, was_out) in starts.items():
             remembered = self._remembered.get(name)
@@ -167,23 +169,23 @@
             else:
                 remembered.started_us = max(remembered.started_us, started_us)
 
-    def _forget(self, believed: Mapping[str, Instance]) -> None:
-        """Bound what is remembered of those that left, the earliest of them first."""
-        surplus = len(self._remembered) - len(believed) - REMEMBERED
+    def _forget_oldest(self, accepted: Mapping[str, Instance]) -> None:
+        """Forget the earliest seen of the ids that left, above `MAX_REMEMBERED_IDS`."""
+        surplus = len(self._remembered) - len(accepted) - MAX_REMEMBERED_IDS
         if surplus > 0:
-            gone = [name for name in self._remembered if name not in believed][:surplus]
+            gone = [name for name in self._remembered if name not in accepted][:surplus]
             for name in gone:
                 del self._remembered[name]
 
 
-def _one_entry_an_id(instances: Sequence[Instance], refused: list[str]) -> dict[str, Instance]:
+def _one_entry_per_id(instances: Sequence[Instance], ignored: list[str]) -> dict[str, Instance]:
     by_id: dict[str, Instance] = {}
     for instance in instances:
         other = by_id.get(instance.id)
         if other is None:
             by_id[instance.id] = instance
             continue
-        refused.append(f"{instance.id}: listed twice")
+        ignored.append(f"{instance.id}: listed twice")
         is_up = instance.status is InstanceStatus.UP
         if is_up and other.status is not InstanceStatus.UP:
             by_id[instance.id] = instance
--- a/quillroad/discovery/source.py
+++ b/quillroad/discovery/source.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of a source of hosts, and which source a configuration names."""
+"""Interface of host sources, and the choice of the source that a configuration names."""
 
 from __future__ import annotations
 
@@ -9,41 +9,45 @@
 
 
 class Source(Protocol):
-    """Tells of hosts from `start` to `stop`, and nothing after that.
+    """A source of hosts. It reports lists from `start` until `stop` and none after that.
 
-    The list that it told last stays in use whatever becomes of the source.
+    Its last list stays in use even if the source fails.
     """
 
     def load_known_hosts(self, config: Config) -> None:
-        """Tell what is known without asking anybody. Raises `ConfigError` where that is no list."""
+        """Report the hosts that the configuration itself lists.
+
+        Raises `ConfigError` if they are not a valid list.
+        """
 
     @property
     def position(self) -> tuple[str, int]:
-        """Whose list it tells, and how far that is; ("", 0) if lists cannot be compared."""
+        """The identity of the list and its version; ("", 0) if lists cannot be compared."""
 
     def resume(self, position: int) -> None:
-        """Go on from this position of the same source, whose list is in use already."""
+        """Continue from this position of the same source, whose list is already in use."""
 
     def start(self) -> None:
-        """Begin to tell of hosts."""
+        """Start to report hosts."""
 
     def stop(self) -> None:
-        """Tell nothing more."""
+        """Stop reporting."""
 
     def set_gateway_count(self, gateway_index: int, gateway_count: int) -> None:
-        """So many gateways share the source now, and which of them this is, from 0."""
+        """Set the number of gateways that share the source, and this one's index, from 0."""
 
     def switch_to(self, config: Config) -> None:
         """Use another configuration for the same kind of source.
 
-        What was told stays in use until the source tells more.
+        The last list stays in use until the source reports the next.
         """
 
 
 def open_source(config: Config, update: Update) -> tuple[Source, Feed | None]:
-    """The source that the configuration names, and the feed where lists go through the reducer.
+    """Return the source that the configuration names, and its feed.
 
-    Each source brings its own libraries: none but the one in use is imported.
+    The feed is None for the platform's source, whose lists bypass the reducer. Only the module of
+    the source in use is imported, because each source has dependencies of its own.
     """
     feed = Feed(config.zones, config.machine_types, update)
     if isinstance(config.hosts, StaticHosts):
--- a/quillroad/discovery/static.py
+++ b/quillroad/discovery/static.py
@@ -1,4 +1,4 @@
-"""Hosts that stand in the configuration: told at the start and at each reload."""
+"""Hosts listed in the configuration, reported at start and at each reload."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class StaticSource:
-    """What is listed is what there is; nothing is known of starts."""
+    """Source of the hosts listed in the configuration; their start times are unknown."""
 
     def __init__(self, listener: SourceListener) -> None:
         self._listener = listener
         self._version = 0
 
     def load_known_hosts(self, config: Config) -> None:
-        """Tell the hosts of the configuration."""
+        """Report the hosts of the configuration."""
         assert isinstance(config.hosts, StaticHosts)
         self._version += 1
         self._listener.on_state(SourceState(SourceHealth.FRESH, monotonic()))
@@ -32,23 +32,23 @@
 
     @property
     def position(self) -> tuple[str, int]:
-        """Versions of two processes cannot be compared."""
+        """Always ("", 0): versions of two processes cannot be compared."""
         return "", 0
 
     def resume(self, position: int) -> None:
-        """What stands in the file counts."""
+        """Do nothing: the list of the configuration file is used."""
 
     def start(self) -> None:
-        """Nothing to watch."""
+        """Do nothing: there is nothing to watch."""
 
     def stop(self) -> None:
-        """Nothing to end."""
+        """Do nothing: there is no watch to end."""
 
     def set_gateway_count(self, gateway_index: int, gateway_count: int) -> None:
-        """Nobody is polled."""
+        """Do nothing: no discovery service is polled."""
 
     def switch_to(self, config: Config) -> None:
-        """Tell the hosts of another configuration."""
+        """Report the hosts of another configuration."""
         self.load_known_hosts(config)
 
 
--- a/tests/discovery/test_consul.py
+++ b/tests/discovery/test_consul.py
@@ -26,7 +26,7 @@
 
 GRACE_S = 0.5  # rule 3
 QUICK = QueryPace(wait_s=0.2, grace_s=0.2)
-SOON = Limits(first_wait_s=0.02, most_wait_s=0.1, denied_wait_s=0.1)
+SOON = Limits(initial_wait_s=0.02, max_wait_s=0.1, denied_wait_s=0.1)
 
 
 def told(*agents: Agent, **changes: Any) -> HealthQuery:
--- a/tests/discovery/test_consul_rules.py
+++ b/tests/discovery/test_consul_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillroad.discovery.consul.agents import Agents, Limits, Verdict, judge
+from quillroad.discovery.consul.agents import Agents, Limits, Verdict, classify_answer
 from quillroad.discovery.consul.health import ConsulError, MetadataKeys, read_health
 from quillroad.discovery.consul.index import QueryIndex, QueryPace
 from quillroad.discovery.instance import InstanceStatus
@@ -136,7 +136,7 @@
     ],
 )
 def test_answers_are_judged(status: int, headers: dict[str, str], verdict: Verdict) -> None:
-    assert judge(status, headers, Limits())[0] is verdict
+    assert classify_answer(status, headers, Limits())[0] is verdict
 
 
 @given(
@@ -157,7 +157,7 @@
             assert agents.current == before
             continue
         wait_s = agents.failed(now)
-        assert 0.0 <= wait_s <= Limits().most_wait_s
+        assert 0.0 <= wait_s <= Limits().max_wait_s
         # The same again only where it is the first that may be asked, and after a wait.
         assert agents.current != before or wait_s > 0.0
         now += wait_s
--- a/tests/discovery/test_platform.py
+++ b/tests/discovery/test_platform.py
@@ -275,7 +275,7 @@
 
 @on_loop
 async def test_what_came_before_a_reset_is_taken() -> None:
-    reader = platform._Reader()
+    reader = platform._LossTolerantReader()
     reader.feed_data(b"a line\n")
     reader.set_exception(ConnectionResetError())
     assert await reader.read(100) == b"a line\n" and await reader.read(100) == b""
--- a/tests/discovery/test_poll_schedule.py
+++ b/tests/discovery/test_poll_schedule.py
@@ -23,12 +23,12 @@
     BROKEN_OFF_WAIT_S,
     CALLS_PER_S,
     FEW_GATEWAYS,
-    FIRST_WAIT_S,
-    LONGEST_AGENT_WAIT_S,
-    LONGEST_ROUND_S,
-    LONGEST_WAIT_S,
+    INITIAL_WAIT_S,
+    MAX_AGENT_WAIT_S,
+    MAX_ROUND_S,
+    MAX_WAIT_S,
+    MIN_ROUND_S,
     ROUND_S,
-    SHORTEST_ROUND_S,
     PollSchedule,
 )
 from testbed.service import END_S, Service, lists_after, most_calls
@@ -51,7 +51,7 @@
         for call in range(4):
             wait_s = pacing.wait_s(LEFT_S, took_s=took_s if call else 0.0)
             assert (
-                0.0 <= wait_s <= max(LONGEST_WAIT_S, min(ROUND_S, balancers / CALLS_PER_S))
+                0.0 <= wait_s <= max(MAX_WAIT_S, min(ROUND_S, balancers / CALLS_PER_S))
             )  # no longer than a round
             at += wait_s
             calls.append(at)
@@ -65,7 +65,9 @@
     for window_s in (2.0, 8.0):
         rate = max(CALLS_PER_S, balancers / ROUND_S)
         # Where one's round ends another's next may begin: twice the rate for a moment.
-        most = (2 * rate if balancers > FEW_GATEWAYS else balancers / FIRST_WAIT_S) * (window_s + 1)
+        most = (2 * rate if balancers > FEW_GATEWAYS else balancers / INITIAL_WAIT_S) * (
+            window_s + 1
+        )
         assert most_calls(calls, window_s) <= most
 
 
@@ -78,7 +80,7 @@
         service = Service(all_s / gateways, up_s=up_s)
         has = lists_after(gateways, service, seed, silent, start)
         assert max(has) - up_s <= GRACE_S
-        rate = gateways / SHORTEST_ROUND_S
+        rate = gateways / MIN_ROUND_S
         after = [
             at for at in service.calls if at > 1.0
         ]  # the first calls after an end come at once
@@ -173,8 +175,8 @@
 def test_a_gateway_with_an_agent_of_its_own_waits_for_nobody() -> None:
     pacing = PollSchedule(1, 0, random.Random(1).random, has_own_agent=True)
     assert pacing.start_s(LEFT_S) == 0.0
-    assert max(pacing.wait_s(LEFT_S, took_s=0.4) for _ in range(50)) <= LONGEST_AGENT_WAIT_S
-    assert max(pacing.wait_s(LEFT_S, answered=True) for _ in range(50)) <= LONGEST_AGENT_WAIT_S
+    assert max(pacing.wait_s(LEFT_S, took_s=0.4) for _ in range(50)) <= MAX_AGENT_WAIT_S
+    assert max(pacing.wait_s(LEFT_S, answered=True) for _ in range(50)) <= MAX_AGENT_WAIT_S
 
 
 @given(st.integers(4, 60), st.integers(0, 2**32))
@@ -193,18 +195,18 @@
     )
     alone = PollSchedule(200, 3, random.Random(seed).random)
     alone.set_gateway_count(0, 1)
-    assert alone.wait_s(LEFT_S) <= FIRST_WAIT_S
+    assert alone.wait_s(LEFT_S) <= INITIAL_WAIT_S
 
 
 def test_waits_that_have_grown_outlive_a_change_of_company() -> None:
     pacing = PollSchedule(2, 0, lambda: 0.5)
     grown = [pacing.wait_s(LEFT_S) for _ in range(6)][-1]
     pacing.set_gateway_count(1, 3)
-    assert pacing.wait_s(LEFT_S) >= grown > FIRST_WAIT_S
+    assert pacing.wait_s(LEFT_S) >= grown > INITIAL_WAIT_S
 
 
 def test_rounds_grow_only_where_calls_had_waited() -> None:
-    for took_s, most_s in ((0.01, ROUND_S), (2.0, LONGEST_ROUND_S)):
+    for took_s, most_s in ((0.01, ROUND_S), (2.0, MAX_ROUND_S)):
         pacing = PollSchedule(200, 100, random.Random(3).random)
         waits = [pacing.wait_s(LEFT_S, took_s=took_s) + took_s for _ in range(6)]
         assert 0.85 * most_s <= waits[-1] <= most_s
--- a/tests/discovery/test_reducer.py
+++ b/tests/discovery/test_reducer.py
@@ -14,7 +14,7 @@
     SourceHealth,
     SourceState,
 )
-from quillroad.discovery.reducer import REMEMBERED, Reducer, endpoint_id
+from quillroad.discovery.reducer import MAX_REMEMBERED_IDS, Reducer, endpoint_id
 
 S = 1_000_000  # a second in microseconds
 
@@ -77,7 +77,7 @@
     reducer = Reducer((), ())
     first = reducer.reduce(Snapshot((one("b", port=9), one("a", port=9))), 100 * S)
     assert list(first.names.values()) == ["a"]
-    assert len(first.refused) == 1
+    assert len(first.ignored) == 1
     # An address that moves to a new id: the old one gone, the new one cold.
     moved = reducer.reduce(Snapshot((one("c", port=9),)), 110 * S)
     assert [(moved.names[s.id], s.started_us) for s in moved.update.endpoints] == [("c", 110 * S)]
@@ -88,7 +88,7 @@
         Snapshot((one("a", InstanceStatus.UNHEALTHY), one("a"), one("a", port=7))), 100 * S
     )
     assert [s.status for s in reduced.update.endpoints] == [EndpointStatus.READY]
-    assert len(reduced.refused) == 2
+    assert len(reduced.ignored) == 2
 
 
 def test_names_become_the_settings_numbers() -> None:
@@ -104,7 +104,7 @@
     for turn in range(30):
         names = (Instance(f"{turn}-{i}", ("h", i + 1)) for i in range(400))
         reducer.reduce(Snapshot(tuple(names)), turn * S)
-    assert len(reducer._remembered) <= REMEMBERED + 400
+    assert len(reducer._remembered) <= MAX_REMEMBERED_IDS + 400
 
 
 FLIPS = st.lists(
--- a/tests/discovery/test_register.py
+++ b/tests/discovery/test_register.py
@@ -15,7 +15,12 @@
 
 from quillroad.config import Register, StaticHost, StaticHosts
 from quillroad.config.file import load_file
-from quillroad.discovery.consul.register import LEAVE_S, Entry, Registration, RegistrationState
+from quillroad.discovery.consul.register import (
+    DEREGISTER_TIMEOUT_S,
+    Entry,
+    Registration,
+    RegistrationState,
+)
 from quillroad.gateway import Gateway
 from testbed.consul import Agent, Catalogue
 from testbed.gateway import ROOT
@@ -84,7 +89,7 @@
     # Two words at once at the most: the second tells that the state has changed.
     assert all(later - early >= 0.2 for early, later in zip(asked, asked[3:], strict=False))
     machine.leave(now)
-    end = now + LEAVE_S + 1.0
+    end = now + DEREGISTER_TIMEOUT_S + 1.0
     while (wait_s := machine.next_s(now)) is not None:
         now += wait_s
         assert now <= end and said(machine) == "service/deregister"
