--- a/quillroad/discovery/consul/source.py
+++ b/quillroad/discovery/consul/source.py
@@ -33,7 +33,7 @@
 class UnusableAnswerError(Exception):
     """An agent gave no usable answer; the message is a single line.
 
-    `denied` tells that the token lacks permission.
+    `denied` is true if the token lacks permission.
     """
 
     def __init__(self, why: str, denied: bool = False) -> None:
--- a/quillroad/discovery/freshness.py
+++ b/quillroad/discovery/freshness.py
@@ -34,7 +34,7 @@
 class EndpointFreshness:
     """Time since which the endpoint list of one gateway may be out of date.
 
-    Times are seconds of a monotonic clock. `has_own_agent` tells that the list comes from an agent
+    Times are seconds of a monotonic clock. `has_own_agent` is true if the list comes from an agent
     on this machine that answers at once.
     """
 
--- a/quillroad/discovery/instance.py
+++ b/quillroad/discovery/instance.py
@@ -39,7 +39,7 @@
 class Snapshot:
     """The full list of instances.
 
-    `reports_start_times` tells that the source knows when processes start, so that no restart has
+    `reports_start_times` is true if the source knows when processes start, so that no restart has
     to be inferred from an instance that leaves and returns.
     """
 
--- a/quillroad/discovery/platform.py
+++ b/quillroad/discovery/platform.py
@@ -63,7 +63,10 @@
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> bytes:
-        """Parse `data` and return its body bytes; `MalformedListError` for a status but 200."""
+        """Parse `data` and return the body bytes in it.
+
+        Raises `MalformedListError` for any status other than 200.
+        """
         self._parser.feed_data(data)
         if self.status not in (0, 200):
             raise MalformedListError(f"status {self.status}")
--- a/quillroad/discovery/poll_schedule.py
+++ b/quillroad/discovery/poll_schedule.py
@@ -43,9 +43,9 @@
 class PollSchedule:
     """Schedule of one gateway's polls.
 
-    `gateway_count` gateways poll the same service (1 if each has an agent of its own, which
-    `has_own_agent` tells), and `gateway_index` is this one's index, from 0. `draw` returns a random
-    number from 0 to below 1.
+    `gateway_count` gateways poll the same service (1 if each has its own agent;
+    `has_own_agent` is true then), and `gateway_index` is this one's index, from 0. `draw` returns a
+    random number from 0 to below 1.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
     def wait_s(self, left_s: float, answered: bool = False, took_s: float = 0.0) -> float:
         """Return the seconds until the next call, which should begin within `left_s`.
 
-        `answered` tells that the call received its list or a part of it before it ended, so it did
+        `answered` means that the call received its list or a part of it before it ended, so it did
         not time out. It is repeated soon, because usually only this gateway lost its watch. The
         caller does not set it if the watch fell silent, because then all gateways usually poll at
         once, and their calls are rejected or answered late for many seconds. Otherwise the call
--- a/quillroad/discovery/reducer.py
+++ b/quillroad/discovery/reducer.py
@@ -39,7 +39,7 @@
 class _Remembered:
     """Start time and last state of an id.
 
-    `was_out` tells that a list of the source had the instance as unhealthy or lacked it.
+    `was_out` is true if the last list had the instance as unhealthy or lacked it.
     """
 
     started_us: int
@@ -148,7 +148,7 @@
     def start_times(self) -> dict[str, tuple[int, bool]]:
         """Return start time and last state of each id.
 
-        The start time is Unix time in microseconds (0: long ago); the flag tells that the instance
+        The start time is Unix time in microseconds (0: long ago); the flag is true if the instance
         was unhealthy or missing in the last list.
         """
         return {
--- a/tests/discovery/test_consul_rules.py
+++ b/tests/discovery/test_consul_rules.py
@@ -1,4 +1,4 @@
-"""Consul's rules without I/O: indexes, entries, agents."""
+"""Tests of the Consul modules without I/O: query indexes, health entries, agent rotation."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from testbed.consul import Registered
 
 
-def test_indexes_follow_the_published_rules() -> None:
+def test_query_index_follows_consuls_documented_rules() -> None:
     index = QueryIndex(QueryPace())
     assert index.silence_s() == QueryPace().grace_s  # the first query does not block
     assert index.update("17") == ""
@@ -26,22 +26,22 @@
     assert "went back from 17 to 5" in index.update("5")
     assert index.value == 0
     assert index.update("0")
-    assert index.value == 1  # never below 1: 0 would not block, and spin
-    for odd in (None, "", "-3", "x", "9" * 30, "\uff11"):
-        assert index.update(odd)
+    assert index.value == 1  # not 0: such queries do not block, so they would loop
+    for invalid in (None, "", "-3", "x", "9" * 30, "\uff11"):
+        assert index.update(invalid)
         assert index.value == 0
 
 
 @given(st.lists(st.floats(0.0, 0.2), max_size=200))
-def test_the_rate_of_asking_is_bounded(gaps: list[float]) -> None:
+def test_query_rate_is_limited(gaps: list[float]) -> None:
     pace = QueryPace(burst=5, rate=10.0)
-    index, now, asked = QueryIndex(pace), 100.0, []
+    index, now, queried_at = QueryIndex(pace), 100.0, []
     for gap in gaps:
         now += gap
         now += index.delay_s(now)
-        asked.append(now)
-    for i, first in enumerate(asked):
-        within = [at for at in asked[i:] if at <= first + 1.0]
+        queried_at.append(now)
+    for i, first in enumerate(queried_at):
+        within = [at for at in queried_at[i:] if at <= first + 1.0]
         assert len(within) <= pace.burst + pace.rate + 1
 
 
@@ -49,8 +49,8 @@
     return Registered("node-1", "web-1", "10.0.0.1", 8000, **changes).entry()
 
 
-def read(*entries: Any, mapping: MetadataKeys | None = None) -> Any:
-    return read_health(json.dumps(entries).encode(), mapping or MetadataKeys())
+def read(*entries: Any, keys: MetadataKeys | None = None) -> Any:
+    return read_health(json.dumps(entries).encode(), keys or MetadataKeys())
 
 
 @pytest.mark.parametrize(
@@ -65,7 +65,7 @@
         ({"maintenance": "service", "status": "critical"}, InstanceStatus.DRAINING, 10.0),
     ],
 )
-def test_checks_make_the_status(
+def test_checks_determine_status_and_weight(
     changes: dict[str, Any], status: InstanceStatus, weight: float
 ) -> None:
     ((instance,), unread) = read(entry(weights=(10, 2), **changes))
@@ -74,27 +74,27 @@
     assert instance.address == ("10.0.0.1", 8000)
 
 
-def test_a_weight_of_nothing_is_a_drain() -> None:
+def test_zero_weight_counts_as_draining() -> None:
     ((instance,), _) = read(entry(weights=(0, 0)))
     assert instance.status is InstanceStatus.DRAINING
 
 
-def test_addresses_and_meta() -> None:
-    told = entry(
+def test_address_and_metadata_are_read() -> None:
+    health_entry = entry(
         service_address=False,
         meta={"zone": "z1", "machine-type": "big", "cell": "4", "started-at-ms": "1700000000000"},
     )
-    ((instance,), _) = read(told)
-    assert instance.address == ("10.0.0.1", 8000)  # the node's
+    ((instance,), _) = read(health_entry)
+    assert instance.address == ("10.0.0.1", 8000)  # of the node
     assert (instance.zone, instance.machine_type, instance.cell) == ("z1", "big", 4)
     assert instance.started_us == 1_700_000_000_000_000
-    told["Service"]["TaggedAddresses"] = {"wan": {"address": "192.0.2.1", "port": 9000}}
-    ((instance,), _) = read(told, mapping=MetadataKeys(tagged_address="wan"))
+    health_entry["Service"]["TaggedAddresses"] = {"wan": {"address": "192.0.2.1", "port": 9000}}
+    ((instance,), _) = read(health_entry, keys=MetadataKeys(tagged_address="wan"))
     assert instance.address == ("192.0.2.1", 9000)
 
 
-def test_an_entry_that_cannot_be_read_costs_itself() -> None:
-    bad = [
+def test_unreadable_entry_is_skipped_alone() -> None:
+    unreadable = [
         {},
         7,
         {"Node": {"Node": "n"}},
@@ -103,19 +103,19 @@
         entry(meta={"cell": "many"}),
         entry() | {"Checks": 3},
     ]
-    reading = read(*bad, entry())
+    reading = read(*unreadable, entry())
     assert [instance.id for instance in reading.instances] == ["node-1/web-1"]
-    assert len(reading.unread) == len(bad)
+    assert len(reading.unread) == len(unreadable)
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b"null", b"[", b"No cluster leader", b"\xff\xfe"])
-def test_what_is_no_list_is_told_so(body: bytes) -> None:
+def test_body_that_is_not_a_list_raises_consul_error(body: bytes) -> None:
     with pytest.raises(ConsulError):
         read_health(body, MetadataKeys())
 
 
 @given(st.binary(max_size=200))
-def test_no_body_brings_the_reader_down(body: bytes) -> None:
+def test_arbitrary_body_raises_nothing_but_consul_error(body: bytes) -> None:
     with contextlib.suppress(ConsulError):
         read_health(body, MetadataKeys())
 
@@ -135,7 +135,9 @@
         (401, {}, Verdict.DENIED),
     ],
 )
-def test_answers_are_judged(status: int, headers: dict[str, str], verdict: Verdict) -> None:
+def test_answer_is_classified_by_status_and_headers(
+    status: int, headers: dict[str, str], verdict: Verdict
+) -> None:
     assert classify_answer(status, headers, Limits())[0] is verdict
 
 
@@ -144,25 +146,25 @@
     st.floats(0, 1, exclude_max=True),
     st.lists(st.tuples(st.booleans(), st.floats(0, 3))),
 )
-def test_agents_take_turns_and_waits_are_bounded(
+def test_failed_agent_is_replaced_and_waits_are_bounded(
     count: int, jitter: float, steps: list[tuple[bool, float]]
 ) -> None:
     agents = Agents([("h", i + 1) for i in range(count)], Limits(), jitter)
     now = 100.0
-    for worked, passed in steps:
-        now += passed
+    for succeeded, elapsed_s in steps:
+        now += elapsed_s
         before = agents.current
-        if worked:
+        if succeeded:
             agents.answered()
             assert agents.current == before
             continue
         wait_s = agents.failed(now)
         assert 0.0 <= wait_s <= Limits().max_wait_s
-        # The same again only where it is the first that may be asked, and after a wait.
+        # The same agent follows only if it may be queried first, and then after a wait.
         assert agents.current != before or wait_s > 0.0
         now += wait_s
 
 
-def test_a_denied_token_is_not_asked_with_in_a_loop() -> None:
+def test_denied_token_is_retried_after_a_wait() -> None:
     agents = Agents([("h", 1)], Limits(), 0.0)
     assert agents.failed(0.0, denied=True) >= Limits().denied_wait_s / 2
--- a/tests/discovery/test_json_stream.py
+++ b/tests/discovery/test_json_stream.py
@@ -1,4 +1,4 @@
-"""Documents cut out of a stream, however they are laid out and wherever it is cut."""
+"""Tests of splitting a byte stream into JSON documents, for any layout and any chunk bounds."""
 
 from __future__ import annotations
 
@@ -23,24 +23,26 @@
 INDENTS = st.lists(st.sampled_from([None, 0, 1, 2, 8]), min_size=1)
 
 
-def pieces(data: bytes, cuts: list[int]) -> list[bytes]:
-    at = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
-    return [data[start:end] for start, end in pairwise(at)]
+def split_at(data: bytes, cuts: list[int]) -> list[bytes]:
+    bounds = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
+    return [data[start:end] for start, end in pairwise(bounds)]
 
 
-def laid_out(objects: list[dict[str, Any]], indents: list[int | None], end: str) -> bytes:
-    texts = (json.dumps(one, indent=indents[i % len(indents)]) for i, one in enumerate(objects))
+def serialize(objects: list[dict[str, Any]], indents: list[int | None], end: str) -> bytes:
+    texts = (
+        json.dumps(document, indent=indents[i % len(indents)]) for i, document in enumerate(objects)
+    )
     return "".join(text.replace("\n", end) + end + end for text in texts).encode()
 
 
 @given(OBJECTS, INDENTS, st.sampled_from(["\n", "\r\n"]), CUTS)
-def test_every_layout_gives_the_same_documents(
+def test_documents_do_not_depend_on_layout_or_chunks(
     objects: list[dict[str, Any]], indents: list[int | None], end: str, cuts: list[int]
 ) -> None:
     documents = JsonDocumentStream(LIMIT)
     found = [
         json.loads(text)
-        for data in pieces(laid_out(objects, indents, end), cuts)
+        for data in split_at(serialize(objects, indents, end), cuts)
         for text in documents.feed(data)
     ]
     assert found == objects and not documents.rest.strip()
@@ -48,19 +50,19 @@
 
 
 @given(OBJECTS, st.sampled_from([None, 2]))
-def test_the_last_document_needs_no_end_of_line(
+def test_last_document_needs_no_line_break(
     objects: list[dict[str, Any]], indent: int | None
 ) -> None:
     documents = JsonDocumentStream(LIMIT)
-    data = laid_out(objects, [indent], "\n").rstrip()
+    data = serialize(objects, [indent], "\n").rstrip()
     assert [json.loads(text) for text in [*documents.feed(data), *documents.finish()]] == objects
 
 
 @pytest.mark.parametrize(
     "data", [b'{"a": "b\n', b'{\n "a": [\n\n', b'{"a":1}\n{"b\n', b"x" * (LIMIT + 1)]
 )
-def test_what_cannot_become_whole_is_noticed_at_once_and_kept(data: bytes) -> None:
-    """Not waited for: all that comes after it would go unread."""
+def test_document_that_cannot_be_completed_raises_at_once_and_stays_in_rest(data: bytes) -> None:
+    """Guards against waiting for its end, which would leave all later documents unread."""
     documents = JsonDocumentStream(LIMIT)
     found = []
     with pytest.raises(BrokenDocumentError):
@@ -70,7 +72,7 @@
     assert documents.rest.strip() and documents.rest.strip() in data
 
 
-def test_a_document_over_many_lines_has_a_limit() -> None:
+def test_document_of_many_lines_has_a_size_limit() -> None:
     documents = JsonDocumentStream(1000)
     with pytest.raises(BrokenDocumentError):
         for _ in range(200):
@@ -78,10 +80,10 @@
 
 
 @given(st.binary(max_size=300), CUTS)
-def test_noise_is_bounded_and_breaks_nothing_else(noise: bytes, cuts: list[int]) -> None:
+def test_arbitrary_bytes_raise_only_broken_document_errors(noise: bytes, cuts: list[int]) -> None:
     documents = JsonDocumentStream(LIMIT)
     try:
-        for data in pieces(noise, cuts):
+        for data in split_at(noise, cuts):
             list(documents.feed(data))
     except BrokenDocumentError:
         pass
--- a/tests/discovery/test_platform.py
+++ b/tests/discovery/test_platform.py
@@ -1,5 +1,5 @@
-"""The watch of the host list: whatever happens to it, the last list stands and a new watch
-begins.
+"""Tests of the platform source: if its watch fails, the last list stays in use and a new watch
+starts.
 """
 
 from __future__ import annotations
@@ -34,33 +34,33 @@
 )
 
 
-def end(d: FakeDiscovery) -> None:
-    d.watches[-1].close()
+def close_watch(fake: FakeDiscovery) -> None:
+    fake.watches[-1].close()
 
 
-def finish(d: FakeDiscovery) -> None:
-    d.watches[-1].write(b"0\r\n\r\n")
+def end_response(fake: FakeDiscovery) -> None:
+    fake.watches[-1].write(b"0\r\n\r\n")
 
 
-BROKEN: list[Callable[[FakeDiscovery], None]] = [
-    end,
-    finish,
-    lambda d: d.watches[-1].write(b"no chunk at all\r\n"),
-    lambda d: d.send(b"no JSON\n"),
-    lambda d: d.send(b"[1, 2]\n"),
-    lambda d: d.send(b'{"generation":9}\n'),
-    lambda d: d.send(b'{"generation":9,"reset":true,"instances":[{"instanceId":"s-9"}]}\n'),
-    lambda d: d.send(b'{"generation":9,"reset":true,"instances":[7]}\n'),
+WATCH_FAULTS: list[Callable[[FakeDiscovery], None]] = [
+    close_watch,
+    end_response,
+    lambda fake: fake.watches[-1].write(b"no chunk at all\r\n"),
+    lambda fake: fake.send(b"no JSON\n"),
+    lambda fake: fake.send(b"[1, 2]\n"),
+    lambda fake: fake.send(b'{"generation":9}\n'),
+    lambda fake: fake.send(b'{"generation":9,"reset":true,"instances":[{"instanceId":"s-9"}]}\n'),
+    lambda fake: fake.send(b'{"generation":9,"reset":true,"instances":[7]}\n'),
 ]
 
 
-@pytest.mark.parametrize("spoil", BROKEN)
+@pytest.mark.parametrize("break_watch", WATCH_FAULTS)
 @on_loop
-async def test_a_spoilt_watch_begins_again_and_the_list_stands(
-    spoil: Callable[[FakeDiscovery], None],
+async def test_broken_watch_restarts_and_the_list_stays_in_use(
+    break_watch: Callable[[FakeDiscovery], None],
 ) -> None:
     async with world(serve_ok) as w, w.client() as client:
-        spoil(w.discovery)
+        break_watch(w.discovery)
         assert (await w.discovery.asked.get()).endswith("from=1")
         assert (await client.ask()).status == 200
         new = await FakeHost("s-new").start()
@@ -69,8 +69,8 @@
 
 
 @on_loop
-async def test_a_silent_watch_begins_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An agent that is cut off says nothing, and a connection to it stays open for ever."""
+async def test_silent_watch_restarts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A connection to an unreachable agent stays open forever without any data."""
     monkeypatch.setattr(platform, "SILENCE_S", 0.2)
     async with world(serve_ok) as w, w.client() as client:
         await w.discovery.asked.get()
@@ -78,10 +78,10 @@
 
 
 @on_loop
-async def test_an_agent_that_swallowed_calls_is_heard_soon_after_its_return() -> None:
-    """herd+mass: what the agent has at its return counts as told at once. A call made while it
-    is silent is never answered, and a wait of 3 s for that was 3 s in which a host that had left
-    was sent to.
+async def test_agent_that_hung_is_polled_again_soon_after_its_return() -> None:
+    """Scenario herd+mass: an agent's list counts as notified as soon as it responds again. Calls
+    made while it hangs are never answered; with a timeout of 3 s for them, requests were sent
+    to a host that had left for 3 s.
     """
     async with world(serve_ok, serve_ok) as w, w.client() as client:
         w.discovery.silent = True
@@ -93,7 +93,7 @@
             True, w.hosts[0].entry(lifecycle="draining"), w.hosts[1].entry()
         )
         w.discovery.silent = False
-        async with asyncio.timeout(1.5):  # half of what one silent call took
+        async with asyncio.timeout(1.5):  # half the 3 s timeout of such a call
             await until(lambda: sum(host.ready for host in w.gateway.engine.hosts.values()) == 1)
         before = len(w.hosts[0].seen)
         assert (await client.ask()).status == 200
@@ -101,7 +101,7 @@
 
 
 @on_loop
-async def test_an_empty_line_is_a_sign_of_life() -> None:
+async def test_empty_line_keeps_the_watch_open() -> None:
     async with world(serve_ok) as w:
         w.discovery.send(b"\n")
         w.discovery.tell(w.hosts[0].entry(lifecycle="draining"))
@@ -110,7 +110,7 @@
 
 
 @on_loop
-async def test_a_line_may_come_in_pieces() -> None:
+async def test_line_received_in_chunks_is_read() -> None:
     async with world(serve_ok) as w:
         line = w.discovery.line(True, w.hosts[0].entry(lifecycle="draining"))
         for start in range(0, len(line), 7):
@@ -118,40 +118,40 @@
         await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
 
 
-def indented(discovery: FakeDiscovery, whole: bool, *entries: dict[str, Any]) -> bytes:
-    return json.dumps(json.loads(discovery.line(whole, *entries)), indent=2).encode() + b"\n"
+def indented_list(discovery: FakeDiscovery, is_full: bool, *entries: dict[str, Any]) -> bytes:
+    return json.dumps(json.loads(discovery.line(is_full, *entries)), indent=2).encode() + b"\n"
 
 
 @on_loop
-async def test_an_indented_list_is_heard_like_any_other() -> None:
-    """herd+brink: after SIGHUP the new discovery gave its whole list over many lines. Each line
-    for itself is no JSON: the gateway asked again and again, and of no drain it was told by then
-    it took any notice.
+async def test_indented_list_is_read() -> None:
+    """Scenario herd+brink: after SIGHUP the new discovery service sent its full list indented. No
+    single line of it is JSON: the gateway rejected it, polled again and again, and missed all
+    drains.
     """
     async with world(serve_ok, serve_ok) as w, w.client() as client:
-        leaves, stays = w.hosts
+        leaving, stays = w.hosts
         new = await FakeDiscovery().start()
         new.generation = 7
-        new.first = indented(new, True, leaves.entry(), stays.entry())
+        new.first = indented_list(new, True, leaving.entry(), stays.entry())
         w.gateway.source.switch_to(make_config(new.port))
         assert await new.asked.get() == "/discovery/hosts"
         assert (await new.asked.get()).endswith("from=7")
         new.generation = 8
-        new.send(indented(new, False, leaves.entry(lifecycle="draining")))
+        new.send(indented_list(new, False, leaving.entry(lifecycle="draining")))
         await until(lambda: sum(host.ready for host in w.gateway.engine.hosts.values()) == 1)
         new.send(b"\n")
-        before = len(leaves.seen)
+        before = len(leaving.seen)
         for _ in range(10):
             assert (await client.ask()).status == 200
-        assert len(leaves.seen) == before
+        assert len(leaving.seen) == before
         assert len(new.watches) == 1 and new.asked.empty()  # the one watch still runs
 
 
 @on_loop
-async def test_of_an_indented_list_that_breaks_off_the_leaving_hosts_get_nothing_new() -> None:
+async def test_draining_host_in_an_incomplete_indented_list_gets_no_requests() -> None:
     async with world(serve_ok, serve_ok) as w, w.client() as client:
-        line = indented(w.discovery, False, w.hosts[0].entry(lifecycle="draining"))
-        w.discovery.silent = True  # no whole list comes that could say otherwise
+        line = indented_list(w.discovery, False, w.hosts[0].entry(lifecycle="draining"))
+        w.discovery.silent = True  # no full list arrives that could correct it
         w.discovery.send(line[: line.rindex(b"}", 0, -2)])
         w.discovery.watches[-1].close()
         await until(lambda: sum(host.ready for host in w.gateway.engine.hosts.values()) == 1)
@@ -162,7 +162,7 @@
 
 
 @on_loop
-async def test_known_serves_until_discovery_answers() -> None:
+async def test_known_list_is_used_until_discovery_answers() -> None:
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     silent = await FakeHost("discovery", hang).start()
@@ -172,7 +172,7 @@
 
 
 @on_loop
-async def test_a_refusing_discovery_is_asked_again() -> None:
+async def test_discovery_that_answers_503_is_polled_again() -> None:
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     busy = await FakeHost("discovery", say(answer(b"", "503 Busy"))).start()
@@ -182,22 +182,22 @@
         assert (await client.ask()).status == 200
 
 
-def test_numbers_of_hosts_are_the_same_everywhere() -> None:
+def test_endpoint_id_depends_on_the_name_only() -> None:
     assert endpoint_id("s-5be2a07c") == endpoint_id("s-5be2a07c")
     assert endpoint_id("s-5be2a07c") != endpoint_id("s-5be2a07d")
 
 
-async def successor(w: World, *entries: dict[str, Any]) -> FakeDiscovery:
-    """Another discovery, whose generations begin anew, and a gateway told to watch it."""
+async def switch_to_new_discovery(w: World, *entries: dict[str, Any]) -> FakeDiscovery:
+    """Switch the gateway to another discovery service, whose generations start anew."""
     new = await FakeDiscovery(*entries).start()
     w.gateway.source.switch_to(make_config(new.port))
     return new
 
 
 @on_loop
-async def test_another_discovery_is_asked_for_its_whole_list() -> None:
-    """Its generations may be lower: `from=9` there would leave out what happened up to its
-    ninth, and `from=0` what was there before its first.
+async def test_new_discovery_is_asked_for_its_full_list() -> None:
+    """Its generations may be lower: `from=9` would miss its changes up to generation 9, and
+    `from=0` the hosts that were there before its first change.
     """
     async with world(serve_ok) as w, w.client() as client:
         watch = w.gateway.source
@@ -206,7 +206,9 @@
         w.discovery.tell(w.hosts[0].entry(weight=2.0))
         await until(lambda: watch._endpoint_list.generation == 9)
         other = await FakeHost("s-other").start()
-        new = await successor(w, w.hosts[0].entry(lifecycle="draining"), other.entry())
+        new = await switch_to_new_discovery(
+            w, w.hosts[0].entry(lifecycle="draining"), other.entry()
+        )
         assert await new.asked.get() == "/discovery/hosts"
         new.first = b"\n"
         assert (await new.asked.get()).endswith("from=1")
@@ -216,9 +218,9 @@
 
 
 @on_loop
-async def test_the_old_watch_cannot_undo_what_the_new_one_tells() -> None:
-    """A line that lies read but not taken at the move, and whatever the old discovery says after
-    it.
+async def test_replaced_watch_cannot_undo_changes_of_the_new_one() -> None:
+    """Neither a partial line received before the switch nor later data of the old discovery service
+    is used.
     """
     async with world(serve_ok) as w, w.client() as client:
         other = await FakeHost("s-other").start()
@@ -228,7 +230,7 @@
         assert isinstance(watch, PlatformSource)
         await until(lambda: bool(watch._answer.unread))
         w.discovery.tell(w.hosts[0].entry(lifecycle="removed"))
-        new = await successor(w, w.hosts[0].entry(), other.entry())
+        new = await switch_to_new_discovery(w, w.hosts[0].entry(), other.entry())
         await until(lambda: len(new.watches) == 1)
         assert await w.discovery.ended.get() == 0
         assert all(host.ready for host in w.gateway.engine.hosts.values())
@@ -236,28 +238,28 @@
 
 
 @on_loop
-async def test_the_list_stands_until_another_discovery_answers() -> None:
+async def test_list_stays_in_use_until_the_new_discovery_answers() -> None:
     async with world(serve_ok) as w, w.client() as client:
         assert (await client.ask()).status == 200
         silent = await FakeHost("discovery", hang).start()
         w.gateway.source.switch_to(make_config(silent.address[1]))
         await silent.came.get()
         assert (await client.ask()).status == 200
-        assert w.hosts[0].closed.empty()  # its connection stands too
+        assert w.hosts[0].closed.empty()  # its connection stays open too
 
 
 @pytest.mark.parametrize(
     "rest", ['{"instanceId":"s-9","host', '{"instanceId":"s-9"}]}\n', "\0,,]}\n", ""]
 )
 @on_loop
-async def test_what_a_broken_line_says_is_leaving_gets_nothing_new(rest: str) -> None:
-    """join+disco+huge: a list broke off after the entry of a host that drained, and a request
-    went there 0.85 s after it was told.
+async def test_draining_host_in_a_broken_line_gets_no_requests(rest: str) -> None:
+    """Scenario join+disco+huge: a list broke off after the entry of a draining host, and a request
+    was sent to that host 0.85 s after the notification.
     """
     async with world(serve_ok, serve_ok) as w, w.client() as client:
-        leaves = w.hosts[0].entry(lifecycle="draining")
-        line = json.dumps({"generation": 5, "reset": False, "instances": [leaves]})
-        w.discovery.silent = True  # no whole list comes meanwhile that could say otherwise
+        leaving = w.hosts[0].entry(lifecycle="draining")
+        line = json.dumps({"generation": 5, "reset": False, "instances": [leaving]})
+        w.discovery.silent = True  # no full list arrives meanwhile that could correct it
         w.discovery.send(line[: line.rindex("}]")].encode() + b"}," + rest.encode())
         w.discovery.watches[-1].close()
         await until(lambda: sum(host.ready for host in w.gateway.engine.hosts.values()) == 1)
@@ -265,7 +267,7 @@
         for _ in range(10):
             assert (await client.ask()).status == 200
         assert len(w.hosts[0].seen) == before
-        # The place in the list is not moved on, and a whole line can say otherwise.
+        # The generation has not changed, and a complete line can put the host in service again.
         assert (await w.discovery.asked.get()).endswith("from=1")
         w.discovery.silent = False
         await until(lambda: len(w.discovery.watches) == 2)
@@ -274,7 +276,7 @@
 
 
 @on_loop
-async def test_what_came_before_a_reset_is_taken() -> None:
+async def test_bytes_received_before_a_reset_are_read() -> None:
     reader = platform._LossTolerantReader()
     reader.feed_data(b"a line\n")
     reader.set_exception(ConnectionResetError())
@@ -285,16 +287,16 @@
 
 
 @given(st.binary(max_size=200), STATES, st.integers(0))
-def test_of_a_broken_line_only_whole_entries_count(
+def test_draining_ids_of_a_broken_line_come_from_entries_with_complete_ids(
     noise: bytes, states: list[str], cut: int
 ) -> None:
     entries = [{"instanceId": f"s-{i}", "lifecycle": state} for i, state in enumerate(states)]
     line = json.dumps({"generation": 1, "instances": entries}).encode()
-    told = [f"s-{i}" for i, state in enumerate(states) if state != "up"]
-    assert draining_ids(line) == told
+    leaving_ids = [f"s-{i}" for i, state in enumerate(states) if state != "up"]
+    assert draining_ids(line) == leaving_ids
     cut %= len(line) + 1
-    part = draining_ids(line[:cut])
-    # Whoever's id came whole, and who was not said to stay: wherever the line broke off.
+    found = draining_ids(line[:cut])
+    # Wherever the line is cut: all hosts whose id is complete and that are not reported as up.
     whole = [
         entry for entry in entries if line.find(entry["instanceId"].encode() + b'"') + 4 <= cut
     ]
@@ -303,15 +305,15 @@
         last["lifecycle"] == "up"
         and b'"up"' not in line[:cut].rpartition(last["instanceId"].encode())[2]
     ):
-        assert part.pop() == whole.pop()["instanceId"]
-    assert part == [entry["instanceId"] for entry in whole if entry["lifecycle"] != "up"]
+        assert found.pop() == whole.pop()["instanceId"]
+    assert found == [entry["instanceId"] for entry in whole if entry["lifecycle"] != "up"]
     draining_ids(noise)
-    spoilt = set(draining_ids(line[:30] + noise + line[30:]))
-    assert spoilt <= {entry["instanceId"] for entry in entries}
+    ids_with_noise = set(draining_ids(line[:30] + noise + line[30:]))
+    assert ids_with_noise <= {entry["instanceId"] for entry in entries}
 
 
 @pytest.mark.parametrize("rest", ['", "lifecycle": "dr', '"', '", "lifecycle": \0, "cell": 1}]}'])
-def test_a_host_of_which_only_the_id_came_gets_nothing_new(rest: str) -> None:
+def test_host_with_a_complete_id_but_no_state_counts_as_draining(rest: str) -> None:
     line = '{"generation": 5, "instances": [{"cell": 1, "instanceId": "s-7' + rest
     assert draining_ids(line.encode()) == ["s-7"]
     assert draining_ids(line.replace("instanceId", "instance").encode()) == []
--- a/tests/discovery/test_program.py
+++ b/tests/discovery/test_program.py
@@ -1,4 +1,4 @@
-"""The program by a file: static hosts, Consul, and a reload from one to the other under load."""
+"""Tests of the program with a configuration file: static hosts, Consul, and reloads under load."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 """
 
 
-def static(port: int, *hosts: FakeHost) -> str:
-    listed = "".join(
-        f'[[hosts.static]]\nid = "{h.name}"\naddress = "{h.address[0]}:{h.address[1]}"\n'
-        for h in hosts
+def static_config(port: int, *hosts: FakeHost) -> str:
+    entries = "".join(
+        f'[[hosts.static]]\nid = "{item.name}"\naddress = "{item.address[0]}:{item.address[1]}"\n'
+        for item in hosts
     )
-    return HEAD.format(port=port, source="static") + listed
+    return HEAD.format(port=port, source="static") + entries
 
 
-def by_consul(port: int, *agents: Agent) -> str:
+def consul_config(port: int, *agents: Agent) -> str:
     addresses = ", ".join(f'"127.0.0.1:{agent.port}"' for agent in agents)
-    told = f'[hosts.consul]\nagents = [{addresses}]\nservice = "{SERVICE}"\nwait = "200 ms"\n'
-    return HEAD.format(port=port, source="consul") + told
+    section = f'[hosts.consul]\nagents = [{addresses}]\nservice = "{SERVICE}"\nwait = "200 ms"\n'
+    return HEAD.format(port=port, source="consul") + section
 
 
 @asynccontextmanager
-async def program(path: Path, port: int) -> AsyncIterator[Process]:
+async def running_program(path: Path, port: int) -> AsyncIterator[Process]:
     environment = {k: v for k, v in os.environ.items() if not k.startswith(("GW_", "QUILLROAD_"))}
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -73,16 +73,16 @@
 
 
 @on_loop
-async def test_static_hosts_are_read_again_and_a_bad_file_leaves_the_old(tmp_path: Path) -> None:
+async def test_reload_applies_static_hosts_and_ignores_an_invalid_file(tmp_path: Path) -> None:
     first, second = await FakeHost("a", serve_ok).start(), await FakeHost("b", serve_ok).start()
     port, path = free_port(), tmp_path / "gateway.toml"
-    path.write_text(static(port, first))
-    async with program(path, port) as process, Client(port) as client:
+    path.write_text(static_config(port, first))
+    async with running_program(path, port) as process, Client(port) as client:
         assert (await client.ask()).status == 200
-        path.write_text(static(port, first).replace("9 s", "9 parsecs"))
+        path.write_text(static_config(port, first).replace("9 s", "9 parsecs"))
         process.send_signal(signal.SIGHUP)
         assert (await client.ask()).status == 200
-        path.write_text(static(port, second))
+        path.write_text(static_config(port, second))
         process.send_signal(signal.SIGHUP)
         while not second.seen:
             assert (await client.ask()).status == 200
@@ -94,9 +94,9 @@
 
 
 @on_loop
-async def test_a_reload_from_static_hosts_to_consul_under_load(tmp_path: Path) -> None:
-    """List, connections and open requests stay until Consul has told; the old source says
-    nothing more.
+async def test_reload_between_static_hosts_and_consul_under_load(tmp_path: Path) -> None:
+    """The list, connections and requests in flight stay until Consul has answered, and the replaced
+    source reports no further list.
     """
     hosts = [await FakeHost(name, serve_ok).start() for name in ("a", "b")]
     catalogue = Catalogue()
@@ -104,10 +104,10 @@
         catalogue.register(Registered("n", host.name, *host.address))
     agents = [await Agent(catalogue).start() for _ in range(2)]
     port, path = free_port(), tmp_path / "gateway.toml"
-    path.write_text(static(port, hosts[0]))
-    async with program(path, port) as process, Client(port) as client:
+    path.write_text(static_config(port, hosts[0]))
+    async with running_program(path, port) as process, Client(port) as client:
         assert (await client.ask()).status == 200
-        path.write_text(by_consul(port, *agents))
+        path.write_text(consul_config(port, *agents))
         process.send_signal(signal.SIGHUP)
         while not hosts[1].seen:
             assert (await client.ask()).status == 200
@@ -119,14 +119,14 @@
                 assert (await client.ask()).status == 200
             if len(hosts[1].seen) == seen:
                 break
-        path.write_text(static(port, hosts[1]))
+        path.write_text(static_config(port, hosts[1]))
         process.send_signal(signal.SIGHUP)
         seen = len(hosts[1].seen)
         while len(hosts[1].seen) == seen:
             assert (await client.ask()).status == 200
-        asked = [agent.asked for agent in agents]
+        query_counts = [agent.asked for agent in agents]
         catalogue.change("n", "a", status="warning")
         assert (await client.ask()).status == 200
-        assert [agent.asked for agent in agents] == asked
+        assert [agent.asked for agent in agents] == query_counts
     for agent in agents:
         agent.stop()
--- a/tests/discovery/test_reducer.py
+++ b/tests/discovery/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer and the merge of views: what counts as gone, draining, freshly started. No I/O."""
+"""Tests of the reducer and the merge of agents' lists: removed, draining, freshly started hosts."""
 
 from __future__ import annotations
 
@@ -16,145 +16,169 @@
 )
 from quillroad.discovery.reducer import MAX_REMEMBERED_IDS, Reducer, endpoint_id
 
-S = 1_000_000  # a second in microseconds
+US_PER_S = 1_000_000
 
 
-def one(
-    name: str, standing: InstanceStatus = InstanceStatus.UP, port: int = 0, **more: int
+def make_instance(
+    name: str, instance_status: InstanceStatus = InstanceStatus.UP, port: int = 0, **more: int
 ) -> Instance:
-    return Instance(name, ("127.0.0.1", port or 1000 + ord(name[-1])), standing, **more)  # type: ignore[arg-type]
+    return Instance(name, ("127.0.0.1", port or 1000 + ord(name[-1])), instance_status, **more)  # type: ignore[arg-type]
 
 
-def starts(
-    reducer: Reducer, now_s: int, *instances: Instance, tells: bool = False
+def start_times_s(
+    reducer: Reducer, now_s: int, *instances: Instance, reports_starts: bool = False
 ) -> dict[str, int]:
-    reduced = reducer.reduce(Snapshot(instances, 1, tells), now_s * S)
-    return {reduced.names[s.id]: (s.started_us or 0) // S for s in reduced.update.endpoints}
+    reduced = reducer.reduce(Snapshot(instances, 1, reports_starts), now_s * US_PER_S)
+    return {reduced.names[s.id]: (s.started_us or 0) // US_PER_S for s in reduced.update.endpoints}
 
 
-def test_a_host_that_was_told_out_comes_back_cold() -> None:
-    """Flapping passing, critical, passing: its process may have restarted, and must not be
-    flooded.
+def test_host_that_was_unhealthy_or_gone_returns_as_freshly_started() -> None:
+    """A process whose check flaps between passing and critical may have restarted each time.
+
+    Without slow start on each return it would be flooded with requests.
     """
     reducer = Reducer((), ())
-    assert starts(reducer, 100, one("a"), one("b")) == {"a": 0, "b": 0}
-    assert starts(reducer, 110, one("a"), one("b", InstanceStatus.UNHEALTHY)) == {"a": 0}
-    assert starts(reducer, 120, one("a"), one("b")) == {"a": 0, "b": 120}
-    assert starts(reducer, 130, one("a"), one("b")) == {"a": 0, "b": 120}
-    assert starts(reducer, 140, one("a")) == {"a": 0}  # deregistered
-    assert starts(reducer, 150, one("a"), one("b")) == {"a": 0, "b": 150}
+    assert start_times_s(reducer, 100, make_instance("a"), make_instance("b")) == {"a": 0, "b": 0}
+    assert start_times_s(
+        reducer, 110, make_instance("a"), make_instance("b", InstanceStatus.UNHEALTHY)
+    ) == {"a": 0}
+    assert start_times_s(reducer, 120, make_instance("a"), make_instance("b")) == {"a": 0, "b": 120}
+    assert start_times_s(reducer, 130, make_instance("a"), make_instance("b")) == {"a": 0, "b": 120}
+    assert start_times_s(reducer, 140, make_instance("a")) == {"a": 0}  # deregistered
+    assert start_times_s(reducer, 150, make_instance("a"), make_instance("b")) == {"a": 0, "b": 150}
 
 
-def test_a_drain_is_no_restart_and_a_new_host_is_cold() -> None:
+def test_drained_host_keeps_its_start_time_and_new_host_is_freshly_started() -> None:
     reducer = Reducer((), ())
-    starts(reducer, 100, one("a"))
-    starts(reducer, 110, one("a", InstanceStatus.DRAINING))
-    assert starts(reducer, 120, one("a"), one("n")) == {"a": 0, "n": 120}
+    start_times_s(reducer, 100, make_instance("a"))
+    start_times_s(reducer, 110, make_instance("a", InstanceStatus.DRAINING))
+    assert start_times_s(reducer, 120, make_instance("a"), make_instance("n")) == {"a": 0, "n": 120}
 
 
-def test_a_source_that_tells_starts_is_believed() -> None:
+def test_start_times_of_a_source_that_reports_them_are_used() -> None:
     reducer = Reducer((), ())
-    starts(reducer, 100, one("a", started_us=50 * S), tells=True)
-    starts(reducer, 110, tells=True)
-    assert starts(reducer, 120, one("a", started_us=50 * S), tells=True) == {"a": 50}
-    assert starts(reducer, 130, one("a", started_us=125 * S), tells=True) == {"a": 125}
+    start_times_s(reducer, 100, make_instance("a", started_us=50 * US_PER_S), reports_starts=True)
+    start_times_s(reducer, 110, reports_starts=True)
+    assert start_times_s(
+        reducer, 120, make_instance("a", started_us=50 * US_PER_S), reports_starts=True
+    ) == {"a": 50}
+    assert start_times_s(
+        reducer, 130, make_instance("a", started_us=125 * US_PER_S), reports_starts=True
+    ) == {"a": 125}
 
 
-def test_a_told_start_counts_where_the_source_tells_of_some_only() -> None:
+def test_reported_start_time_counts_if_the_source_reports_only_some() -> None:
     reducer = Reducer((), ())
-    starts(reducer, 100, one("a"))
-    assert starts(reducer, 110, one("a", started_us=105 * S)) == {"a": 105}
+    start_times_s(reducer, 100, make_instance("a"))
+    assert start_times_s(reducer, 110, make_instance("a", started_us=105 * US_PER_S)) == {"a": 105}
 
 
-def test_an_empty_list_is_obeyed() -> None:
+def test_empty_list_removes_all_hosts() -> None:
     reducer = Reducer((), ())
-    starts(reducer, 100, one("a"))
-    reduced = reducer.reduce(Snapshot((), 2), 110 * S)
+    start_times_s(reducer, 100, make_instance("a"))
+    reduced = reducer.reduce(Snapshot((), 2), 110 * US_PER_S)
     assert reduced.update.endpoints == ()
 
 
-def test_two_ids_at_one_address_get_the_work_of_one() -> None:
+def test_only_one_of_two_ids_at_one_address_is_used() -> None:
     reducer = Reducer((), ())
-    first = reducer.reduce(Snapshot((one("b", port=9), one("a", port=9))), 100 * S)
+    first = reducer.reduce(
+        Snapshot((make_instance("b", port=9), make_instance("a", port=9))), 100 * US_PER_S
+    )
     assert list(first.names.values()) == ["a"]
     assert len(first.ignored) == 1
-    # An address that moves to a new id: the old one gone, the new one cold.
-    moved = reducer.reduce(Snapshot((one("c", port=9),)), 110 * S)
-    assert [(moved.names[s.id], s.started_us) for s in moved.update.endpoints] == [("c", 110 * S)]
+    # The address gets a new id: the old id is removed, the new one is freshly started.
+    moved = reducer.reduce(Snapshot((make_instance("c", port=9),)), 110 * US_PER_S)
+    assert [(moved.names[s.id], s.started_us) for s in moved.update.endpoints] == [
+        ("c", 110 * US_PER_S)
+    ]
 
 
-def test_an_id_listed_twice_counts_once() -> None:
+def test_id_listed_twice_is_used_once() -> None:
     reduced = Reducer((), ()).reduce(
-        Snapshot((one("a", InstanceStatus.UNHEALTHY), one("a"), one("a", port=7))), 100 * S
+        Snapshot(
+            (
+                make_instance("a", InstanceStatus.UNHEALTHY),
+                make_instance("a"),
+                make_instance("a", port=7),
+            )
+        ),
+        100 * US_PER_S,
     )
     assert [s.status for s in reduced.update.endpoints] == [EndpointStatus.READY]
     assert len(reduced.ignored) == 2
 
 
-def test_names_become_the_settings_numbers() -> None:
-    told = Instance("a", ("h", 1), zone="north", machine_type="big", cell=3, weight=2.0)
-    reduced = Reducer(("south", "north"), ("big",)).reduce(Snapshot((told,)), 0)
-    (server,) = reduced.update.endpoints
-    assert (server.zone, server.machine_type, server.cell, server.weight) == (1, 0, 3, 2.0)
-    assert server.id == endpoint_id("a")
+def test_zone_and_machine_type_are_mapped_to_indexes_of_the_settings() -> None:
+    reported_instance = Instance(
+        "a", ("h", 1), zone="north", machine_type="big", cell=3, weight=2.0
+    )
+    reduced = Reducer(("south", "north"), ("big",)).reduce(Snapshot((reported_instance,)), 0)
+    (endpoint,) = reduced.update.endpoints
+    assert (endpoint.zone, endpoint.machine_type, endpoint.cell, endpoint.weight) == (1, 0, 3, 2.0)
+    assert endpoint.id == endpoint_id("a")
 
 
-def test_what_is_remembered_is_bounded() -> None:
+def test_number_of_remembered_ids_is_bounded() -> None:
     reducer = Reducer((), ())
     for turn in range(30):
         names = (Instance(f"{turn}-{i}", ("h", i + 1)) for i in range(400))
-        reducer.reduce(Snapshot(tuple(names)), turn * S)
+        reducer.reduce(Snapshot(tuple(names)), turn * US_PER_S)
     assert len(reducer._remembered) <= MAX_REMEMBERED_IDS + 400
 
 
-FLIPS = st.lists(
+STATUS_LISTS = st.lists(
     st.dictionaries(st.sampled_from("abcd"), st.sampled_from(InstanceStatus), max_size=4),
     min_size=1,
     max_size=30,
 )
 
 
-@given(FLIPS)
-def test_nothing_told_draining_or_gone_is_ready_and_what_was_out_comes_back_cold(
+@given(STATUS_LISTS)
+def test_only_hosts_in_service_are_ready_and_returning_ones_are_freshly_started(
     lists: list[dict[str, InstanceStatus]],
 ) -> None:
-    reducer, out = Reducer((), ()), set[str]()
-    for turn, told in enumerate(lists):
+    reducer, left_service = Reducer((), ()), set[str]()
+    for turn, statuses in enumerate(lists):
         now_s = 100 + turn
-        instances = tuple(one(name, standing) for name, standing in told.items())
-        reduced = reducer.reduce(Snapshot(instances, turn), now_s * S)
+        instances = tuple(
+            make_instance(name, instance_status) for name, instance_status in statuses.items()
+        )
+        reduced = reducer.reduce(Snapshot(instances, turn), now_s * US_PER_S)
         ready = {
             reduced.names[s.id]: s
             for s in reduced.update.endpoints
             if s.status is EndpointStatus.READY
         }
         assert set(ready) == {
-            name for name, standing in told.items() if standing is InstanceStatus.UP
+            name
+            for name, instance_status in statuses.items()
+            if instance_status is InstanceStatus.UP
         }
-        for name, server in ready.items():
-            assert (server.started_us == now_s * S) or name not in out
+        for name, endpoint in ready.items():
+            assert (endpoint.started_us == now_s * US_PER_S) or name not in left_service
         seen = set(reducer._remembered)
-        out = {
+        left_service = {
             name
             for name in seen
-            if told.get(name, InstanceStatus.UNHEALTHY) is InstanceStatus.UNHEALTHY
+            if statuses.get(name, InstanceStatus.UNHEALTHY) is InstanceStatus.UNHEALTHY
         }
 
 
-# Several agents.
+# Merge of several agents' lists.
 
 
-def test_the_more_careful_word_counts() -> None:
+def test_more_severe_status_counts() -> None:
     views = MergedViews()
-    both = (one("a"), one("b"))
+    both = (make_instance("a"), make_instance("b"))
     assert views.update(1, 0.0, both) == both
     assert views.update(2, 0.1, both) is None
-    drains = one("a", InstanceStatus.DRAINING)
-    assert views.update(1, 0.2, (drains, one("b"))) == (drains, one("b"))
-    assert views.update(2, 0.3, (drains,)) == (drains,)
+    draining = make_instance("a", InstanceStatus.DRAINING)
+    assert views.update(1, 0.2, (draining, make_instance("b"))) == (draining, make_instance("b"))
+    assert views.update(2, 0.3, (draining,)) == (draining,)
     assert views.failed(1, 0.4, "silent") is None
     assert views.state == SourceState(SourceHealth.FRESH, 0.0)
-    assert views.failed(2, 0.5, "silent") is None  # the last list stands
+    assert views.failed(2, 0.5, "silent") is None  # the last list stays in use
     assert views.state == SourceState(SourceHealth.STALE, 0.5, "silent")
     assert views.update(2, 0.6, both) == both
 
@@ -169,27 +193,31 @@
         max_size=40,
     )
 )
-def test_what_is_merged_is_in_service_only_by_everybodys_word(
+def test_merged_instance_is_in_service_only_if_all_agents_report_it(
     steps: list[tuple[int, bool, dict[str, InstanceStatus]]],
 ) -> None:
-    views, heard, merged = (
+    views, reported, merged = (
         MergedViews(),
         dict[int, dict[str, InstanceStatus]](),
         dict[str, InstanceStatus](),
     )
-    for now, (watch, fails, told) in enumerate(steps):
+    for now, (watch, fails, statuses) in enumerate(steps):
         if fails:
-            heard.pop(watch, None)
-            got = views.failed(watch, float(now), "why")
+            reported.pop(watch, None)
+            changed = views.failed(watch, float(now), "why")
         else:
-            heard[watch] = told
-            got = views.update(watch, float(now), tuple(one(name, s) for name, s in told.items()))
-        if got is not None:
-            merged = {instance.id: instance.status for instance in got}
-        if heard:
+            reported[watch] = statuses
+            changed = views.update(
+                watch, float(now), tuple(make_instance(name, s) for name, s in statuses.items())
+            )
+        if changed is not None:
+            merged = {instance.id: instance.status for instance in changed}
+        if reported:
             for name in "abc":
-                everybody = all(view.get(name) is InstanceStatus.UP for view in heard.values())
-                assert (merged.get(name) is InstanceStatus.UP) == everybody
+                all_report_up = all(
+                    view.get(name) is InstanceStatus.UP for view in reported.values()
+                )
+                assert (merged.get(name) is InstanceStatus.UP) == all_report_up
             assert views.state.health is SourceHealth.FRESH
         else:
             assert views.state.health is not SourceHealth.FRESH
--- a/tests/discovery/test_register.py
+++ b/tests/discovery/test_register.py
@@ -1,4 +1,4 @@
-"""The gateway's own entry in Consul: the machine alone, and a gateway beside the stand-in agent."""
+"""Tests of the gateway's own entry in Consul: the state machine, and a gateway with an agent."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 ENTRY = Entry("q-1", "q", "127.0.0.1", 8080, 15.0)
 
 
-def said(machine: Registration) -> str:
+def call_path(machine: Registration) -> str:
     return machine.call().target.partition("?")[0].rpartition("/")[0].removeprefix("/v1/agent/")
 
 
-def test_an_entry_from_its_beginning_to_its_end() -> None:
-    machine, now, told = Registration(ENTRY, 0.0), 0.0, []
+def test_entry_is_registered_updated_reregistered_and_deregistered() -> None:
+    machine, now, calls = Registration(ENTRY, 0.0), 0.0, []
     machine.serves(now, False)
     for at, status, ready in (
         (0.0, 200, False),
@@ -48,23 +48,23 @@
         if machine.next_s(now) == 0.0:
             call = machine.call()
             body = json.loads(call.body)
-            told.append((said(machine), body.get("Status") or body["Check"]["Status"]))
+            calls.append((call_path(machine), body.get("Status") or body["Check"]["Status"]))
             machine.answered(now, call, status)
     update = ("check/update", "passing")
-    assert told == [("service", "critical"), update, update, ("service", "passing")]
+    assert calls == [("service", "critical"), update, update, ("service", "passing")]
     machine.leave(now)
-    assert machine.next_s(now) == 0.0 and said(machine) == "service/deregister"
+    assert machine.next_s(now) == 0.0 and call_path(machine) == "service/deregister"
     assert (
         machine.answered(now, machine.call(), 200) == "deregistered" and machine.next_s(now) is None
     )
 
 
-def test_a_drain_while_the_first_word_is_on_its_way_takes_out_what_that_brought() -> None:
+def test_drain_during_the_first_call_deregisters_what_it_registered() -> None:
     machine = Registration(ENTRY, 0.0)
-    asked = machine.call()
+    pending_call = machine.call()
     machine.leave(0.1)
-    machine.answered(0.2, asked, 200)
-    assert machine.next_s(0.2) == 0.0 and said(machine) == "service/deregister"
+    machine.answered(0.2, pending_call, 200)
+    assert machine.next_s(0.2) == 0.0 and call_path(machine) == "service/deregister"
 
 
 @given(
@@ -73,10 +73,10 @@
     ),
     st.integers(0, 60),
 )
-def test_whatever_the_agent_answers_it_is_never_asked_in_a_storm_and_always_left(
+def test_call_rate_is_limited_and_deregistering_ends_for_any_answers(
     answers: list[tuple[float, int]], leave: int
 ) -> None:
-    machine, now, asked = Registration(ENTRY, 0.0), 0.0, []
+    machine, now, called_at = Registration(ENTRY, 0.0), 0.0, []
     for number, (extra, status) in enumerate(answers):
         if number == leave:
             break
@@ -84,24 +84,24 @@
         assert wait_s is not None and wait_s <= 8.0 + 1e-6
         now += wait_s + extra
         machine.serves(now, bool(number // 6 % 2))
-        asked.append(now)
+        called_at.append(now)
         machine.answered(now, machine.call(), status)
-    # Two words at once at the most: the second tells that the state has changed.
-    assert all(later - early >= 0.2 for early, later in zip(asked, asked[3:], strict=False))
+    # At most two calls in quick succession: the second reports a changed status.
+    assert all(later - early >= 0.2 for early, later in zip(called_at, called_at[3:], strict=False))
     machine.leave(now)
     end = now + DEREGISTER_TIMEOUT_S + 1.0
     while (wait_s := machine.next_s(now)) is not None:
         now += wait_s
-        assert now <= end and said(machine) == "service/deregister"
+        assert now <= end and call_path(machine) == "service/deregister"
         machine.answered(now, machine.call(), 0)
     assert machine.state is RegistrationState.GONE
 
 
-Scene = tuple[Catalogue, Agent, Gateway, Callable[[], str]]
+RegisteredGateway = tuple[Catalogue, Agent, Gateway, Callable[[], str]]
 
 
 @asynccontextmanager
-async def registered(ttl_s: float = 0.6) -> AsyncIterator[Scene]:
+async def registered_gateway(ttl_s: float = 0.6) -> AsyncIterator[RegisteredGateway]:
     catalogue = Catalogue()
     agent = await Agent(catalogue).start()
     config = replace(
@@ -115,7 +115,7 @@
 
     def status() -> str:
         return next(
-            (one.status for key, one in catalogue.instances.items() if key[0] == "own"), "none"
+            (entry.status for key, entry in catalogue.instances.items() if key[0] == "own"), "none"
         )
 
     try:
@@ -126,11 +126,11 @@
 
 
 @on_loop
-async def test_a_gateway_registers_keeps_its_check_and_leaves_as_it_drains() -> None:
-    async with registered() as (catalogue, agent, gateway, status):
+async def test_gateway_registers_updates_its_check_and_deregisters_on_drain() -> None:
+    async with registered_gateway() as (catalogue, agent, gateway, status):
         await until(lambda: status() == "passing")
-        words = len(agent.words)
-        await until(lambda: len(agent.words) >= words + 4)  # longer than the TTL
+        calls_before = len(agent.words)
+        await until(lambda: len(agent.words) >= calls_before + 4)  # longer than the TTL
         assert status() == "passing"
         await gateway.drain()
         assert status() == "none" and agent.words[-1].startswith("/v1/agent/service/deregister/q-")
@@ -138,12 +138,12 @@
 
 
 @on_loop
-async def test_an_agent_that_lost_the_entry_or_says_nothing_for_a_while() -> None:
-    async with registered() as (catalogue, agent, _gateway, status):
+async def test_gateway_registers_again_after_the_agent_lost_the_entry_or_hung() -> None:
+    async with registered_gateway() as (catalogue, agent, _gateway, status):
         await until(lambda: status() == "passing")
-        (one,) = agent.own
-        agent.forget(one)
-        catalogue.deregister("own", one)
+        (entry_id,) = agent.own
+        agent.forget(entry_id)
+        catalogue.deregister("own", entry_id)
         await until(lambda: status() == "passing")
         agent.fail("silent")
         await until(lambda: status() == "critical")  # by its TTL
@@ -153,7 +153,7 @@
         await until(lambda: status() == "critical")
 
 
-def test_the_file_tells_it_and_a_wrong_one_is_named(tmp_path: Path) -> None:
+def test_register_section_is_read_and_an_invalid_agent_is_named(tmp_path: Path) -> None:
     file, text = tmp_path / "q.toml", (ROOT / "deploy" / "quillroad.toml").read_text()
     part = text[text.index("# [register]") :]
     file.write_text(
--- a/tests/discovery/test_silence.py
+++ b/tests/discovery/test_silence.py
@@ -1,5 +1,6 @@
-"""Many processes whose watches fall silent in one moment: what they miss counts as told 6 s
-later.
+"""Test of many gateways whose watches fall silent at the same moment.
+
+Changes that they miss count as notified 6 s later.
 """
 
 from __future__ import annotations
@@ -23,19 +24,19 @@
     RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
 GATEWAYS, RATE, GRACE_S = 8, 12.0, 0.5 + 0.05
-ALL_S = 2.0  # in which the shared service takes one call from each
+ROUND_TIME_S = 2.0  # in which the shared service answers one call from each gateway
 
 
-@pytest.mark.parametrize("asked", [True, False])
+@pytest.mark.parametrize("is_shared", [True, False])
 @on_loop_within(60.0)
-async def test_a_drain_that_every_watch_missed_is_kept(tmp_path: Path, asked: bool) -> None:
-    """calm+brink: open watches fall silent and stay open, hosts begin to drain right after.
-    Asked at one service for all, or each at an agent that answers at once. With 3 s to notice
-    and rounds of 10 s half of a crowd heard too late.
+async def test_drain_that_all_watches_missed_is_honoured(tmp_path: Path, is_shared: bool) -> None:
+    """Scenario calm+brink: watches fall silent but stay open, and hosts start to drain right after.
+    The gateways poll one shared service, or each its own agent, which answers at once. With a
+    silence timeout of 3 s and rounds of 10 s, half of the gateways noticed the drains too late.
     """
     registry = (
-        partial(CrowdedDiscovery, work_s=ALL_S / GATEWAYS, wait_timeout_s=2.0)
-        if asked
+        partial(CrowdedDiscovery, work_s=ROUND_TIME_S / GATEWAYS, wait_timeout_s=2.0)
+        if is_shared
         else Discovery
     )
     environment = Environment(
@@ -45,40 +46,43 @@
         delay=0.01,
         gateways=GATEWAYS,
         registry=registry,
-        discovery="ask" if asked else "push",
+        discovery="ask" if is_shared else "push",
         guarantees={"drain_grace": 500_000, "ask_within": 10_000_000},
     )
     async with environment:
         loads = [environment.load(number) for number in range(GATEWAYS)]
         await until(lambda: environment.discovery.watching == GATEWAYS)
-        running = asyncio.gather(
+        load_task = asyncio.gather(
             *(load.open_loop(steady(RATE, NOTIFIED_AFTER_S + 1.5)) for load in loads)
         )
         await asyncio.sleep(0.5)
-        silent = time.monotonic()
+        silent_at = time.monotonic()
         environment.discovery.fall_silent()
-        leaves = environment.hosts[:2]
-        for host in leaves:
+        leaving = environment.hosts[:2]
+        for host in leaving:
             environment.discovery.tell(host.name, lifecycle="draining")
-        await running
+        await load_task
         for load in loads:
             await load.settle()
-        whole = total(
-            count_outcomes([r for load in loads for r in load.records], REQUEST_CLASSES).values()
+        totals = total(
+            count_outcomes(
+                [record for load in loads for record in load.records], REQUEST_CLASSES
+            ).values()
         )
-        assert whole.sent == whole.within_objective + whole.after_objective + whole.rejected
+        assert totals.sent == totals.within_objective + totals.after_objective + totals.rejected
         assert environment.violations(*loads) == []
-        for host in leaves:
-            assert len(host.receipts) > 20  # in use until then, by all of them
+        for host in leaving:
+            assert len(host.receipts) > 20  # in use by all gateways until then
             assert (
-                max(receipt.at for receipt in host.receipts) <= silent + NOTIFIED_AFTER_S + GRACE_S
+                max(receipt.at for receipt in host.receipts)
+                <= silent_at + NOTIFIED_AFTER_S + GRACE_S
             )
-        late = [
-            r
+        late_receipts = [
+            host_receipt
             for host in environment.hosts[2:]
-            for r in host.receipts
-            if r.at > silent + NOTIFIED_AFTER_S + GRACE_S
+            for host_receipt in host.receipts
+            if host_receipt.at > silent_at + NOTIFIED_AFTER_S + GRACE_S
         ]
-        assert {receipt.id.partition("-")[0] for receipt in late} == {
+        assert {receipt.id.partition("-")[0] for receipt in late_receipts} == {
             f"g{n}" for n in range(GATEWAYS)
         }
