--- a/quillroad/membership/core.py
+++ b/quillroad/membership/core.py
@@ -1,7 +1,8 @@
-"""One gateway's part in the protocol: SWIM (Das 2002) with Lifeguard (Dadgar 2018). Pure.
+"""The membership protocol of one gateway: SWIM (Das 2002) with Lifeguard (Dadgar 2018).
 
-Datagrams and the time go in; datagrams, changes of the view and the time of the next step come out.
-The work is done by one module for each concern; this one says which of them sees what.
+Does no I/O: the caller passes in datagrams and the time, sends the resulting datagrams, and reads
+the changes of the view and the time of the next tick. Each concern has a module of its own; this
+one connects them and dispatches datagrams and ticks.
 """
 
 from __future__ import annotations
@@ -40,11 +41,10 @@
 
 
 class Core:
-    """One run of a member.
+    """Protocol of one run of a member, from its start to its end.
 
-    `draw` returns a random number from 0 to below 1; `run_id` is 32 random bits, new with each
-    start. `outbox` and `changes` are for the caller to empty. All times are seconds of one clock
-    that never steps back.
+    `draw` returns a random number in [0, 1); `run_id` is 32 random bits, new with each start. The
+    caller has to empty `outbox` and `changes`. All times are seconds of a monotonic clock.
     """
 
     def __init__(
@@ -67,15 +67,15 @@
         self._duplicates = DuplicateIdentity(state, sender)
         self._receive_limits: dict[int, RateLimiter] = {}  # by member
         self._next_gossip_at = now + draw() * timing.gossip_interval_s
-        self._armed_for = now
+        self._next_tick_at = now
         state.table.merge(state.number, state.own_status)
         self._broadcaster.announce(state.number)
 
-    # What the caller reads.
+    # Read by the caller.
 
     @property
     def view(self) -> View:
-        """The present view; the same object until something changes."""
+        """The current view; the same object until something changes."""
         return self.state.view.snapshot(self.state.incarnation)
 
     @property
@@ -95,46 +95,46 @@
 
     @property
     def table(self) -> MemberTable:
-        """What is said of each member."""
+        """The merged status of each member."""
         return self.state.table
 
     @property
     def dropped(self) -> Counter[DropReason]:
-        """Datagrams, or parts of them, that were not taken, by reason."""
+        """Number of received datagrams, or parts of them, that were dropped, by reason."""
         return self.state.dropped
 
     @property
     def unsent(self) -> int:
-        """Datagrams beyond the send budget."""
+        """Number of datagrams not sent for lack of send budget."""
         return self._sender.unsent
 
     @property
     def outbox(self) -> list[Outgoing]:
-        """Datagrams to send."""
+        """Datagrams for the caller to send."""
         return self._sender.outbox
 
     @outbox.setter
     def outbox(self, outgoing: list[Outgoing]) -> None:
-        """Replace it, by an empty one once its datagrams are sent."""
+        """Replace the outbox, with an empty list once its datagrams are sent."""
         self._sender.outbox = outgoing
 
     @property
     def changes(self) -> list[Change]:
-        """Changes of the view, in order."""
+        """Changes of the view, in order of time."""
         return self.state.view.changes
 
     @changes.setter
     def changes(self, changes: list[Change]) -> None:
-        """Replace them, by none once they are read."""
+        """Replace the changes, with an empty list once they are read."""
         self.state.view.changes = changes
 
     def last_heard(self, number: int) -> float | None:
-        """Return when a member was last heard itself; None: never."""
+        """Return the time of the latest datagram from a member, or None if there was none."""
         return self.state.last_heard.get(number)
 
     @property
     def pending_entries(self) -> int:
-        """Entries of passing state: bounded, and none once nothing is going on."""
+        """Number of entries of temporary state, which is bounded and empties when all is idle."""
         return (
             len(self.state.suspicions)
             + len(self._indirect_probes)
@@ -142,18 +142,18 @@
             + len(self._detector)
         )
 
-    # The clock.
+    # Ticks.
 
     def arm(self, now: float) -> float:
-        """Return when `tick` is due next; to be asked for after each call that may change it.
+        """Return when `tick` is due next; to be called after each call that may change it.
 
-        A tick that comes later than that is taken for a sign of a slow process.
+        A tick that comes later than that counts as a sign of a slow process.
         """
-        if self.state.has_left:  # what was due before would be due at once, for ever
-            self._armed_for = now + self.state.timing.period_s
+        if self.state.has_left:  # steps that no longer run would stay due and cause a busy loop
+            self._next_tick_at = now + self.state.timing.period_s
         else:
-            self._armed_for = max(min(self._due_times(now)), now)
-        return self._armed_for
+            self._next_tick_at = max(min(self._due_times(now)), now)
+        return self._next_tick_at
 
     def _due_times(self, now: float) -> list[float]:
         times = [*self._detector.due_times(), self._rejoin.next_at]
@@ -171,8 +171,8 @@
         return bool(len(self.state.gossip_queue) or self.state.suspicions)
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
-        late_s = now - self._armed_for
+        """Run all steps that are due."""
+        late_s = now - self._next_tick_at
         if late_s > 0 and self.state.health.record_tick(late_s, now):
             self._resume(now)
         self.state.review_health(now)
@@ -198,9 +198,10 @@
             self._gossip.round(now)
 
     def _resume(self, now: float) -> None:
-        """This process stood still: answers may lie unread, and what it had to say is of the past.
+        """Drop probes and pending updates after this process was stopped.
 
-        Without this, a process that was stopped suspects everybody when it goes on.
+        Answers may still be unread in the socket, and pending updates are out of date. Without
+        this, a process that was stopped would suspect all other members when it resumes.
         """
         self._detector.clear()
         self._indirect_probes.clear()
@@ -213,12 +214,12 @@
     # Datagrams.
 
     def receive(self, source: Address, data: bytes, now: float) -> None:
-        """Take a datagram, whatever it holds; one that is not taken is counted by its reason."""
+        """Process a datagram with any content; a dropped one is counted by reason."""
         number = self.state.roster.number_of(source)
         if number is None:
             self.state.dropped[DropReason.STRANGER] += 1
             return
-        reason = self._refusal(number, len(data), now)
+        reason = self._drop_reason(number, len(data), now)
         if reason is not None:
             self.state.dropped[reason] += 1
             return
@@ -232,10 +233,10 @@
         if datagram.number != number:
             self.state.dropped[DropReason.NUMBER] += 1
             return
-        self._take(datagram, now)
+        self._process(datagram, now)
 
-    def _refusal(self, number: int, size: int, now: float) -> DropReason | None:
-        """Return why a datagram from this member is not read; None: it is."""
+    def _drop_reason(self, number: int, size: int, now: float) -> DropReason | None:
+        """Return why a datagram from this member is dropped before decoding, or None."""
         if number == self.state.number:
             return DropReason.OWN_ADDRESS
         limit = self._receive_limits.get(number)
@@ -245,7 +246,7 @@
             self._receive_limits[number] = limit
         return None if limit.try_acquire(size, now) else DropReason.FLOOD
 
-    def _take(self, datagram: Datagram, now: float) -> None:
+    def _process(self, datagram: Datagram, now: float) -> None:
         header = Header(datagram.version, datagram.number, datagram.run_id, datagram.incarnation)
         self._heard(header, now)
         for update in datagram.updates:
@@ -255,13 +256,13 @@
         self.state.review_health(now)
 
     def _heard(self, header: Header, now: float) -> None:
-        """A member was heard itself, so it is alive in the incarnation that it speaks with."""
+        """Record that a datagram shows its sender to be alive in the incarnation of its header."""
         state = self.state
         number = header.number
         state.health.record_heard(now)
         state.last_heard[number] = now
         state.last_incarnation[number] = header.incarnation
-        self._duplicates.heard(header, now)
+        self._duplicates.record_run(header, now)
         self._suspicions.check_report(number, now)
         status = MemberStatus(header.incarnation, MemberState.ALIVE)
         self._updates.apply(number, status, number, Cause.HEARD, now)
@@ -285,10 +286,10 @@
             case MessageKind.TABLE:
                 self._anti_entropy.read_table(datagram, now)
 
-    # Leaving, and another roster.
+    # Leaving and roster changes.
 
     def leave(self, now: float) -> None:
-        """Tell as many as the budget allows that this member leaves; it probes nobody any more."""
+        """Announce to as many members as the budget allows that this one leaves; stop probing."""
         state = self.state
         state.has_left = True
         state.table.merge(state.number, MemberStatus(state.incarnation, MemberState.LEFT))
@@ -301,13 +302,14 @@
                 break
 
     def change_roster(self, roster: Roster, now: float) -> None:
-        """Take a longer or shorter roster, or other addresses; numbers keep their meaning.
+        """Replace the roster by a longer or shorter one, or one with other addresses.
 
-        Raises `ValueError` where the own number is another.
+        Each number must stand for the same member as before. Raises `ValueError` if this member's
+        own number differs.
         """
         state = self.state
         if roster.number != state.number:
-            raise ValueError("the own number cannot change")
+            raise ValueError("the own number in a new roster differs from the present one")
         state.roster = roster
         if len(roster) > len(state.table):
             state.table.grow(len(roster))
@@ -319,14 +321,14 @@
         self._detector.shrink(len(roster))
 
     def _remove(self, number: int, now: float) -> None:
-        """A member is no longer in the roster."""
+        """Drop the state of a member that was removed from the roster."""
         state = self.state
         state.view.remove(number, now)
         state.suspicions.pop(number, None)
         state.last_heard.pop(number, None)
         state.last_incarnation.pop(number, None)
         state.gossip_queue.drop(number)
-        # Else the table differs for ever from that of a member that starts with the shorter roster.
+        # Otherwise the table would always differ from that of a member started with this roster.
         state.table.forget(number)
         self._duplicates.forget(number)
         self._broadcaster.pending.discard(number)
--- a/quillroad/membership/duplicate_identity.py
+++ b/quillroad/membership/duplicate_identity.py
@@ -1,7 +1,7 @@
-"""Detecting two processes that use one member number. Pure.
+"""Detects two processes that use one member number. Does no I/O.
 
-A restart changes a member's run identifier once, and a datagram that arrives late changes it back
-for a moment. Two processes under one number change it again and again for as long as both run.
+A restart changes a member's run identifier once, and a delayed datagram of the old run changes it
+back briefly. Two processes under one number make it alternate for as long as both run.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from quillroad.membership.view import Cause, Change, ChangeKind
 from quillroad.membership.wire import Header, MessageKind
 
-MIN_CHANGES = 4  # of the run identifier
-MIN_DURATION_S = 2.0  # of those changes: longer than a datagram is late
+MIN_CHANGES = 4  # changes of the run identifier before it is reported
+MIN_DURATION_S = 2.0  # between the first and last change; longer than any datagram delay
 
 
 class _RunHistory(NamedTuple):
-    """The last run identifier heard, and how often it changed since when."""
+    """The latest run identifier of a member and the number of its changes since `since`."""
 
     run_id: int
     since: float
@@ -27,15 +27,15 @@
 
 
 class DuplicateIdentity:
-    """Follows the run identifiers of the other members."""
+    """Tracks the run identifiers of the other members."""
 
     def __init__(self, state: LocalState, sender: DatagramSender) -> None:
         self._state = state
         self._sender = sender
         self._histories: dict[int, _RunHistory] = {}
 
-    def heard(self, header: Header, now: float) -> None:
-        """A member was heard: tell it where two processes use its number."""
+    def record_run(self, header: Header, now: float) -> None:
+        """Record a member's run identifier; send it DUPLICATE if two processes use its number."""
         number, run_id = header.number, header.run_id
         last = self._histories.get(number)
         if last is None or now - last.since > DUPLICATE_REPORT_S:
@@ -57,5 +57,5 @@
         self._sender.send(number, payload, now, fraction=DEFERRABLE_FRACTION)
 
     def forget(self, number: int) -> None:
-        """The member is no longer in the roster."""
+        """Drop the history of a member that was removed from the roster."""
         self._histories.pop(number, None)
--- a/quillroad/membership/indirect_probe.py
+++ b/quillroad/membership/indirect_probe.py
@@ -1,4 +1,4 @@
-"""Probing on behalf of others: a PING_REQ is answered by an ACK or a NACK. Pure."""
+"""Indirect probes on behalf of others: answers a PING_REQ with an ACK or a NACK. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from quillroad.membership.state import LocalState
 from quillroad.membership.wire import Datagram, DropReason, MessageKind
 
-MAX_IN_FLIGHT = 64  # a flood of requests must not grow this member's state
-LIFETIME_PERIODS = 2  # the requester has given up by then
+MAX_IN_FLIGHT = 64  # bounds this member's memory under a flood of requests
+LIFETIME_PERIODS = 2  # the requester's own probe has ended by then
 
 
 @dataclass(slots=True)
 class _IndirectProbe:
-    """A PING sent for another member. Times in seconds."""
+    """A PING sent on behalf of another member. Times in seconds."""
 
     requester: int
-    sequence: int  # the requester's
+    sequence: int  # of the requester's PING_REQ
     about: int
     nack_at: float
     ends_at: float
 
 
 class IndirectProbes:
-    """Probes in flight on behalf of others, by their own sequence number."""
+    """Tracks probes in flight on behalf of others, by the sequence number of the own PING."""
 
     def __init__(self, state: LocalState, sender: DatagramSender) -> None:
         self._state = state
@@ -35,7 +35,7 @@
         return len(self._probes)
 
     def request(self, datagram: Datagram, now: float) -> None:
-        """Take a PING_REQ: probe the member that it is about."""
+        """Process a PING_REQ: probe the member that it names."""
         state = self._state
         if datagram.about >= len(state.roster) or datagram.about == state.number:
             state.dropped[DropReason.UNKNOWN_MEMBER] += 1
@@ -54,14 +54,14 @@
             )
 
     def acknowledged(self, datagram: Datagram, now: float) -> None:
-        """Take an ACK: pass it on to the requester where it answers such a probe."""
+        """Process an ACK: forward it to the requester if it answers a probe made for it."""
         probe = self._probes.get(datagram.sequence)
         if probe is not None and probe.about == datagram.number:
             del self._probes[datagram.sequence]
             self._reply(MessageKind.ACK, probe, now)
 
     def step(self, now: float) -> None:
-        """Send a NACK for each probe that stays unanswered, and forget those that are over."""
+        """Send a NACK for each probe that is unanswered in time, and drop those that have ended."""
         for sequence, probe in list(self._probes.items()):
             if probe.ends_at <= now:
                 del self._probes[sequence]
@@ -70,11 +70,11 @@
                 self._reply(MessageKind.NACK, probe, now)
 
     def next_due(self) -> float | None:
-        """Return when `step` has something to do; None: never."""
+        """Return when `step` is due next, or None if no probe is in flight."""
         return min((min(p.nack_at, p.ends_at) for p in self._probes.values()), default=None)
 
     def clear(self) -> None:
-        """Forget all of them."""
+        """Drop all probes in flight."""
         self._probes.clear()
 
     def _reply(self, kind: MessageKind, probe: _IndirectProbe, now: float) -> None:
--- a/quillroad/membership/member_table.py
+++ b/quillroad/membership/member_table.py
@@ -1,8 +1,8 @@
-"""Member states with incarnations, merged so that order and repetition do not matter.
+"""Member states with incarnations, merged independently of order and repetition. Does no I/O.
 
-The higher incarnation wins; within one incarnation the worse state does, and two suspicions unite
-their suspectors. Only a member itself raises its incarnation, so nobody can bring back a member
-that did not speak. The merge is commutative, associative and idempotent. Pure.
+The higher incarnation wins, then the worse state, and two suspicions of one incarnation combine
+their suspectors. Only a member itself raises its incarnation, so no other member can bring it back
+after it has failed. The merge is commutative, associative and idempotent.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 from typing import NamedTuple
 
 MAX_INCARNATION = 2**32 - 1
-PLAUSIBLE_INCARNATION = 2**31  # no member gets that far by refuting true suspicions
-# One false report may move an incarnation by this much: at ten reports a second the last
-# incarnation, behind which nothing can be refuted, is 58 hours away.
+PLAUSIBLE_INCARNATION = 2**31  # no member reaches it by refuting genuine suspicions
+# A false report can raise an incarnation by this much at most. At ten reports a second it takes 58
+# hours to the maximum incarnation, from which a member cannot refute anything any more.
 MAX_INCARNATION_JUMP = 1024
-# members under one digest; with incarnations of 5 bytes they still fit one datagram
+# Members per digest; they fit into one datagram even with incarnations of 5 bytes each.
 CHUNK_MEMBERS = 32
-SUSPECTOR_SLOTS = 3  # bits that tell how many gateways saw a member silent themselves
+SUSPECTOR_SLOTS = 3  # bits that count the gateways whose own probes of a member failed
 _CODE_MASK = 0b1111  # a packed state takes four bits
 
 
 class MemberState(IntEnum):
-    """State of a member, from good to bad within one incarnation."""
+    """State of a member; within one incarnation the higher value wins."""
 
-    UNKNOWN = 0  # in the roster, and never heard of
+    UNKNOWN = 0  # in the roster but never heard of
     ALIVE = 1
     SUSPECT = 2
     FAULTY = 3  # its suspicion was not refuted in time
-    LEFT = 4  # it said itself that it leaves
+    LEFT = 4  # it announced that it leaves
 
     @property
     def reported_name(self) -> str:
-        """The name in reports, the file of changes and on the command line."""
+        """The name in reports, in the change log and on the command line."""
         return "gone" if self is MemberState.FAULTY else self.name.lower()
 
 
@@ -43,10 +43,10 @@
 
 
 class MemberStatus(NamedTuple):
-    """What is said of a member: state in an incarnation.
+    """State of a member in an incarnation.
 
-    Of a suspicion, bit n of `suspector_slots` is set once a gateway whose number is n modulo
-    `SUSPECTOR_SLOTS` has itself seen the member silent.
+    In a suspicion, bit n of `suspector_slots` is set if a gateway whose number is n modulo
+    `SUSPECTOR_SLOTS` has probed the member itself without an answer.
     """
 
     incarnation: int
@@ -54,7 +54,7 @@
     suspector_slots: int = 0
 
     def join(self, other: MemberStatus) -> MemberStatus:
-        """Return what both together say."""
+        """Return the merge of both statuses."""
         if self[:2] == other[:2]:
             return self._replace(suspector_slots=self.suspector_slots | other.suspector_slots)
         return max(self, other)
@@ -63,9 +63,9 @@
 class PackedStatuses(NamedTuple):
     """Statuses of successive members, as a TABLE datagram carries them.
 
-    `codes` has four bits for each member's state, the even one's in the low half. `base` is the
-    most frequent incarnation; `exceptions` alternates the place of a member and its incarnation,
-    where that is another.
+    `codes` has four bits for each member's state, with even indexes in the low half of a byte.
+    `base` is the most frequent incarnation; `exceptions` alternates the index and the incarnation
+    of each member that has a different one.
     """
 
     codes: bytes = b""
@@ -78,20 +78,24 @@
 
 
 def suspector_slot(number: int) -> int:
-    """Return the bit that this gateway sets when it saw a member silent itself."""
+    """Return the bit that gateway `number` sets when its own probe of a member failed."""
     return 1 << number % SUSPECTOR_SLOTS
 
 
 def credible(incarnation: int, known: int) -> bool:
-    """Whether a report is believed that a member, known at `known`, has this incarnation.
+    """Whether a reported incarnation is credible for a member whose known one is `known`.
 
-    Without this, one false report of the last incarnation makes every later suspicion irrefutable.
+    Without this check, one false report of the maximum incarnation would make every later suspicion
+    irrefutable.
     """
     return incarnation <= max(known, PLAUSIBLE_INCARNATION) + MAX_INCARNATION_JUMP
 
 
 def _code(status: MemberStatus) -> int:
-    """0 to 3 is an index of `_CODED_STATES`; from 4 on it is a suspicion with its slots."""
+    """Return the four-bit code of a status.
+
+    0 to 3 are indexes of `_CODED_STATES`; 4 and above are suspicions with their slots.
+    """
     if status.state is MemberState.SUSPECT:
         return len(_CODED_STATES) - 1 + status.suspector_slots
     return _CODED_STATES.index(status.state)
@@ -104,14 +108,15 @@
         return MemberStatus(incarnation, _CODED_STATES[code])
     suspector_slots = code - len(_CODED_STATES) + 1
     if suspector_slots >= 1 << SUSPECTOR_SLOTS:
-        raise ValueError("a code of nothing")
+        raise ValueError("unassigned code of a packed member state")
     return MemberStatus(incarnation, MemberState.SUSPECT, suspector_slots)
 
 
 def _checksum(number: int, status: MemberStatus) -> int:
-    """32 bits for the XOR over all members, which does not depend on order.
+    """Return a 32-bit checksum of one status; a digest is the XOR of those of its members.
 
-    A suspect counts as alive: suspicions pass, and tables that differ by one only need no repair.
+    A suspect counts as alive: suspicions are temporary, and tables that differ only in these need
+    no repair.
     """
     code = _CODED_STATES.index(status.state) if status.state is not MemberState.SUSPECT else 1
     if code == 0:
@@ -128,7 +133,7 @@
     def __init__(self, size: int) -> None:
         self._statuses = [NOTHING_KNOWN] * size
         self._digests = [0] * -(-size // CHUNK_MEMBERS)
-        self.digest = 0  # 32 bits: equal where two tables say the same, but for suspicions
+        self.digest = 0  # 32 bits; equal for two tables that differ at most in suspicions
 
     def __len__(self) -> int:
         return len(self._statuses)
@@ -137,7 +142,7 @@
         return self._statuses[number]
 
     def merge(self, number: int, status: MemberStatus) -> bool:
-        """Take a status in; return whether it says more than what was there."""
+        """Merge a status; return whether the table has changed."""
         old = self._statuses[number]
         joined = old.join(status)
         if joined == old:
@@ -151,7 +156,7 @@
         self._digests += [0] * (-(-size // CHUNK_MEMBERS) - len(self._digests))
 
     def forget(self, number: int) -> None:
-        """Drop what is known of this member."""
+        """Reset a member to `NOTHING_KNOWN`."""
         self._replace(number, NOTHING_KNOWN)
 
     def _replace(self, number: int, status: MemberStatus) -> None:
@@ -165,14 +170,14 @@
         return list(self._digests)
 
     def differing_chunks(self, digests: Sequence[int], first: int = 0) -> Iterator[range]:
-        """Yield the members of each chunk, from chunk `first` on, whose digest is another."""
+        """Yield the members of each chunk, from chunk `first` on, whose digest differs."""
         for i, (own, other) in enumerate(zip(self._digests[first:], digests, strict=False), first):
             if own != other:
                 start = i * CHUNK_MEMBERS
                 yield range(start, min(start + CHUNK_MEMBERS, len(self._statuses)))
 
     def pack(self, members: range) -> PackedStatuses:
-        """Return the statuses of these members in the form of a datagram."""
+        """Return the statuses of these members packed for a TABLE datagram."""
         statuses = self._statuses[members.start : members.stop]
         codes = bytearray(-(-len(statuses) // 2))
         known = Counter(status.incarnation for status in statuses if status != NOTHING_KNOWN)
@@ -186,14 +191,14 @@
 
 
 def unpack(packed: PackedStatuses) -> list[MemberStatus]:
-    """Return the packed statuses, with one unknown more where their number is odd.
+    """Return the packed statuses, followed by an unknown one if their number was odd.
 
-    Raises `ValueError` for what `pack` cannot have made.
+    Raises `ValueError` if `pack` cannot have produced the input.
     """
     codes, base, exceptions = packed
     incarnations = dict(zip(exceptions[::2], exceptions[1::2], strict=True))
     if any(i >= 2 * len(codes) for i in incarnations):
-        raise ValueError("an incarnation of nobody")
+        raise ValueError("incarnation for an index beyond the packed members")
     return [
         _decoded(codes[i >> 1] >> 4 * (i & 1) & _CODE_MASK, incarnations.get(i, base))
         for i in range(2 * len(codes))
--- a/quillroad/membership/member_updates.py
+++ b/quillroad/membership/member_updates.py
@@ -1,4 +1,4 @@
-"""Applying what is heard or said of a member to the table, and from there to the view. Pure."""
+"""Applies received and observed statuses to the table, and then to the view. Does no I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MemberUpdates:
-    """The one way by which a status gets into the table."""
+    """Merges the statuses of other members into the table and updates the view."""
 
     def __init__(
         self,
@@ -27,23 +27,23 @@
         self._refutation = refutation
 
     def apply_gossip(self, update: Update, reporter: int, now: float) -> None:
-        """Apply an update that another member sent."""
+        """Apply an update that another member sent, or count it if its number is unknown."""
         if update.number >= len(self._state.roster):
             self._state.dropped[DropReason.UNKNOWN_MEMBER] += 1
         else:
             self.apply_report(update.number, update.status(), reporter, now)
 
     def apply_report(self, number: int, status: MemberStatus, reporter: int, now: float) -> None:
-        """Apply what another member says of one in the roster, which may be this one."""
+        """Apply another member's report about a member of the roster, possibly this one."""
         if number == self._state.number:
-            self._refutation.consider(status, reporter, now)
+            self._refutation.handle_report(status, reporter, now)
         else:
             self.apply(number, status, reporter, Cause.REPORTED, now)
 
     def apply(
         self, number: int, status: MemberStatus, reporter: int, cause: Cause, now: float
     ) -> None:
-        """Merge another member's status into the table, pass it on, and follow it in the view."""
+        """Merge another member's status into the table, pass on a change and update the view."""
         state = self._state
         if cause is Cause.REPORTED and not credible(
             status.incarnation, state.table[number].incarnation
@@ -56,8 +56,8 @@
             self._broadcaster.announce(number)
         else:
             state.gossip_queue.put(number)
-        # Also one never heard of here is first suspected: who reports it may have been cut off
-        # itself.
+        # A member never heard of here is suspected first too, since the gateway that reports it as
+        # faulty may have been cut off itself.
         was_absent = state.view.members[number].state in ABSENT
         if status.state is MemberState.SUSPECT or (
             status.state is MemberState.FAULTY and not was_absent
--- a/quillroad/membership/probe_targets.py
+++ b/quillroad/membership/probe_targets.py
@@ -1,11 +1,12 @@
-"""Which member is probed next: each once in a random order, then in another. Pure."""
+"""Selects the next member to probe, in rounds of a new random order. Does no I/O."""
 
 from __future__ import annotations
 
 from quillroad.membership.member_table import ABSENT, MemberState
 from quillroad.membership.state import MASS_FAILURE_SUSPECTS, LocalState
 
-DOUBT_CHANCE = 0.5  # that a member in doubt of itself probes one that it has just heard
+# Probability of probing a recently heard member while the fault may be this gateway's own.
+SELF_CHECK_PROBABILITY = 0.5
 
 
 class ProbeTargets:
@@ -16,13 +17,17 @@
         self._order: list[int] = []
 
     def next(self, now: float) -> int | None:
-        """Return the member to probe now; None: there is none."""
+        """Return the member to probe now, or None if there is none."""
         state = self._state
-        if state.health.is_in_doubt and state.timing.lifeguard and state.draw() < DOUBT_CHANCE:
+        if (
+            state.health.may_be_at_fault
+            and state.timing.lifeguard
+            and state.draw() < SELF_CHECK_PROBABILITY
+        ):
             latest = self._last_heard(now)
             if latest is not None:
                 return latest
-        for _ in range(2):  # what is left of this order, and a whole one
+        for _ in range(2):  # the rest of the current order, then a new one
             while self._order:
                 number = self._order.pop()
                 record = state.view.members.get(number)
@@ -32,13 +37,13 @@
         return None
 
     def _is_skipped(self, member_state: MemberState) -> bool:
-        """Absent members, and suspects where they are many, are probed apart from the order."""
+        """Whether to skip a member: absent ones, and suspects when many, are probed separately."""
         if member_state is MemberState.SUSPECT:
             return len(self._state.suspicions) >= MASS_FAILURE_SUSPECTS
         return member_state in ABSENT
 
     def _last_heard(self, now: float) -> int | None:
-        """Return the member heard last, if that is less than `isolation_s` ago."""
+        """Return the most recently heard member, or None if `isolation_s` has passed since."""
         state = self._state
         since = now - state.timing.isolation_s
         heard = [
@@ -47,5 +52,5 @@
         return max(heard)[1] if heard else None
 
     def shrink(self, size: int) -> None:
-        """The roster has this many members now."""
+        """Drop the members from number `size` on, after the roster has changed."""
         self._order = [n for n in self._order if n < size]
--- a/quillroad/membership/refutation.py
+++ b/quillroad/membership/refutation.py
@@ -1,4 +1,4 @@
-"""Refuting what others say of this member, by a higher incarnation. Pure."""
+"""Refutes reports about this member by raising its incarnation. Does no I/O."""
 
 from __future__ import annotations
 
@@ -13,36 +13,39 @@
 from quillroad.membership.view import Change, ChangeKind
 from quillroad.membership.wire import DropReason
 
-# between two refutations: two processes of one number would refute without end
+# Minimum time between refutations. Two processes that use one member number refute each other
+# without end; this limits their rate.
 MIN_INTERVAL_S = 0.1
 
 
 class Refutation:
-    """Raises this member's incarnation when it has to."""
+    """Raises this member's incarnation when another member reports a worse status."""
 
     def __init__(self, state: LocalState, broadcaster: Broadcaster) -> None:
         self._state = state
         self._broadcaster = broadcaster
         self._refuted_at = float("-inf")
-        self._jump_reporters: set[int] = set()  # who reported an incarnation that is not credible
+        self._jump_reporters: set[int] = (
+            set()
+        )  # members that reported an incarnation that is not credible
 
-    def consider(self, status: MemberStatus, reporter: int, now: float) -> None:
-        """Another member says this of this one: refute it where it is worse than the own status."""
+    def handle_report(self, status: MemberStatus, reporter: int, now: float) -> None:
+        """Refute a report about this member if it is worse than the member's own status."""
         state = self._state
         if status[:2] <= state.own_status[:2] or state.has_left:
             return
         if now - self._refuted_at < MIN_INTERVAL_S:
-            return  # it will be said again
+            return  # other members will repeat the report
         if status.state is MemberState.SUSPECT:
             state.health.record_suspected()
         if self._is_believed(status.incarnation, reporter):
             self._refute(status, now)
 
     def _is_believed(self, incarnation: int, reporter: int) -> bool:
-        """Whether this member may have had that incarnation, and there is one after it.
+        """Whether this member may have had the incarnation and a higher one exists.
 
-        One that is not credible is a lie, unless this member got that far before it restarted from
-        nothing: then several members know of it.
+        A report with an incarnation that is not credible is false, unless this member had reached
+        it before it restarted without its state; in that case several members report it.
         """
         state = self._state
         if not credible(incarnation, state.incarnation):
--- a/quillroad/membership/rejoin.py
+++ b/quillroad/membership/rejoin.py
@@ -1,4 +1,7 @@
-"""Finding members again that are faulty or have left: after a partition nobody else does. Pure."""
+"""Probes faulty members and those that left, so that a cluster joins up again after a partition.
+
+The failure detector no longer probes these members. Does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -6,11 +9,11 @@
 from quillroad.membership.state import LocalState
 from quillroad.membership.table_transfer import TableTransfer
 
-BROADCAST_INTERVAL_S = 1.0  # between two broadcasts of a table with absent members, by all together
+BROADCAST_INTERVAL_S = 1.0  # between broadcasts of table parts with absent members, cluster-wide
 
 
 class RejoinProbes:
-    """Probes an absent member now and then, or broadcasts a part of the table with one."""
+    """Occasionally probes an absent member or broadcasts the part of the table that holds one."""
 
     def __init__(
         self, state: LocalState, sender: DatagramSender, tables: TableTransfer, now: float
@@ -21,7 +24,7 @@
         self.next_at = now
 
     def step(self, now: float) -> None:
-        """Probe one, if it is time."""
+        """Probe an absent member if the interval has passed."""
         if self.next_at > now:
             return
         state = self._state
@@ -38,7 +41,7 @@
         )
         for number in state.sample(1, state.view.absent()):
             if broadcasts:
-                # All absent members read in it what is said of them, and refute that.
+                # Each absent member that receives the table part refutes its own entry.
                 self._tables.send(EVERYONE, number, now)
             else:
                 self._sender.ping(number, now)
--- a/quillroad/membership/state.py
+++ b/quillroad/membership/state.py
@@ -1,4 +1,4 @@
-"""What one member knows: the data that the parts of the protocol share. Pure."""
+"""State of one member, shared by the modules of the protocol. Does no I/O."""
 
 from __future__ import annotations
 
@@ -15,17 +15,16 @@
 from quillroad.membership.view import ViewBuilder
 from quillroad.membership.wire import DropReason, Update
 
-WITNESSES = 2  # members that have to agree before one is believed: a single one may lie
-MASS_FAILURE_SUSPECTS = 3  # suspects at once that are no accident of the network
-LOSSY_NETWORK = 0.25  # part of probes repeated, from where on one lost datagram is no evidence
-RECENT_PERIODS = 2  # a member heard within that many periods is surely reachable
+WITNESSES = 2  # members that have to report the same, since a single one may report falsely
+MASS_FAILURE_SUSPECTS = 3  # concurrent suspects that datagram loss does not explain
+LOSSY_NETWORK = 0.25  # fraction of probes repeated from which one lost datagram proves nothing
+RECENT_PERIODS = 2  # a member heard within this time counts as reachable
 
 
 class LocalState:
-    """State of one run of a member.
+    """State of one run of a member, from its start to its end.
 
-    `draw` returns a random number from 0 to below 1; `run_id` is 32 random bits, new with each
-    start.
+    `draw` returns a random number in [0, 1); `run_id` is 32 random bits, new with each start.
     """
 
     def __init__(
@@ -51,51 +50,51 @@
         self.suspicions: dict[int, Suspicion] = {}
         self.gossip_queue = GossipQueue()
         self.last_heard: dict[int, float] = {}
-        self.last_incarnation: dict[int, int] = {}  # that each member last spoke with
+        self.last_incarnation: dict[int, int] = {}  # latest one in a datagram of each member
         self.dropped: Counter[DropReason] = Counter()
 
     @property
     def witnesses_needed(self) -> int:
-        """How many other members have to say the same to be believed."""
+        """The number of other members that have to report the same before it is believed."""
         return min(WITNESSES, len(self.roster) - 1)
 
     @property
     def own_status(self) -> MemberStatus:
-        """This member's status while it takes part."""
+        """This member's status until it leaves."""
         return MemberStatus(self.incarnation, MemberState.ALIVE)
 
     @property
     def cluster_size(self) -> int:
-        """Members that count as present, this one among them."""
+        """The number of present members, including this one."""
         return len(self.view.present()) + 1
 
     @property
     def is_mass_failure(self) -> bool:
-        """Whether so many are suspected that full probes of each would exhaust the send budget.
+        """Whether so many members are suspected that full probes would exhaust the send budget.
 
-        Not on a lossy network: there direct-only probes would make more suspects, and those more
+        False on a lossy network: there direct-only probes would add suspects, and these would add
         probes.
         """
         return len(self.suspicions) >= MASS_FAILURE_SUSPECTS and self.health.loss < LOSSY_NETWORK
 
     def can_judge(self, now: float) -> bool:
-        """Whether this member is fit to say that another is silent."""
+        """Whether this member is healthy enough to suspect others."""
         return self.health.state(now) is HealthState.HEALTHY
 
     def review_health(self, now: float) -> None:
-        """Bring this member's own state in the view up to date."""
+        """Update this member's own health in the view."""
         self.view.set_self_state(self.health.state(now), self.incarnation, now)
 
     def recent_answer(self, now: float) -> bool:
-        """Whether a probe was answered lately: else this member may have been cut off just now."""
+        """Whether a probe was answered recently; if not, this member may just have been cut off."""
         return self.health.answered_since(now - RECENT_PERIODS * self.timing.period_s)
 
-    def sample(self, most: int, members: Iterable[int]) -> list[int]:
-        """Return `most` of these at most, at random."""
-        return sample(self.draw, most, members)
+    def sample(self, max_count: int, members: Iterable[int]) -> list[int]:
+        """Return up to `max_count` of these members, at random."""
+        return sample(self.draw, max_count, members)
 
     def recently_heard(self, numbers: list[int], now: float) -> list[int]:
-        """Return those of these that were heard lately; all of them where those are few."""
+        """Return the recently heard of `numbers`, or all if no more than `gossip_fanout` were."""
         since = now - RECENT_PERIODS * self.timing.period_s
         heard = [n for n in numbers if self.last_heard.get(n, since) > since]
         return heard if len(heard) > self.timing.gossip_fanout else numbers
@@ -105,6 +104,6 @@
         return [n for n in self.view.present() if n not in self.suspicions]
 
     def update_of(self, number: int) -> Update:
-        """Return what is known of a member, as gossip carries it."""
+        """Return the status of a member as an update for gossip."""
         status = self.table[number]
         return Update(number, status.incarnation, int(status.state), status.suspector_slots)
--- a/quillroad/membership/suspicions.py
+++ b/quillroad/membership/suspicions.py
@@ -1,8 +1,8 @@
-"""Beginning, confirming and ending suspicions. Pure.
+"""Starts, confirms and ends suspicions. Does no I/O.
 
-A member that is suspected, or said to be faulty by another, is only suspect here until it had the
-time to refute that. So neither a healed partition nor a liar makes a healthy member faulty even for
-a moment.
+A member that another gateway reports as suspect or faulty is only suspect here until it has had
+time to refute the report. So neither a healed partition nor a gateway that sends false reports
+makes a healthy member faulty, even for a moment.
 """
 
 from __future__ import annotations
@@ -14,18 +14,19 @@
 from quillroad.membership.suspicion import Suspicion, min_timeout_s
 from quillroad.membership.view import Cause, MemberRecord
 
-# After a partition each side says of the whole other that it is faulty, and so many refutations
-# take longer than one does. Without the longer timeout healthy members count as faulty after each
-# heal.
-FALSE_REPORT_S = 10.0  # for so long after a member spoke that was reported faulty
-FALSE_REPORT_FACTOR = 3.0  # on the shortest timeout in that time
-MASS_FAILURE_MAX_FACTOR = 2.0  # longest timeout in shortest ones, while many fail and others answer
-# of the shortest timeout, for a suspect that another has waited for already
+# After a partition each side reports every member of the other as faulty, and that many refutations
+# take longer than a single one. Without the longer timeout healthy members count as faulty after
+# each heal.
+FALSE_REPORT_S = 10.0  # duration of the longer timeout after a faulty report proved false
+FALSE_REPORT_FACTOR = 3.0  # applied to the minimum timeout during that time
+# Maximum timeout as a multiple of the minimum during a mass failure.
+MASS_FAILURE_MAX_FACTOR = 2.0
+# Applied to the minimum timeout of a suspect whose timeout has expired at another gateway.
 CONFIRMED_FRACTION = 0.5
 
 
 class SuspicionTracker:
-    """Keeps the suspicions of the state, and the records of the suspected members."""
+    """Maintains the suspicions in the state and the view records of the suspected members."""
 
     def __init__(self, state: LocalState, broadcaster: Broadcaster, burst: ProbeBurst) -> None:
         self._state = state
@@ -36,14 +37,14 @@
     def suspect(
         self, number: int, status: MemberStatus, reporter: int, cause: Cause, now: float
     ) -> None:
-        """A member is suspected, or reported faulty by another."""
+        """Start or confirm a suspicion of a member that is suspect or was reported as faulty."""
         state = self._state
         reported_faulty = status.state is MemberState.FAULTY
         suspicion = state.suspicions.get(number)
         if suspicion is None or suspicion.incarnation != status.incarnation:
             suspicion = self._begin(number, status, cause, now)
-            # Members reported faulty were probed by others: after a partition that is half of the
-            # cluster.
+            # Other gateways have already probed the members that they report as faulty; after a
+            # partition these are half of the cluster.
             if not reported_faulty and state.is_mass_failure:
                 self._burst.begin(now)
         suspicion.suspector_slots |= status.suspector_slots
@@ -58,7 +59,7 @@
             )
 
     def _begin(self, number: int, status: MemberStatus, cause: Cause, now: float) -> Suspicion:
-        """Begin a suspicion; the member's record is still that from before."""
+        """Start a suspicion; expects the member's view record not to be updated yet."""
         state = self._state
         scale = state.health.refutation_loss_factor
         min_s = scale * min_timeout_s(
@@ -84,7 +85,7 @@
         return suspicion
 
     def _max_factor(self, now: float) -> float:
-        """Return the longest timeout of a new suspicion, in shortest ones."""
+        """Return the maximum timeout of a new suspicion as a multiple of its minimum."""
         state = self._state
         factor = state.timing.suspicion_max_factor if state.timing.lifeguard else 1.0
         if state.is_mass_failure and not self._reports_were_false(now):
@@ -92,11 +93,11 @@
         return factor
 
     def _shorten(self, suspicion: Suspicion, now: float) -> None:
-        """Another member has waited for a refutation already: the shortest timeout is left.
+        """Reduce the timeout to the minimum, since it has expired at another gateway already.
 
-        Half of that is enough for one suspected here before. Not after a partition: what the other
-        side suspected when it healed is reported faulty by it soon, and healthy members would not
-        refute in time.
+        Half of the minimum is enough for a member that was suspected here before the report. This
+        does not hold after a partition: members that the other side still suspected when it healed
+        are soon reported as faulty, and healthy ones would not refute that in time.
         """
         if (
             not suspicion.from_faulty_report
@@ -110,10 +111,11 @@
         return now - self._false_report_at < FALSE_REPORT_S
 
     def check_report(self, number: int, now: float) -> None:
-        """A member speaks: was it reported faulty, or does it count as that?
+        """Check whether a member that sent a datagram was reported as faulty, or counts as faulty.
 
-        Then reports are false for now, as after a partition, and those like it get the longer
-        timeout. Where many are faulty indeed, none of them speaks.
+        If so, faulty reports are treated as false for `FALSE_REPORT_S`, as after a partition, and
+        all suspicions that began with one get the longer timeout. In a real mass failure none of
+        the members sends anything, so the timeouts stay short.
         """
         state = self._state
         suspicion = state.suspicions.get(number)
@@ -131,40 +133,42 @@
         self._false_report_at = now
 
     def end(self, number: int) -> None:
-        """The member is no longer suspect."""
+        """Remove the suspicion of a member, if there is one."""
         self._state.suspicions.pop(number, None)
 
-    def answered_by_anyone(self, now: float) -> None:
-        """A probe was answered: what goes out now is heard.
+    def probe_answered(self, now: float) -> None:
+        """Start the timeouts of suspicions that no other gateway may have received so far.
 
-        Of a suspicion that began here nobody may have heard before, so its timeout begins only now.
-        Without this, a member that nobody could hear ends its suspicions before anybody can refute
-        them.
+        An answered probe shows that this gateway's datagrams arrive. Without this, a gateway whose
+        datagrams were all lost would let its suspicions expire before they can be refuted.
         """
         for number, suspicion in self._state.suspicions.items():
-            if not suspicion.others_know:
-                suspicion.others_know = True
+            if not suspicion.known_to_others:
+                suspicion.known_to_others = True
                 suspicion.started_at = now
                 self._state.gossip_queue.put(number)
 
     def restart(self, now: float) -> None:
-        """This process stood still: refutations may lie unread, so every timeout begins anew."""
+        """Restart every timeout after this process was stopped.
+
+        Refutations may still be unread in the socket.
+        """
         for suspicion in self._state.suspicions.values():
             suspicion.started_at = now
 
     def step(self, now: float) -> None:
-        """End the suspicions that were not refuted in time."""
+        """Declare the members faulty whose suspicions were not refuted in time."""
         state = self._state
         expired = [n for n, s in state.suspicions.items() if s.expires_at <= now]
         if not expired:
             return
-        # Where timeouts are short, a member that was cut off just now has not had the time to
-        # notice.
+        # During a mass failure timeouts are so short that a gateway that has just been cut off has
+        # not detected its own isolation yet.
         can_end = (not state.is_mass_failure or state.recent_answer(now)) and state.can_judge(now)
         for number in expired:
             suspicion = state.suspicions[number]
-            if not can_end or not suspicion.others_know:
-                # It cannot know whether it is heard itself, and waits until a probe is answered.
+            if not can_end or not suspicion.known_to_others:
+                # This gateway's own datagrams may be lost, so it waits for an answered probe.
                 suspicion.started_at += state.timing.period_s
             elif not suspicion.rescale(state.health.refutation_loss_factor):
                 self._declare_faulty(number, suspicion, now)
--- a/quillroad/membership/timing.py
+++ b/quillroad/membership/timing.py
@@ -1,54 +1,55 @@
-"""Intervals, timeouts and send bounds of the protocol. Pure."""
+"""Intervals, timeouts and send limits of the protocol. Does no I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-ISOLATION_PERIODS = 6  # a member of a pair receives a dozen datagrams in that time
-RECOVERY_PERIODS = 4  # a stop that repeats each period or two must not count as recovered
+ISOLATION_PERIODS = 6  # in a cluster of two a member receives a dozen datagrams in that time
+# A process that is stopped every one or two periods must not count as recovered in between.
+RECOVERY_PERIODS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Times in seconds; `lifeguard` off is plain SWIM.
+    """Protocol timing in seconds; without `lifeguard` the protocol is plain SWIM.
 
-    A suspicion lasts at least `suspicion_min_factor` periods for each tenfold of members and at
-    most `suspicion_max_factor` times that. `max_bytes_per_s` and `max_datagrams_per_s` bound what
-    is sent; as much is read from each other member.
+    A suspicion lasts at least `suspicion_min_factor` periods times log10 of the number of members,
+    and at most `suspicion_max_factor` times that. `max_bytes_per_s` and `max_datagrams_per_s` limit
+    what is sent in total and what is read from each other member.
     """
 
-    period_s: float = 0.5  # one member is probed in each
-    probe_timeout_s: float = 0.2  # until indirect probes begin
-    retransmit_s: float = 0.15  # between two PINGs of one probe
-    join_timeout_s: float = 5.0  # a member never heard of counts as faulty after that
+    period_s: float = 0.5  # each member probes one other per period
+    probe_timeout_s: float = 0.2  # time until indirect probes start
+    retransmit_s: float = 0.15  # between two PINGs of a probe
+    join_timeout_s: float = 5.0  # a member not heard of since the start counts as faulty after it
     gossip_interval_s: float = 0.2
     anti_entropy_interval_s: float = 1.0
-    gossip_fanout: int = 3  # members that each round of gossip goes to
-    indirect_probe_count: int = 3  # members that are asked to probe one that stays silent
+    gossip_fanout: int = 3  # members that each gossip round is sent to
+    indirect_probe_count: int = 3  # helpers asked to probe a member that does not answer
     suspicion_min_factor: float = 1.5
     suspicion_max_factor: float = 3.0
     max_bytes_per_s: int = 2000
     max_datagrams_per_s: int = 80
-    rejoin_fleet_interval_s: float = 0.25  # between two probes of absent members by all together
-    rejoin_max_interval_s: float = 10.0  # and by one member, however many there are
+    rejoin_fleet_interval_s: float = 0.25  # between probes of absent members, cluster-wide
+    rejoin_max_interval_s: float = 10.0  # the same by one member, in a cluster of any size
     lifeguard: bool = True
 
     @property
     def direct_timeout_s(self) -> float:
-        """For an answer to each PING of a direct-only probe."""
+        """Time for an answer to each PING of a direct-only probe."""
         return self.probe_timeout_s / 2
 
     @property
     def late_timer_s(self) -> float:
-        """A timer this late leaves no time to tell a lost answer from one that was not read yet."""
+        """Timer delay from which an unread answer cannot be told from a lost one."""
         return self.probe_timeout_s
 
     @property
     def isolation_s(self) -> float:
-        """Silence of all other members, after which this one takes itself for cut off."""
+        """Time without datagrams from any other member after which this one counts as isolated."""
         return ISOLATION_PERIODS * self.period_s
 
     @property
     def recovery_s(self) -> float:
-        """How long timers have to be in time again for the process to count as healthy."""
+        """Time without late timers after which the process counts as healthy again."""
         return RECOVERY_PERIODS * self.period_s
--- a/tests/membership/clusters.py
+++ b/tests/membership/clusters.py
@@ -1,4 +1,4 @@
-"""Clusters of cores in the virtual network, for the tests of each module."""
+"""Clusters of cores in the simulated network, and helpers shared by the membership tests."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def core_of(fleet: Fleet, number: int) -> Core:
-    found = fleet.members[number].core
-    assert isinstance(found, Core)
-    return found
+    core = fleet.members[number].core
+    assert isinstance(core, Core)
+    return core
 
 
 def declared_faulty(fleet: Fleet, since: float = 0.0) -> list[tuple[int, int]]:
-    """Who held whom for gone."""
+    """Return pairs of a member and another that it has declared faulty since this time."""
     return [
         (m.number, c.number)
         for m in fleet.members
@@ -35,6 +35,6 @@
 
 
 def datagram(
-    number: int, *news: Update, kind: MessageKind = MessageKind.GOSSIP, version: int = VERSION
+    number: int, *updates: Update, kind: MessageKind = MessageKind.GOSSIP, version: int = VERSION
 ) -> bytes:
-    return encode(Datagram(version, number, 1, 1, kind, 0, 0, news))
+    return encode(Datagram(version, number, 1, 1, kind, 0, 0, updates))
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -1,4 +1,4 @@
-"""The core as a whole: what it takes, counts and keeps, leaving, and another roster."""
+"""The core as a whole: received datagrams, drop counts, state bounds, leaving, roster changes."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     assert first.world.trace == again.world.trace != other.world.trace
 
 
-def test_passing_state_is_gone_once_nothing_is_going_on() -> None:
-    """Three members crash under 20% loss; then the network is whole."""
+def test_temporary_state_is_empty_once_the_cluster_is_idle() -> None:
+    """Three members crash under 20% loss, which then ends; no entry may be left behind."""
     fleet = settled_cluster(12, 5, loss=0.2)
     for number in (1, 2, 3):
         fleet.members[number].kill()
@@ -32,7 +32,7 @@
     fleet.world.every.loss = 0.0
     fleet.world.run(fleet.world.now + 10.0)
     for member in fleet.running():
-        assert core_of(fleet, member.number).pending_entries <= 1  # a probe on its way
+        assert core_of(fleet, member.number).pending_entries <= 1  # a probe in flight
         assert member.peak_bytes <= fleet.timing.max_bytes_per_s
 
 
@@ -48,8 +48,8 @@
     )
 
 
-def test_a_member_that_has_left_is_due_once_a_period_and_no_more() -> None:
-    """It answers while it drains, and nothing that it would have begun keeps its timer busy."""
+def test_a_member_that_has_left_is_due_only_once_per_period() -> None:
+    """Steps that no longer run after leaving must not keep the timer due while it drains."""
     fleet = settled_cluster(4, 1, broadcast=True)
     leaving, now = core_of(fleet, 3), fleet.world.now + 1.0
     leaving.tick(now)
@@ -61,23 +61,23 @@
         leaving.tick(now)
 
 
-def alone() -> tuple[Core, Fleet]:
+def core_in_small_cluster() -> tuple[Core, Fleet]:
     fleet = settled_cluster(3, 1)
     return core_of(fleet, 0), fleet
 
 
-def test_datagrams_that_are_not_taken_are_counted_by_reason() -> None:
-    one, fleet = alone()
+def test_dropped_datagrams_are_counted_by_reason() -> None:
+    core, fleet = core_in_small_cluster()
     now, source = fleet.world.now, fleet.addresses[1]
-    before = one.view
-    one.receive(("10.9.9.9", 1), datagram(1), now)
-    one.receive(source, datagram(2), now)
-    one.receive(fleet.addresses[0], datagram(0), now)
-    one.receive(source, b"\x00", now)
-    one.receive(source, b"x" * 257, now)
-    one.receive(source, datagram(1, version=VERSION + 1), now)
-    one.receive(source, datagram(1, Update(200, 1, 1)), now)
-    assert one.dropped == {
+    before = core.view
+    core.receive(("10.9.9.9", 1), datagram(1), now)
+    core.receive(source, datagram(2), now)
+    core.receive(fleet.addresses[0], datagram(0), now)
+    core.receive(source, b"\x00", now)
+    core.receive(source, b"x" * 257, now)
+    core.receive(source, datagram(1, version=VERSION + 1), now)
+    core.receive(source, datagram(1, Update(200, 1, 1)), now)
+    assert core.dropped == {
         "stranger": 1,
         "number": 1,
         "own address": 1,
@@ -86,25 +86,25 @@
         "version": 1,
         "unknown member": 1,
     }
-    assert one.view.members == before.members
-    assert one.last_heard(1) == now  # one that speaks a newer version lives
+    assert core.view.members == before.members
+    assert core.last_heard(1) == now  # a member with a newer protocol version counts as heard
 
 
-def test_a_member_that_floods_costs_no_more_than_its_budget() -> None:
-    """A member sends a thousand PINGs in one moment.
+def test_a_member_that_floods_is_limited_to_its_receive_budget() -> None:
+    """A member sends a thousand PINGs at once.
 
-    No more of them are read, or answered, than the bounds of a second allow.
+    No more of them may be read or answered than the limits for one second allow.
     """
-    one, fleet = alone()
+    core, fleet = core_in_small_cluster()
     now = fleet.world.now
     for _ in range(1000):
-        one.receive(fleet.addresses[1], datagram(1, kind=MessageKind.PING), now)
-    assert one.dropped[DropReason.FLOOD] >= 1000 - fleet.timing.max_datagrams_per_s
-    assert sum(len(data) for _, data in one.outbox) <= fleet.timing.max_bytes_per_s
-    assert len(one.outbox) <= fleet.timing.max_datagrams_per_s
+        core.receive(fleet.addresses[1], datagram(1, kind=MessageKind.PING), now)
+    assert core.dropped[DropReason.FLOOD] >= 1000 - fleet.timing.max_datagrams_per_s
+    assert sum(len(data) for _, data in core.outbox) <= fleet.timing.max_bytes_per_s
+    assert len(core.outbox) <= fleet.timing.max_datagrams_per_s
 
 
-def test_a_roster_that_grows_and_shrinks() -> None:
+def test_change_roster_adds_and_removes_members() -> None:
     fleet = settled_cluster(4, 1)
     longer = [*fleet.addresses, ("10.0.1.4", 7946)]
     for member in fleet.members:
@@ -116,10 +116,10 @@
             Roster(fleet.addresses[:3], member.number), fleet.world.now
         )
     assert set(core_of(fleet, 0).view.members) == {1, 2}
-    fleet.world.run(fleet.world.now + 5.0)  # 3 goes on talking: a stranger
+    fleet.world.run(fleet.world.now + 5.0)  # member 3 goes on sending and counts as a stranger
     assert core_of(fleet, 0).dropped[DropReason.STRANGER] > 0
     assert set(core_of(fleet, 0).view.members) == {1, 2}
-    # One that starts with the shorter roster says the same as those that heard of 3.
+    # A member that starts with the shorter roster has the same table as those that knew member 3.
     fleet.members[1].kill()
     fleet.members[1].start(Roster(fleet.addresses[:3], 1))
     fleet.world.run(fleet.world.now + 10.0)
--- a/tests/membership/test_duplicate_identity.py
+++ b/tests/membership/test_duplicate_identity.py
@@ -10,10 +10,10 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_two_processes_of_one_number_both_say_so(seed: int) -> None:
-    """A second process runs under a member's number, and either may get a datagram to it.
+def test_two_processes_under_one_number_both_report_duplicated(seed: int) -> None:
+    """A second process runs under a member's number, and each datagram reaches either of them.
 
-    Both must say so while both run, and the one that is left must become healthy again.
+    Both must report it while both run, and the one that remains must become healthy again.
     """
     fleet = settled_cluster(6, seed)
     twin = fleet.twins[4] = Member(fleet, 4)
@@ -30,7 +30,7 @@
     )
 
 
-def test_a_restart_is_not_taken_for_a_second_process() -> None:
+def test_a_restart_does_not_count_as_a_second_process() -> None:
     """A member restarts five times, half a second after each crash."""
     fleet = settled_cluster(6, 1)
     for _ in range(5):
--- a/tests/membership/test_indirect_probe.py
+++ b/tests/membership/test_indirect_probe.py
@@ -1,4 +1,4 @@
-"""Probing on behalf of others."""
+"""Indirect probes on behalf of other members."""
 
 from __future__ import annotations
 
@@ -30,12 +30,14 @@
     return message(MessageKind.PING_REQ, REQUESTER, 77, about)
 
 
-def test_an_answer_is_passed_on_under_the_requesters_sequence() -> None:
+def test_an_ack_is_forwarded_with_the_requesters_sequence() -> None:
     _, sender, probes = make()
     probes.request(request(), 0.0)
     ping = decode(sender.outbox[-1].data)
     assert (sender.outbox[-1].target, ping.kind) == (TARGET, MessageKind.PING)
-    probes.acknowledged(message(MessageKind.ACK, 3, ping.sequence), 0.1)  # another member's
+    probes.acknowledged(
+        message(MessageKind.ACK, 3, ping.sequence), 0.1
+    )  # from a member that was not probed
     assert len(probes) == 1
     probes.acknowledged(message(MessageKind.ACK, TARGET, ping.sequence), 0.1)
     answer = decode(sender.outbox[-1].data)
@@ -44,8 +46,8 @@
     assert not len(probes) and probes.next_due() is None
 
 
-def test_silence_is_answered_by_one_nack_and_forgotten() -> None:
-    """The NACK tells the requester that its own network is fine."""
+def test_an_unanswered_probe_leads_to_one_nack_and_is_dropped() -> None:
+    """The NACK shows the requester that its own network works."""
     _, sender, probes = make()
     probes.request(request(), 0.0)
     while len(probes):
@@ -56,8 +58,8 @@
     assert kinds == [MessageKind.PING, MessageKind.NACK]
 
 
-def test_a_flood_of_requests_is_bounded_and_counted() -> None:
-    """A member asks for a thousand indirect probes: this one's state must not grow with them."""
+def test_requests_beyond_the_limit_are_dropped_and_counted() -> None:
+    """A member requests a thousand indirect probes; the state must not grow with them."""
     state, _, probes = make()
     for _ in range(1000):
         probes.request(request(), 0.0)
@@ -65,7 +67,7 @@
     assert state.dropped[DropReason.BUSY] == 1000 - MAX_IN_FLIGHT
 
 
-def test_a_request_about_nobody_or_about_oneself_is_counted() -> None:
+def test_a_request_about_an_unknown_member_or_the_receiver_is_counted() -> None:
     state, sender, probes = make()
     probes.request(request(about=9), 0.0)
     probes.request(request(about=0), 0.0)
--- a/tests/membership/test_local_health.py
+++ b/tests/membership/test_local_health.py
@@ -1,4 +1,4 @@
-"""Local health: a member with a fault of its own blames nobody."""
+"""Local health: a member with a fault of its own declares no other member faulty."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_stopped_process_suspects_nobody_when_it_goes_on(seed: int) -> None:
-    """A process is stopped for ten seconds, and its timers fire before it has read its socket.
+def test_a_stopped_process_suspects_no_member_after_it_resumes(seed: int) -> None:
+    """A process is stopped for ten seconds, and its timers fire before it reads its socket.
 
-    It must not take the answers that lie there for missing.
+    It must not count answers as missing that are still unread in the socket.
     """
     fleet = settled_cluster(12, seed)
     fleet.members[4].stop()
@@ -31,19 +31,19 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_slow_member_makes_no_healthy_member_faulty(seed: int) -> None:
-    """Each step and each datagram of one member comes up to 0.6 s late for a minute."""
+    """Each tick and each datagram of one member is up to 0.6 s late for a minute."""
     fleet = settled_cluster(12, seed)
     random = fleet.world.random
-    fleet.members[4].lag = lambda: random.random() * 0.6  # each of its steps, and each datagram
+    fleet.members[4].lag = lambda: random.random() * 0.6
     fleet.world.run(fleet.world.now + 60.0)
     assert not [(a, b) for a, b in declared_faulty(fleet) if b != 4]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_member_that_hears_nobody_is_isolated_and_declares_nobody_faulty(seed: int) -> None:
-    """A member can send and not receive.
+def test_a_member_that_receives_nothing_is_isolated_and_declares_none_faulty(seed: int) -> None:
+    """A member can send but not receive.
 
-    To the others it is faulty; it cannot know whether they are, and says so.
+    The others must count it as faulty; it must count itself as isolated and them as not faulty.
     """
     fleet = settled_cluster(12, seed)
     others = set(range(12)) - {3}
@@ -51,14 +51,14 @@
     fleet.world.run(fleet.world.now + 15.0)
     assert core_of(fleet, 3).view.self_state is HealthState.ISOLATED
     assert not [b for a, b in declared_faulty(fleet) if a == 3]
-    assert fleet.agreed(others, others)  # it can send, and not hear: to the others it is gone
+    assert fleet.agreed(others, others)  # the others count it as faulty
     fleet.world.cut(others, {3}, on=False)
     assert fleet.until(fleet.agreed, 15.0) is not None
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_member_that_nobody_hears_declares_nobody_faulty(seed: int) -> None:
-    """A member can receive and not send, so nobody answers its probes."""
+def test_a_member_that_cannot_send_declares_none_faulty(seed: int) -> None:
+    """A member can receive but not send, so its probes stay unanswered."""
     fleet = settled_cluster(12, seed)
     others = set(range(12)) - {3}
     fleet.world.cut({3}, others)
@@ -70,7 +70,7 @@
 
 
 @given(st.lists(st.booleans(), max_size=60))
-def test_datagram_loss_is_noticed_soon_and_forgotten(repeated: list[bool]) -> None:
+def test_loss_estimates_stay_in_range_and_decay(repeated: list[bool]) -> None:
     health = LocalHealth(0.2, 3.0, 2.0, 2)
     for i, one in enumerate(repeated):
         health.record_answer(float(i), one)
--- a/tests/membership/test_many_faults.py
+++ b/tests/membership/test_many_faults.py
@@ -1,8 +1,8 @@
-"""Twelve gateway processes through the harder faults, with an account of all requests for each.
+"""Twelve gateway processes under combined faults, with every request accounted for.
 
-A bridge that flaps between three parts, a part of a core, a start of all under load, and what a
-broadcast changes. As in `test_processes.py` waits are for the views to say something, and no timing
-is judged.
+Covers a flapping partition into three parts, a gateway with little CPU time, crashes and restarts
+under load, and a growing roster, partly with broadcast. As in `test_processes.py` the tests wait
+for the views to reach a state and check no timing.
 """
 
 from __future__ import annotations
@@ -38,126 +38,126 @@
 
 @pytest.mark.parametrize("broadcast", [False, True], ids=["one by one", "broadcast"])
 @on_loop_within(60.0)
-async def test_a_bridge_that_flaps_between_three_parts_ends_nobody_on_the_own_side(
+async def test_a_flapping_partition_makes_no_member_of_the_own_part_faulty(
     tmp_path: Path, broadcast: bool
 ) -> None:
-    """The middle part is heard by one of the others, then by the other, then by none, and again."""
+    """The middle of three parts is connected to one, then to the other, twice; then to none."""
     left, middle, right = PARTS
-    async with environment(tmp_path, broadcast) as on:
-        await until(agreed(on, range(SIZE)))
-        before = marks(on, range(SIZE))
-        loads = [on.load(part[0]) for part in PARTS]
+    async with environment(tmp_path, broadcast) as env:
+        await until(agreed(env, range(SIZE)))
+        before = marks(env, range(SIZE))
+        loads = [env.load(part[0]) for part in PARTS]
         running = [asyncio.ensure_future(load.open_loop(steady(20.0, 12.0))) for load in loads]
         for _ in range(2):
-            await on.relay.apart([*left, *middle], right)
-            await until(agreed(on, [*left, *middle]))
-            await on.relay.apart(left, [*middle, *right])
-            await until(agreed(on, [*middle, *right]))
-            await until(agreed(on, left))
-        await on.relay.apart(*PARTS)
+            await env.relay.apart([*left, *middle], right)
+            await until(agreed(env, [*left, *middle]))
+            await env.relay.apart(left, [*middle, *right])
+            await until(agreed(env, [*middle, *right]))
+            await until(agreed(env, left))
+        await env.relay.apart(*PARTS)
         for part in PARTS:
-            await until(agreed(on, part))
+            await until(agreed(env, part))
         for part in PARTS:
-            assert {pair for pair in ended(on, part, before) if pair[1] in part} == set()
-        before = marks(on, range(SIZE))
-        await on.relay.rule()
-        await until(agreed(on, range(SIZE)))
-        assert ended(on, range(SIZE), before) == set()
+            assert {pair for pair in ended(env, part, before) if pair[1] in part} == set()
+        before = marks(env, range(SIZE))
+        await env.relay.rule()
+        await until(agreed(env, range(SIZE)))
+        assert ended(env, range(SIZE), before) == set()
         await asyncio.gather(*running)
-        await accounted(on, *loads)
+        await accounted(env, *loads)
 
 
 @on_loop
-async def test_a_gateway_with_a_fifth_of_a_core_declares_nobody_faulty(tmp_path: Path) -> None:
+async def test_a_gateway_with_a_fifth_of_a_core_declares_no_member_faulty(tmp_path: Path) -> None:
     """One of twelve gateways gets a fifth of a core for eight seconds under load."""
-    async with environment(tmp_path, broadcast=False) as on:
-        await until(agreed(on, range(SIZE)))
-        before = marks(on, range(SIZE))
-        await on.ration(0.2, 4)
-        load = on.load(0)  # the others', for the slow one cannot keep aims
+    async with environment(tmp_path, broadcast=False) as env:
+        await until(agreed(env, range(SIZE)))
+        before = marks(env, range(SIZE))
+        await env.ration(0.2, 4)
+        load = env.load(0)  # of another gateway, as the slow one cannot meet latency objectives
         await load.open_loop(steady(20.0, 8.0))
-        assert {pair for pair in ended(on, range(SIZE), before) if pair[1] != 4} == set()
-        await on.end_rations()
-        await until(agreed(on, range(SIZE)))
-        await accounted(on, load)
+        assert {pair for pair in ended(env, range(SIZE), before) if pair[1] != 4} == set()
+        await env.end_rations()
+        await until(agreed(env, range(SIZE)))
+        await accounted(env, load)
 
 
 @on_loop
 async def test_eight_of_twelve_killed_under_load_with_broadcast(
     tmp_path: Path,
 ) -> None:
-    """Eight of twelve are killed under load where one datagram reaches all, and start again."""
-    async with environment(tmp_path, broadcast=True) as on:
-        await until(agreed(on, range(SIZE)))
+    """Eight of twelve gateways with broadcast are killed under load and started again."""
+    async with environment(tmp_path, broadcast=True) as env:
+        await until(agreed(env, range(SIZE)))
         left = range(8, SIZE)
-        loads = [on.load(number) for number in left]
+        loads = [env.load(number) for number in left]
         running = [asyncio.ensure_future(load.open_loop(steady(20.0, 6.0))) for load in loads]
         for number in range(8):
-            on.gateways[number].kill()
-        await until(agreed(on, left))
-        await until(lambda: {view(on, n).part for n in left} == {(i, 4) for i in range(4)})  # type: ignore[union-attr]
-        counts = (await on.relay.send_command(rules=[]))["counts"]
+            env.gateways[number].kill()
+        await until(agreed(env, left))
+        await until(lambda: {view(env, n).part for n in left} == {(i, 4) for i in range(4)})  # type: ignore[union-attr]
+        counts = (await env.relay.send_command(rules=[]))["counts"]
         assert counts["to all"] > 0
         await asyncio.gather(*running)
-        # All at once again, from nothing, while the others serve.
-        again = [on.load(number, prefix=f"b{number}-") for number in left]
+        # Restart all eight at once, without their state, while the others serve requests.
+        again = [env.load(number, prefix=f"b{number}-") for number in left]
         running = [asyncio.ensure_future(load.open_loop(steady(20.0, 6.0))) for load in again]
-        await asyncio.gather(*(gateway.stop() for gateway in on.gateways[:8]))
-        before = marks(on, left)
-        await asyncio.gather(*(gateway.start() for gateway in on.gateways[:8]))
-        await until(agreed(on, range(SIZE)))
-        assert ended(on, left, before) == set()
+        await asyncio.gather(*(gateway.stop() for gateway in env.gateways[:8]))
+        before = marks(env, left)
+        await asyncio.gather(*(gateway.start() for gateway in env.gateways[:8]))
+        await until(agreed(env, range(SIZE)))
+        assert ended(env, left, before) == set()
         await asyncio.gather(*running)
-        await accounted(on, *loads, *again)
+        await accounted(env, *loads, *again)
 
 
 @on_loop
-async def test_a_killed_gateway_comes_back_with_broadcast_and_nobody_else_is_missed(
+async def test_a_killed_gateway_rejoins_with_broadcast_and_no_other_is_declared_faulty(
     tmp_path: Path,
 ) -> None:
-    """Where one datagram reaches all: what they hold of it changes, and of nobody else."""
-    async with environment(tmp_path, broadcast=True) as on:
-        await until(agreed(on, range(SIZE)))
-        before = marks(on, range(SIZE))
-        on.gateways[5].kill()
-        await until(agreed(on, set(range(SIZE)) - {5}))
-        told = {n: view(on, n) for n in range(SIZE) if n != 5}
-        assert all(one is not None and 5 in standing(one)["gone"] for one in told.values())
-        assert {number for _, number in ended(on, told, before)} == {5}
-        await on.gateways[5].stop()
-        await on.gateways[5].start()
-        await until(agreed(on, range(SIZE)))
-        load = on.load(5)
+    """With broadcast the others change their status of the killed gateway and of no other."""
+    async with environment(tmp_path, broadcast=True) as env:
+        await until(agreed(env, range(SIZE)))
+        before = marks(env, range(SIZE))
+        env.gateways[5].kill()
+        await until(agreed(env, set(range(SIZE)) - {5}))
+        views = {n: view(env, n) for n in range(SIZE) if n != 5}
+        assert all(one is not None and 5 in standing(one)["gone"] for one in views.values())
+        assert {number for _, number in ended(env, views, before)} == {5}
+        await env.gateways[5].stop()
+        await env.gateways[5].start()
+        await until(agreed(env, range(SIZE)))
+        load = env.load(5)
         await load.open_loop(steady(20.0, 1.0))
-        await accounted(on, load)
+        await accounted(env, load)
 
 
 @on_loop_within(60.0)
-async def test_a_roster_that_grows_by_reload_one_gateway_after_the_other(tmp_path: Path) -> None:
-    """Four know of four, and a fifth starts while only some have read the longer roster."""
+async def test_a_roster_that_grows_by_reloads_at_different_times(tmp_path: Path) -> None:
+    """A fifth gateway starts while only two of the other four have read the longer roster."""
     async with Environment(
         tmp_path, REQUEST_CLASSES, 6, delay=0.01, gateways=5, fleet=USED, broadcast=True, later=1
-    ) as on:
-        longer = {n: on.relay.peers[n] for n in range(5)}
+    ) as env:
+        longer = {n: env.relay.peers[n] for n in range(5)}
         for n in range(4):
-            on.gateways[n].reconfigure(peers=longer[n][:4])
-            on.gateways[n].reload()
-        await until(agreed(on, range(4)))
-        loads = [on.load(n) for n in range(4)]
+            env.gateways[n].reconfigure(peers=longer[n][:4])
+            env.gateways[n].reload()
+        await until(agreed(env, range(4)))
+        loads = [env.load(n) for n in range(4)]
         running = [asyncio.ensure_future(load.open_loop(steady(20.0, 8.0))) for load in loads]
         for n in (0, 1):
-            on.gateways[n].reconfigure(peers=longer[n])
-            on.gateways[n].reload()
-        await until(lambda: all(4 in standing(view(on, n)).get("unknown", set()) for n in (0, 1)))  # type: ignore[arg-type]
-        await on.start_later()
-        # To the others it is a stranger, and what they are told of it is of an unknown member.
-        await until(lambda: all(4 in standing(view(on, n)).get("alive", set()) for n in (0, 1)))  # type: ignore[arg-type]
-        await until(lambda: view(on, 2).dropped.get("stranger", 0) > 0)  # type: ignore[union-attr]
-        before = marks(on, range(5))
+            env.gateways[n].reconfigure(peers=longer[n])
+            env.gateways[n].reload()
+        await until(lambda: all(4 in standing(view(env, n)).get("unknown", set()) for n in (0, 1)))  # type: ignore[arg-type]
+        await env.start_later()
+        # Gateways 2 and 3 drop its datagrams (stranger) and updates about it (unknown member).
+        await until(lambda: all(4 in standing(view(env, n)).get("alive", set()) for n in (0, 1)))  # type: ignore[arg-type]
+        await until(lambda: view(env, 2).dropped.get("stranger", 0) > 0)  # type: ignore[union-attr]
+        before = marks(env, range(5))
         for n in (2, 3):
-            on.gateways[n].reconfigure(peers=longer[n])
-            on.gateways[n].reload()
-        await until(agreed(on, range(5)))
-        assert ended(on, range(5), before) == set()
+            env.gateways[n].reconfigure(peers=longer[n])
+            env.gateways[n].reload()
+        await until(agreed(env, range(5)))
+        assert ended(env, range(5), before) == set()
         await asyncio.gather(*running)
-        await accounted(on, *loads)
+        await accounted(env, *loads)
--- a/tests/membership/test_other_detectors.py
+++ b/tests/membership/test_other_detectors.py
@@ -1,4 +1,4 @@
-"""The other failure detectors that are measured beside: they do what their papers say."""
+"""Reference failure detectors for comparison behave as their papers describe."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 ROSTER = Roster([("10.0.0.0", 1), ("10.0.0.1", 1)], 0)
 
 
-def settled(way: Any, size: int, seed: int = 1) -> Fleet:
-    fleet = Fleet(World(seed, Link(loss=0.05)), size, Timing(), way)
+def settled(detector: Any, size: int, seed: int = 1) -> Fleet:
+    fleet = Fleet(World(seed, Link(loss=0.05)), size, Timing(), detector)
     fleet.start(within_s=1.0)
     assert fleet.until(fleet.agreed, 20.0) is not None
     fleet.world.run(fleet.world.now + 5.0)
     return fleet
 
 
-@pytest.mark.parametrize("way", [Heartbeats, Phi, Cuts])
+@pytest.mark.parametrize("detector", [Heartbeats, Phi, Cuts])
 @pytest.mark.parametrize("size", [5, 12])
-def test_a_crash_is_seen_by_all_and_nothing_else(way: Any, size: int) -> None:
-    fleet = settled(way, size)
+def test_all_members_detect_a_crash_and_declare_no_other_faulty(detector: Any, size: int) -> None:
+    fleet = settled(detector, size)
     fleet.members[1].kill()
     assert fleet.until(fleet.agreed, 15.0) is not None
     assert {c.number for m in fleet.members for c in m.history if c.kind == "gone"} == {1}
@@ -37,7 +37,7 @@
     assert fleet.until(fleet.agreed, 15.0) is not None
 
 
-def test_phi_grows_with_silence_and_learns_the_intervals() -> None:
+def test_phi_grows_with_silence_relative_to_the_intervals() -> None:
     def phi_after(interval_s: float, silent_s: float) -> float:
         phi = Phi(ROSTER, Timing(), 0.0, lambda: 0.0, 1)
         for i in range(50):
@@ -46,12 +46,14 @@
         return phi.phi(1, silent_s + PAUSE_PERIODS * 2 * Timing().period_s)
 
     assert phi_after(1.0, 0.5) < phi_after(1.0, 1.0) < phi_after(1.0, 1.5)
-    assert phi_after(1.0, 1.0) == pytest.approx(0.30, abs=0.01)  # as likely as not
+    assert phi_after(1.0, 1.0) == pytest.approx(
+        0.30, abs=0.01
+    )  # -log10(0.5): the datagram is late with probability 1/2
     assert phi_after(2.0, 1.7) < THRESHOLD < phi_after(1.0, 1.7)
 
 
 def test_cut_detection_without_three_quarters_declares_nobody_faulty() -> None:
-    """Eight of twelve crash: with the rest alone no vote of three quarters comes about."""
+    """Eight of twelve crash, so the survivors cannot reach a vote of three quarters."""
     fleet = settled(Cuts, 12)
     for member in fleet.members[:8]:
         member.kill()
--- a/tests/membership/test_probe_burst.py
+++ b/tests/membership/test_probe_burst.py
@@ -1,4 +1,4 @@
-"""Bursts of direct-only probes: how many are sent and when, and what they are worth under loss."""
+"""Bursts of direct-only probes: their number and timing, and their effect under loss."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 from tests.membership.clusters import core_of, declared_faulty, settled_cluster
 
 
-def probes_received(dead: float) -> float:
-    """How many probes one member gets from all others together, with so many of them faulty."""
-    burst, now, asked = ProbeBurst(), 10.0, 0.0
+def probes_received(faulty_fraction: float) -> float:
+    """Return the probes one member receives in a burst while a fraction of all is faulty."""
+    burst, now, probes_per_sender = ProbeBurst(), 10.0, 0.0
     burst.begin(now)
     while burst.is_active(now):
         if burst.is_due(now):
-            share = burst.step(now)
-            asked += share
+            count = burst.step(now)
+            probes_per_sender += count
             for i in range(100):
-                burst.record_result(answered=i >= 100 * dead)
+                burst.record_result(answered=i >= 100 * faulty_fraction)
         now += STEP_S / 4
-    return asked * (1 - dead)
+    return probes_per_sender * (1 - faulty_fraction)
 
 
-def test_each_survivor_probes_more_the_fewer_answer() -> None:
-    for dead in (0.0, 0.3, 0.7, 0.9):
-        assert 0.7 * PROBES_PER_MEMBER < probes_received(dead) < 1.5 * PROBES_PER_MEMBER
+def test_each_survivor_sends_more_probes_the_fewer_members_answer() -> None:
+    for fraction in (0.0, 0.3, 0.7, 0.9):
+        assert 0.7 * PROBES_PER_MEMBER < probes_received(fraction) < 1.5 * PROBES_PER_MEMBER
 
 
 @given(st.lists(st.floats(0.0, 3.0), max_size=200))
-def test_bursts_end_and_rest(waits: list[float]) -> None:
-    """Suspicions whenever they come: it never lasts longer than a burst, and rests after each."""
+def test_bursts_have_limited_length_and_a_minimum_interval(waits: list[float]) -> None:
+    """Suspicions at any times neither extend a burst nor start one within `REST_S` after it."""
     burst, now, began = ProbeBurst(), 0.0, float("-inf")
     for wait in waits:
         now += wait
@@ -51,8 +51,8 @@
         assert 0.0 < burst.gossip_fraction(now, 0.8) <= 0.8
 
 
-def test_mass_failure_is_seen_without_one_healthy_member_declared_faulty() -> None:
-    """42 of 60 members crash at once: the others find just these faulty, within the send budget."""
+def test_mass_failure_is_detected_and_no_healthy_member_declared_faulty() -> None:
+    """42 of 60 members crash at once; the others declare just these faulty, within the budget."""
     for seed in (1, 2):
         fleet = settled_cluster(60, seed, 0.05)
         since, dead = fleet.world.now, set(range(42))
@@ -63,15 +63,15 @@
         assert all(m.peak_bytes <= fleet.timing.max_bytes_per_s for m in fleet.running())
 
 
-def test_an_isolated_member_begins_no_burst() -> None:
-    """A member is cut off for 4 s: when it is back, it must not suspect half of the cluster."""
+def test_an_isolated_member_starts_no_burst() -> None:
+    """A member is cut off for 4 s and must not suspect half of the cluster when it returns."""
     fleet = settled_cluster(60, 1, 0.05)
     others = set(range(60)) - {7}
     fleet.world.cut({7}, others)
     fleet.world.cut(others, {7})
     since = fleet.world.now
     fleet.world.run(since + 4.0)
-    # It has probed in turn and nobody answered; a burst would suspect half of the cluster.
+    # Its round-robin probes were unanswered; a burst would make it suspect half of the cluster.
     assert len(core_of(fleet, 7).state.suspicions) < 8
     fleet.world.cut({7}, others, on=False)
     fleet.world.cut(others, {7}, on=False)
@@ -79,8 +79,8 @@
     assert not [number for _, number in declared_faulty(fleet, since) if number != 7]
 
 
-def test_sudden_loss_turns_few_probes_of_a_burst_into_suspicions() -> None:
-    """A third of the datagrams gets lost from one moment on, while many are suspected."""
+def test_few_members_are_declared_faulty_after_sudden_loss_in_a_burst() -> None:
+    """Loss rises to 30% at once, so that many members are suspected."""
     fleet = settled_cluster(60, 3, 0.05)
     fleet.world.every.loss = 0.3
     since = fleet.world.now
--- a/tests/membership/test_refutation.py
+++ b/tests/membership/test_refutation.py
@@ -1,4 +1,4 @@
-"""Refutation: false reports, however far their incarnation."""
+"""Refutation of false reports with any incarnation."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from tests.membership.clusters import core_of, datagram, declared_faulty, settled_cluster
 
 
-def test_a_liar_makes_no_healthy_member_faulty() -> None:
-    """One member says again and again for half a minute that all others are faulty."""
+def test_false_reports_of_one_member_make_no_healthy_member_faulty() -> None:
+    """One member reports all others as faulty, again and again for 30 s."""
     fleet = settled_cluster(12, 1)
     end = fleet.world.now + 30.0
-    while fleet.world.now < end:  # 5 says again and again of all others that they are gone
+    while fleet.world.now < end:  # member 5 sends the false reports
         for target in range(12):
             if target != 5:
-                liar = core_of(fleet, 5)
-                lies = [
-                    Update(n, liar.table[n].incarnation, int(MemberState.FAULTY))
+                reporter = core_of(fleet, 5)
+                false_reports = [
+                    Update(n, reporter.table[n].incarnation, int(MemberState.FAULTY))
                     for n in range(12)
                     if n != 5
                 ]
-                fleet.carry(5, target, datagram(5, *lies))
+                fleet.carry(5, target, datagram(5, *false_reports))
         fleet.world.run(fleet.world.now + 1.0)
     assert not [pair for pair in declared_faulty(fleet) if pair[0] != 5]
 
@@ -44,10 +44,10 @@
     ],
 )
 def test_a_false_report_of_a_far_incarnation_can_still_be_refuted(incarnation: int) -> None:
-    """A member reports all others faulty in an incarnation far ahead, for ten seconds.
+    """A member reports all others as faulty in a much higher incarnation, for ten seconds.
 
-    It does so also to one that has just started and knows nothing. None of them may come so far
-    that nothing is left to refute with, and a true crash is still seen.
+    One of the receivers has just started and knows no incarnations. No member may be driven to an
+    incarnation from which it cannot refute, and a real crash must still be detected.
     """
     fleet = settled_cluster(6, 1)
     fleet.members[0].kill()
@@ -56,8 +56,8 @@
     end = fleet.world.now + 10.0
     while fleet.world.now < end:
         for target in (0, 1, 2, 3, 4):
-            lies = [Update(n, incarnation, int(MemberState.FAULTY)) for n in range(5)]
-            fleet.carry(5, target, datagram(5, *lies))
+            false_reports = [Update(n, incarnation, int(MemberState.FAULTY)) for n in range(5)]
+            fleet.carry(5, target, datagram(5, *false_reports))
         fleet.world.run(fleet.world.now + 0.5)
     assert not [pair for pair in declared_faulty(fleet) if pair[0] != 5 and pair[1] != 0]
     assert fleet.until(lambda: fleet.agreed(range(5), range(6)), 20.0) is not None
@@ -70,16 +70,18 @@
             core_of(fleet, 1).dropped[DropReason.INCARNATION_JUMP] > 0
             and core_of(fleet, 1).incarnation < 100
         )
-    fleet.members[2].kill()  # what is true is still seen, and comes back from nothing
+    fleet.members[
+        2
+    ].kill()  # a real crash is still detected, and the member rejoins without its state
     assert fleet.until(lambda: fleet.agreed([0, 1, 3, 4], [0, 1, 3, 4, 5]), 20.0) is not None
     fleet.members[2].start()
     assert fleet.until(lambda: fleet.agreed(range(5), range(6)), 20.0) is not None
 
 
-def test_a_restarted_member_with_a_far_incarnation_believes_two_reports_and_not_one() -> None:
-    """A member that got very far by refutations crashes and restarts with incarnation 1.
+def test_a_restarted_member_accepts_a_far_incarnation_only_from_two_reporters() -> None:
+    """A member with a very high incarnation crashes and restarts with incarnation 1.
 
-    What is said of its old run is not credible to it, until two members say the same.
+    Reports on its old run are not credible to it until two members have sent them.
     """
     fleet = settled_cluster(6, 1)
     far = PLAUSIBLE_INCARNATION + 50 * MAX_INCARNATION_JUMP
--- a/tests/membership/test_schedules.py
+++ b/tests/membership/test_schedules.py
@@ -1,4 +1,4 @@
-"""Schedules of faults drawn by seed: invariants hold, and faults planted in the core are found."""
+"""Random schedules of faults: invariants hold, and faults injected into the core are found."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("broadcast", [False, True])
 @pytest.mark.parametrize("size", [3, 7])
-def test_invariants_hold_whatever_the_schedule(size: int, broadcast: bool) -> None:
+def test_invariants_hold_for_random_schedules(size: int, broadcast: bool) -> None:
     for seed in SEEDS:
         assert broken(draw(seed, size, 8, broadcast)) == "", f"seed {seed}"
 
@@ -37,8 +37,8 @@
 @pytest.mark.parametrize(
     "schedule",
     [
-        # Cut off for 3 s, with three suspects of its own: short waits ended a sound one before it
-        # had noticed.
+        # A member with three suspects of its own is cut off for 3 s. With the short timeouts of a
+        # mass failure it declared a healthy member faulty before it detected its isolation.
         Schedule(
             5100,
             7,
@@ -50,30 +50,31 @@
                 Step(3.18, "go_on", (4,)),
             ),
         ),
-        # A heal: what the other side only suspected so far was reported faulty soon, and believed.
+        # A partition heals. Members that the other side still suspected at that time were soon
+        # reported as faulty, and the report was accepted at once.
         Schedule(1014, 7, (Step(1.67, "whole"), Step(3.81, "apart", (4, 5)), Step(4.89, "whole"))),
     ],
 )
-def test_schedules_that_once_broke_an_invariant(schedule: Schedule) -> None:
+def test_schedules_that_broke_an_invariant_before_a_fix(schedule: Schedule) -> None:
     assert broken(schedule) == ""
 
 
-def test_a_schedule_is_the_same_run_each_time_and_can_be_kept() -> None:
+def test_a_schedule_is_reproducible_and_can_be_written_and_read() -> None:
     schedule = draw(7, 5, 6)
     assert read_schedule(write_schedule(schedule)) == schedule == draw(7, 5, 6) != draw(8, 5, 6)
     with pytest.raises(msgspec.ValidationError):
         read_schedule(write_schedule(schedule).replace('"act"', '"acts"'))
 
 
-def test_a_kept_schedule_has_the_field_names_that_it_was_written_with() -> None:
-    kept = """{"seed": 3, "size": 4, "aloud": true, "steps":
+def test_a_stored_schedule_keeps_its_field_names() -> None:
+    stored = """{"seed": 3, "size": 4, "aloud": true, "steps":
         [{"after_s": 1.5, "act": "kill", "members": [2], "loss": 0.0}]}"""
     schedule = Schedule(3, 4, (Step(1.5, "kill", (2,)),), broadcast=True)
-    assert read_schedule(kept) == schedule
-    assert json.loads(write_schedule(schedule)) == json.loads(kept)
+    assert read_schedule(stored) == schedule
+    assert json.loads(write_schedule(schedule)) == json.loads(stored)
 
 
-def test_a_breaking_schedule_is_reduced_to_what_it_needs() -> None:
+def test_a_breaking_schedule_is_reduced_to_the_necessary_steps() -> None:
     def breaks(schedule: Any) -> bool:
         kills = [step for step in schedule.steps if step.act == "kill" and 2 in step.members]
         return bool(kills) and any(step.act == "loss" for step in schedule.steps)
@@ -97,7 +98,7 @@
 def _apply_at_once(
     self: MemberUpdates, number: int, status: MemberStatus, reporter: int, cause: Cause, now: float
 ) -> None:
-    """Another's word that a member is faulty is taken for a fact."""
+    """Accept a report that a member is faulty without a time for refutation."""
     state = self._state
     if state.table.merge(number, status):
         state.gossip_queue.put(number)
@@ -110,7 +111,7 @@
 
 
 def _keep_indirect_probes(self: IndirectProbes, now: float) -> None:
-    """What was asked of this gateway is never over."""
+    """Never end an indirect probe."""
     for probe in self._probes.values():
         probe.nack_at = probe.ends_at = 1e9
 
@@ -118,7 +119,7 @@
 def _bring_back(
     self: MemberUpdates, number: int, status: MemberStatus, reporter: int, cause: Cause, now: float
 ) -> None:
-    """Whoever is heard is said to have come back, though it did not say so itself."""
+    """Raise the incarnation of a faulty member that is heard, which only it may do itself."""
     known = self._state.table[number]
     if cause is Cause.HEARD and known.state is MemberState.FAULTY:
         status = MemberStatus(known.incarnation + 1, MemberState.ALIVE)
@@ -133,20 +134,20 @@
     cause: Cause,
     now: float,
 ) -> None:
-    """The time to refute a suspicion runs though nobody may have heard of it."""
+    """Start the timeout of a suspicion that no other member may have received."""
     _suspect(self, number, status, reporter, cause, now)
-    self._state.suspicions[number].others_know = True
+    self._state.suspicions[number].known_to_others = True
 
 
 def _never_probe_absent(self: RejoinProbes, now: float) -> None:
-    """The first probe of an absent member is the last."""
+    """Probe an absent member once and never again."""
     if self.next_at <= now:
         self.next_at = now + 1e9
 
 
 _apply, _suspect = MemberUpdates.apply, SuspicionTracker.suspect
 FAULTS: dict[str, tuple[Any, str, Any]] = {
-    "reports of oneself are not refuted": (Refutation, "consider", lambda *_: None),
+    "reports of oneself are not refuted": (Refutation, "handle_report", lambda *_: None),
     "a suspicion never ends": (
         Suspicion,
         "expires_at",
@@ -172,17 +173,17 @@
     "tables are not compared": (AntiEntropy, "compare", lambda *_: None),
     "a refutation keeps its incarnation": (refutation, "MAX_INCARNATION", 1),
 }
-# Found by other tests: without rounds of gossip updates still travel with probes, and without the
-# comparison of tables by gossip. Both cost time only, which no schedule judges.
-COST_TIME_ONLY = {"there are no rounds of gossip", "tables are not compared"}
-# Behind this one stand other guards: it takes few members and long schedules, 195 of them.
-LONG = {"an unhealthy member judges others"}
-
-
-@pytest.mark.parametrize("fault", [fault for fault in FAULTS if fault not in COST_TIME_ONLY])
-def test_a_planted_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    where, name, what = FAULTS[fault]
-    monkeypatch.setattr(where, name, what)
-    size, length = (5, 14) if fault in LONG else (7, 8)
-    found: Callable[[int], str] = lambda seed: broken(draw(seed, size, length))  # noqa: E731
-    assert any(found(seed) for seed in range(1000, 1200)), fault
+# Found by other tests. Without gossip rounds updates still spread by probes, and without table
+# comparison by gossip. Both faults only delay updates, which the schedules do not check.
+DELAY_ONLY = {"there are no rounds of gossip", "tables are not compared"}
+# Other checks mask this fault: finding it takes few members and 195 long schedules.
+NEEDS_LONG_SCHEDULES = {"an unhealthy member judges others"}
+
+
+@pytest.mark.parametrize("fault", [fault for fault in FAULTS if fault not in DELAY_ONLY])
+def test_schedules_find_an_injected_fault(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    target, attribute, replacement = FAULTS[fault]
+    monkeypatch.setattr(target, attribute, replacement)
+    size, length = (5, 14) if fault in NEEDS_LONG_SCHEDULES else (7, 8)
+    violation: Callable[[int], str] = lambda seed: broken(draw(seed, size, length))  # noqa: E731
+    assert any(violation(seed) for seed in range(1000, 1200)), fault
--- a/tests/membership/test_suspicions.py
+++ b/tests/membership/test_suspicions.py
@@ -1,4 +1,4 @@
-"""Suspicions: what another says is refuted in time."""
+"""Suspicions: reports by other members are refuted in time."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_healed_partition_makes_no_member_of_the_own_side_faulty(
+def test_healed_partition_declares_no_member_of_own_side_faulty(
     seed: int,
 ) -> None:
-    """A partition lasts until each side holds the whole other one faulty, and heals.
+    """A partition lasts until each side counts all members of the other as faulty, and heals.
 
-    Each side's word that members of the other are faulty must end nobody on their own side.
+    Reports from the other side must not make a gateway declare a member of its own side faulty.
     """
     fleet = settled_cluster(12, seed)
     one, other = set(range(5)), set(range(5, 12))
@@ -26,5 +26,5 @@
     fleet.world.cut(one, other, on=False)
     fleet.world.cut(other, one, on=False)
     assert fleet.until(fleet.agreed, 20.0) is not None
-    # The other side's word that one of the own side is gone, though it came first, ended nobody.
+    # Faulty reports from the other side arrived before the refutations and had no effect.
     assert not [(a, b) for a, b in declared_faulty(fleet, since) if (a in one) == (b in one)]
--- a/tests/membership/test_traces.py
+++ b/tests/membership/test_traces.py
@@ -1,7 +1,7 @@
-"""Seeded runs send and deliver the same datagrams at the same times as when recorded.
+"""Seeded runs send and deliver the same datagrams at the same times as in a recorded run.
 
-The hashes cover each datagram's bytes, sender, receiver and time. They were taken from the code of
-2026-12-03, before it was split into modules: a change of structure alone leaves them as they are.
+The hashes cover the bytes, sender, receiver and time of each datagram. They were recorded from the
+code of 2026-12-03, before it was split into modules; a refactoring must not change them.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Run(NamedTuple):
-    """A scenario by its seed and size, and what `play` gave for it."""
+    """Arguments of `play` and the recorded result."""
 
     seed: int
     size: int
@@ -34,7 +34,7 @@
 
 
 def play(seed: int, size: int, broadcast: bool) -> tuple[str, int]:
-    """Return trace and number of changes of all views, of a run with every kind of fault."""
+    """Return the trace and the number of view changes of a run with every kind of fault."""
     fleet = Fleet(
         World(seed, Link(loss=0.05, doubled=0.02)), size, everyone=EVERYONE if broadcast else None
     )
@@ -73,16 +73,16 @@
     leaving.core.leave(world.now)  # type: ignore[attr-defined]
     leaving._flush(leaving.core)
     leaving.kill()
-    dead = [member for member in fleet.members if member.number >= 3 * size // 10]
-    for member in dead:
+    killed = [member for member in fleet.members if member.number >= 3 * size // 10]
+    for member in killed:
         member.kill()
     wait(5.0)
-    for member in dead:
+    for member in killed:
         member.start()
     wait(5.0)
     return world.trace, sum(len(member.history) for member in fleet.members)
 
 
 @pytest.mark.parametrize("run", RUNS, ids=lambda run: f"seed {run.seed}, {run.size} members")
-def test_a_seeded_run_is_the_one_that_was_recorded(run: Run) -> None:
+def test_a_seeded_run_matches_the_recorded_one(run: Run) -> None:
     assert play(run.seed, run.size, run.broadcast) == (run.trace, run.changes)
--- a/tests/membership/test_walk.py
+++ b/tests/membership/test_walk.py
@@ -1,4 +1,4 @@
-"""All orders of delivery, loss and crash for three members, from moments of much activity."""
+"""All orders of delivery, loss and crash for three members, from states with much activity."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 
 
 @pytest.mark.parametrize("scene", SCENES)
-def test_invariants_hold_in_every_order_and_views_agree_afterwards(walk: Walk, scene: str) -> None:
+def test_invariants_hold_in_every_order_and_views_then_agree(walk: Walk, scene: str) -> None:
     begin = walk.scenes()[scene]
     walk.walk(begin, 3)
     walk.walk(begin, 6, closing=False)
     assert walk.states > 30 and walk.closed > 2
 
 
-def test_states_that_are_the_same_are_walked_once() -> None:
-    """What arrives at two members commutes."""
+def test_deliveries_to_two_members_commute() -> None:
+    """Both orders lead to one state, so that the walk visits it only once."""
     walk = Walk(3)
     at = walk.scenes()["settled"]
     while len({flight.target for flight in at.flights}) < 2:
@@ -50,8 +50,8 @@
     assert both(first, second) == both(second, first)
 
 
-def test_the_only_survivor_is_isolated_and_declares_nobody_faulty() -> None:
-    """Two of three members crash: the third cannot know whether it is cut off."""
+def test_the_only_survivor_is_isolated_and_declares_no_member_faulty() -> None:
+    """Two of three members crash; the third cannot tell this from being cut off itself."""
     walk = Walk(3)
     at = walk.scenes()["settled"]
     for number in (1, 2):
@@ -69,18 +69,18 @@
         "a refutation keeps its incarnation",
     ],
 )
-def test_a_planted_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_walk_finds_an_injected_fault(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     walk = Walk(3)
     scenes = walk.scenes()
-    where, name, what = FAULTS[fault]
-    monkeypatch.setattr(where, name, what)
+    target, attribute, replacement = FAULTS[fault]
+    monkeypatch.setattr(target, attribute, replacement)
     with pytest.raises(Broken) as caught:
         for begin in scenes.values():
             walk.walk(begin, 3)
     assert isinstance(caught.value.path, tuple)
 
 
-def test_the_random_numbers_are_evenly_spread_and_the_same_for_a_seed() -> None:
+def test_draws_are_uniform_and_reproducible_by_seed() -> None:
     draws, again = Draws(3), Draws(3)
     numbers = [draws() for _ in range(4000)]
     assert numbers == [again() for _ in range(4000)]
