--- a/tests/membership/clusters.py
+++ b/tests/membership/clusters.py
@@ -19,9 +19,9 @@
 
 
 def core_of(fleet: Fleet, number: int) -> Core:
-    core = fleet.members[number].core
-    assert isinstance(core, Core)
-    return core
+    member_core = fleet.members[number].core
+    assert isinstance(member_core, Core)
+    return member_core
 
 
 def declared_faulty(fleet: Fleet, since: float = 0.0) -> list[tuple[int, int]]:
--- a/tests/membership/test_schedules.py
+++ b/tests/membership/test_schedules.py
@@ -182,8 +182,8 @@
 
 @pytest.mark.parametrize("fault", [fault for fault in FAULTS if fault not in DELAY_ONLY])
 def test_schedules_find_an_injected_fault(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    target, attribute, replacement = FAULTS[fault]
-    monkeypatch.setattr(target, attribute, replacement)
+    patched, attribute, replacement = FAULTS[fault]
+    monkeypatch.setattr(patched, attribute, replacement)
     size, length = (5, 14) if fault in NEEDS_LONG_SCHEDULES else (7, 8)
     violation: Callable[[int], str] = lambda seed: broken(draw(seed, size, length))  # noqa: E731
     assert any(violation(seed) for seed in range(1000, 1200)), fault
--- a/tests/membership/test_walk.py
+++ b/tests/membership/test_walk.py
@@ -72,8 +72,8 @@
 def test_the_walk_finds_an_injected_fault(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     walk = Walk(3)
     scenes = walk.scenes()
-    target, attribute, replacement = FAULTS[fault]
-    monkeypatch.setattr(target, attribute, replacement)
+    patched, attribute, replacement = FAULTS[fault]
+    monkeypatch.setattr(patched, attribute, replacement)
     with pytest.raises(Broken) as caught:
         for begin in scenes.values():
             walk.walk(begin, 3)
