--- a/quillroad/membership/broadcast.py
+++ b/quillroad/membership/broadcast.py
@@ -1,4 +1,7 @@
-"""Announcing what only this member knows, by gossip and, where there is one, broadcast. Pure."""
+"""Announcing status changes that this member is the first to know.
+
+They are sent by gossip and, where the roster has a broadcast address, by broadcast. Does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,14 @@
 from quillroad.membership.state import LocalState
 from quillroad.membership.table_transfer import TableTransfer
 
-MIN_INTERVAL_S = 0.1  # between two broadcasts of one member
-CLUSTER_INTERVAL_S = 0.002  # between two broadcasts of the whole cluster: 500 a second
+MIN_BROADCAST_INTERVAL_S = 0.1  # between two broadcasts of one member
+CLUSTER_BROADCAST_INTERVAL_S = 0.002  # between two broadcasts of any members: 500 a second
 
 
 class Broadcaster:
-    """Members of whom this one has something new to say, until it was broadcast.
+    """Collects the members whose new status is yet to be broadcast, and broadcasts them.
 
-    Gossip goes on beside it, for members that a broadcast does not reach.
+    The same statuses are also gossiped, for members that a broadcast does not reach.
     """
 
     def __init__(
@@ -32,24 +35,26 @@
         self.pending: set[int] = set()
 
     def announce(self, number: int) -> None:
-        """Pass on this member's status, which others cannot have from elsewhere."""
+        """Queue a status that the others can learn only from this gateway."""
         self._state.gossip_queue.put(number)
         if self._state.roster.everyone is not None:
             self.pending.add(number)
 
     def next_due(self) -> float | None:
-        """Return when the next broadcast is due; None: there is nothing to say."""
+        """Return when the next broadcast is due, or None if nothing is pending."""
         return self._next_at if self.pending else None
 
     def step(self, now: float) -> None:
-        """Broadcast what is pending, if it is time."""
+        """Broadcast the pending statuses if a broadcast is due."""
         if self.pending and self._next_at <= now:
             self.flush(now)
 
     def flush(self, now: float) -> None:
-        """Broadcast what is pending: as updates, or as a part of the table."""
+        """Broadcast the pending statuses: as updates or, if many, as a part of the table."""
         state = self._state
-        interval_s = max(MIN_INTERVAL_S, state.cluster_size * CLUSTER_INTERVAL_S)
+        interval_s = max(
+            MIN_BROADCAST_INTERVAL_S, state.cluster_size * CLUSTER_BROADCAST_INTERVAL_S
+        )
         self._next_at = now + interval_s * (0.5 + state.draw())
         if len(self.pending) <= BULK_UPDATES:
             updates = tuple(state.update_of(n) for n in self.pending)
--- a/quillroad/membership/change_log.py
+++ b/quillroad/membership/change_log.py
@@ -1,4 +1,4 @@
-"""The file of changes, one JSON object a line, and the log lines about them."""
+"""The change log, a file with one JSON object per line, and the log lines about changes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class _LineFile:
-    """What structlog writes to."""
+    """The output that structlog writes lines to."""
 
     def __init__(self, files: FileWriter, path: Path) -> None:
         self._files = files
@@ -29,7 +29,10 @@
 
 
 class ChangeLog:
-    """Writes to `path`, None: to the log only. Each line names `gateway_index`."""
+    """Writes changes to the file `path`; if None, to the log only.
+
+    Each line of the file contains `gateway_index`.
+    """
 
     def __init__(self, files: FileWriter, path: Path | None, gateway_index: int) -> None:
         self._gateway_index = gateway_index
@@ -44,13 +47,13 @@
             )
 
     def record_position(self, position: GatewayPosition, self_state: str) -> None:
-        """Write that quotas are divided by another position."""
+        """Record the new position by which this gateway divides quotas."""
         self._write(
             "part", number=position.gateway_index, of=position.gateway_count, state=self_state
         )
 
     def record_changes(self, changes: Iterable[Change], own_number: int) -> None:
-        """Write changes of the view, and log those that an operator should see."""
+        """Record changes of the view, and log those that an operator should see."""
         for change in changes:
             self._write(
                 change.kind.value,
--- a/quillroad/membership/gossip.py
+++ b/quillroad/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Rounds of gossip: new updates go to a few random members each. Pure."""
+"""Gossip rounds: in each, queued updates are sent to a few random members. Does no I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Gossip:
-    """Sends a round's datagrams; updates travel piggybacked on all other datagrams, too."""
+    """Sends the datagrams of each round; other datagrams carry piggybacked updates as well."""
 
     def __init__(
         self, state: LocalState, sender: DatagramSender, tables: TableTransfer, burst: ProbeBurst
@@ -29,7 +29,7 @@
         state = self._state
         queue = state.gossip_queue
         fraction = self._burst.gossip_fraction(now, DEFERRABLE_FRACTION)
-        # Where a broadcast has said most of it already, one member a round is enough.
+        # A broadcast has already carried most of these updates, so one member a round is enough.
         broadcast_helps = len(queue) > BULK_UPDATES and state.roster.everyone is not None
         fanout = 1 if broadcast_helps else state.timing.gossip_fanout
         for number in state.sample(fanout, self._recipients(now)):
@@ -41,10 +41,10 @@
                 return
 
     def _recipients(self, now: float) -> list[int]:
-        """Return the unsuspected members; where many are suspected, those of them heard lately.
+        """Return the unsuspected members; in a mass failure, only those heard from recently.
 
-        Without this, most gossip of a mass failure goes to members that are faulty and not yet
-        suspected.
+        Otherwise most gossip in a mass failure would be sent to members that have failed but are
+        not suspected yet.
         """
         recipients = self._state.unsuspected()
         if len(self._state.suspicions) < MASS_FAILURE_SUSPECTS:
--- a/quillroad/membership/gossip_queue.py
+++ b/quillroad/membership/gossip_queue.py
@@ -1,8 +1,8 @@
-"""Which updates travel next: those sent least often first, each a bounded number of times. Pure.
+"""Queue of updates to gossip: those sent least often first, each a bounded number of times.
 
-An update that is sent a few times the logarithm of the cluster's size reaches all members but
-surely (Demers 1987, Das 2002), so what one member sends for it stays bounded however large the
-cluster is.
+An update that each member sends a few times the logarithm of the cluster size reaches all members
+with high probability (Demers 1987, Das 2002), so a member sends few copies of an update even in a
+large cluster. Does no I/O.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from collections.abc import Iterable
 from math import ceil, log10
 
-RETRANSMIT_FACTOR = 3  # sends of an update, in logarithms to the base ten of the cluster's size
+RETRANSMIT_FACTOR = 3  # sends of one update, times log10 of the cluster size
 
 
 class GossipQueue:
-    """The members whose status is to be passed on, each once, with how often it was."""
+    """Members whose status is to be gossiped, each with the number of times it was sent."""
 
     def __init__(self) -> None:
         self._transmits: dict[int, int] = {}
@@ -24,7 +24,7 @@
         return len(self._transmits)
 
     def put(self, number: int) -> None:
-        """This member's status has changed: begin anew with passing it on."""
+        """Queue a member's changed status, with its send count reset to zero."""
         self._transmits[number] = 0
 
     def all(self) -> list[int]:
@@ -32,23 +32,23 @@
         return list(self._transmits)
 
     def drop(self, number: int) -> None:
-        """Stop passing on this member's status."""
+        """Remove a member from the queue, if it is queued."""
         self._transmits.pop(number, None)
 
     def clear(self) -> None:
-        """Stop passing on anything."""
+        """Empty the queue."""
         self._transmits.clear()
 
     def has_unsent(self) -> bool:
-        """Whether an update has not been sent at all yet."""
+        """Whether a queued update has never been sent."""
         return any(transmits == 0 for transmits in self._transmits.values())
 
-    def pick(self, most: int) -> list[int]:
-        """Return `most` members at most, least often sent first."""
-        return heapq.nsmallest(most, self._transmits, key=self._transmits.__getitem__)
+    def pick(self, max_count: int) -> list[int]:
+        """Return up to `max_count` members, least often sent first."""
+        return heapq.nsmallest(max_count, self._transmits, key=self._transmits.__getitem__)
 
     def mark_sent(self, numbers: Iterable[int], cluster_size: int) -> None:
-        """Count one more send of each of these; those sent often enough leave the queue."""
+        """Count one send of each member's status; remove those that reached the send limit."""
         limit = RETRANSMIT_FACTOR * ceil(log10(cluster_size + 1))
         for number in numbers:
             if number in self._transmits:
--- a/quillroad/membership/live_count.py
+++ b/quillroad/membership/live_count.py
@@ -1,4 +1,4 @@
-"""Telling the engine and the source of hosts by how many gateways to divide their quotas."""
+"""Updates the gateway count by which the engine and the discovery source divide quotas."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LiveCountFollowers:
-    """The engine's subsets and the source's polling rounds, each if the settings say so."""
+    """The engine (subsets) and the discovery source (polling), each updated if so configured."""
 
     def __init__(self, configured: GatewayPosition) -> None:
         self._configured = configured
@@ -23,19 +23,25 @@
         self._source: Callable[[], Source] | None = None
 
     def attach(self, engine: Engine, source: Callable[[], Source]) -> None:
-        """Whom to tell; `source` returns the present one. Both know the configured position."""
+        """Set what to update; `source` returns the current source.
+
+        Both must have been started with the configured position.
+        """
         self._engine = engine
         self._source = source
-        self._known_subset = self._configured
+        self._known_subset_position = self._configured
         self._known_source = source()
-        self._known_rounds = self._configured
+        self._known_polling_position = self._configured
 
     def begin(self, hold_s: float) -> None:
-        """A view begins, from which `follow` takes the position."""
+        """Start deriving the position from the view.
+
+        The gateway count falls only once the view has been settled for `hold_s` seconds.
+        """
         self._division = QuotaDivision(self._configured, hold_s)
 
     def follow(self, view: View, now: float) -> bool:
-        """Take the position from the view; return whether it is another."""
+        """Take the position from the view; return whether it changed."""
         if self._division is None:
             return False
         before = self.position
@@ -43,24 +49,26 @@
         return self.position != before
 
     def reset(self) -> None:
-        """There is no view: back to the configured position."""
+        """Return to the configured position, because the view is no longer maintained."""
         self.position = self._configured
 
     def notify(self, settings: MembershipSettings) -> None:
-        """Tell each follower what it does not know yet.
+        """Pass each follower its position, if that differs from the last one passed.
 
-        That is another position, or a source that a reload put in the place of the last one, or
-        that it follows the configured position again.
+        This also covers a discovery source that a reload replaced, and a follower that a reload of
+        the settings returned to the configured position.
         """
         if self._engine is None or self._source is None:
             return
-        subset = self.position if settings.subset_follows else self._configured
-        if subset != self._known_subset:
-            self._known_subset = subset
-            self._engine.feed(GatewayCountChanged(subset.gateway_index, subset.gateway_count))
+        subset_position = self.position if settings.subset_follows else self._configured
+        if subset_position != self._known_subset_position:
+            self._known_subset_position = subset_position
+            self._engine.feed(
+                GatewayCountChanged(subset_position.gateway_index, subset_position.gateway_count)
+            )
         source = self._source()
-        rounds = self.position if settings.polling_follows else self._configured
-        if (source, rounds) != (self._known_source, self._known_rounds):
+        polling_position = self.position if settings.polling_follows else self._configured
+        if (source, polling_position) != (self._known_source, self._known_polling_position):
             self._known_source = source
-            self._known_rounds = rounds
-            source.set_gateway_count(rounds.gateway_index, rounds.gateway_count)
+            self._known_polling_position = polling_position
+            source.set_gateway_count(polling_position.gateway_index, polling_position.gateway_count)
--- a/quillroad/membership/quota_division.py
+++ b/quillroad/membership/quota_division.py
@@ -1,8 +1,9 @@
-"""By how many gateways to divide the quotas that they share. Pure.
+"""The number of gateways by which shared quotas are divided.
 
-The fewer gateways, the larger this one's quota: too many cost capacity that nobody uses, too few
-overload hosts. So the count rises at once, and falls only on a view that has been certain for a
-while; in doubt it is the configured one.
+The fewer gateways are counted, the larger this one's quota: a count that is too high leaves
+capacity unused, one that is too low overloads hosts. So the count rises at once, and falls only
+when the view has been certain for a while. A gateway that is isolated or slow uses the configured
+count. Does no I/O.
 """
 
 from __future__ import annotations
@@ -14,14 +15,18 @@
 
 
 class GatewayPosition(NamedTuple):
-    """This gateway is number `gateway_index`, from 0, of `gateway_count`."""
+    """The index of this gateway, from 0, among `gateway_count` gateways."""
 
     gateway_index: int
     gateway_count: int
 
 
 class QuotaDivision:
-    """`configured` is the position by the settings, `hold_s` how long a view has to be settled."""
+    """Derives this gateway's position from the view.
+
+    `configured` is the position of the settings; `hold_s` is how many seconds the view must have
+    been settled before the count may fall.
+    """
 
     def __init__(self, configured: GatewayPosition, hold_s: float) -> None:
         self._configured = configured
@@ -32,7 +37,7 @@
         """Return the position to use from now on."""
         configured = self._configured
         if view.self_state is HealthState.DUPLICATED:
-            # Without this, two processes under one number each use a whole quota and overload
+            # Otherwise two processes with the same number would each use a whole quota and overload
             # hosts.
             self.position = GatewayPosition(configured.gateway_index, 2 * configured.gateway_count)
         elif view.self_state is not HealthState.HEALTHY:
--- a/quillroad/membership/rate_limiter.py
+++ b/quillroad/membership/rate_limiter.py
@@ -1,33 +1,33 @@
-"""Bound on the bytes and datagrams that pass in any stretch of a second. Pure."""
+"""Limit on the bytes and datagrams in any period of one second. Does no I/O."""
 
 from __future__ import annotations
 
 from collections import deque
 
-WINDOW_S = 1.0  # the bound is promised for a second, wherever that begins
+WINDOW_S = 1.0  # the limits hold for every period of this length
 
 
 class RateLimiter:
-    """Sliding window over the last second: one for all sends, one for each sender read from."""
+    """Sliding-window limit: one instance for all sends, one for each member received from."""
 
     def __init__(self, max_bytes_per_s: int, max_datagrams_per_s: int) -> None:
         self.max_bytes_per_s = max_bytes_per_s
         self.max_datagrams_per_s = max_datagrams_per_s
         self._passed: deque[tuple[float, int]] = (
             deque()
-        )  # time and size; max_datagrams_per_s at most
+        )  # (time, bytes), max_datagrams_per_s entries at most
         self._bytes = 0
 
     def used_fraction(self, now: float) -> float:
-        """Return which part (0 to 1) of the bytes or datagrams is spent, whichever is more."""
+        """Return the used fraction (0 to 1) of the byte or datagram limit, whichever is larger."""
         self._forget_old(now)
         return max(self._bytes / self.max_bytes_per_s, len(self._passed) / self.max_datagrams_per_s)
 
     def try_acquire(self, size: int, now: float, fraction: float = 1.0) -> bool:
-        """Spend `size` bytes and one datagram, if no more than `fraction` of a bound is spent then.
+        """Count a datagram of `size` bytes, if use stays within `fraction` of both limits.
 
-        Less urgent traffic passes a smaller fraction, which leaves the rest to probes and their
-        answers.
+        Returns False, and counts nothing, otherwise. Less urgent traffic uses a smaller fraction,
+        which reserves the rest for probes and their answers.
         """
         self._forget_old(now)
         if (
@@ -41,7 +41,7 @@
 
     @property
     def entries(self) -> int:
-        """Datagrams remembered, `max_datagrams_per_s` at most."""
+        """Number of datagrams in the window, `max_datagrams_per_s` at most."""
         return len(self._passed)
 
     def _forget_old(self, now: float) -> None:
--- a/quillroad/membership/report.py
+++ b/quillroad/membership/report.py
@@ -1,4 +1,4 @@
-"""The report of a gateway's view, as JSON: its form, how it is made, and how it is read."""
+"""The report of a gateway's view: its JSON schema, writer and reader."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 import msgspec
 from msgspec import Struct, field
 
-if TYPE_CHECKING:  # a program that only reads reports does not need what makes them
+if TYPE_CHECKING:  # a program that only reads reports need not import the core
     from quillroad.membership.core import Core
     from quillroad.membership.quota_division import GatewayPosition
 
-NEVER_S = -1.0  # in place of seconds ago: never
+NEVER_S = -1.0  # seconds ago of an event that never happened
 
 
 class MemberLine(Struct):
-    """One member: `standing` is its state, `how` the cause, `by` the reporter.
+    """One member: `standing` is its state, `how` the cause of the state, `by` the reporter.
 
-    `since_s` and `heard_s` are seconds ago; `heard_s` is -1 where it was never heard itself.
+    `since_s` says how many seconds ago the state began, and `heard_s` how many seconds ago the last
+    datagram from the member arrived (-1: none did).
     """
 
     number: int
@@ -30,12 +31,13 @@
 
 
 class Report(Struct):
-    """One gateway's view, under the stored names.
+    """One gateway's view; the fields have the names of the stored report.
 
-    `at` is the time of day in seconds since 1970; `settled_s` for how long nothing was in doubt, -1
-    while something is; `there` how many gateways are present; `part` the index and count by which
-    this gateway divides quotas, `used` whether it does; `pending_entries` counts entries of passing
-    state.
+    `at` is the wall-clock time in seconds since 1970; `settled_s` for how many seconds the view has
+    been certain and unchanged, -1 while it is not certain; `there` how many gateways are present;
+    `part` the index and count by which this gateway divides quotas, and `used` whether it does;
+    `unsent` counts datagrams that exceeded the send budget; `pending_entries` counts entries of
+    temporary state (suspicions, probes, queued updates).
     """
 
     gateway: str
@@ -57,7 +59,10 @@
 def make_report(
     core: Core, name: str, position: GatewayPosition, used: bool, now: float, at: float
 ) -> Report:
-    """Return the view of `core` at `now` of its clock, `at` of the day's (both in seconds)."""
+    """Return a report of the view of `core`.
+
+    `now` is monotonic time and `at` wall-clock time, both in seconds.
+    """
     view = core.view
     return Report(
         gateway=name,
@@ -101,5 +106,5 @@
 
 
 def read_report(data: bytes) -> Report:
-    """Read a report; raises `msgspec.MsgspecError` for what is none."""
+    """Parse a report; raises `msgspec.MsgspecError` if `data` is not one."""
     return msgspec.json.decode(data, type=Report)
--- a/quillroad/membership/roster.py
+++ b/quillroad/membership/roster.py
@@ -1,24 +1,26 @@
-"""Which gateways there may be, and the address of each. Pure."""
+"""The configured members of the cluster and their addresses."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-Address = tuple[str, int]  # IPv4 host and UDP port, as `socket` has it
+Address = tuple[str, int]  # IPv4 host and UDP port, as in `socket`
 
 
 class Roster:
-    """Members by number, this gateway's own among them.
+    """Addresses of all members by number, including this gateway.
 
-    A datagram to `everyone` reaches all of them; None: there is no such address. Raises
-    `ValueError` where the own number is not one of them, or an address is there twice.
+    A datagram to `everyone` reaches all of them; None if there is no such address. Raises
+    `ValueError` if this gateway's `number` is outside the roster, or an address appears twice.
     """
 
     def __init__(
         self, addresses: Sequence[Address], number: int, everyone: Address | None = None
     ) -> None:
         if not 0 <= number < len(addresses):
-            raise ValueError(f"number {number} of {len(addresses)}")
+            raise ValueError(
+                f"gateway number {number} is outside the roster of {len(addresses)} addresses"
+            )
         self.addresses = tuple(addresses)
         self.number = number
         self.everyone = everyone
@@ -30,5 +32,5 @@
         return len(self.addresses)
 
     def number_of(self, address: Address) -> int | None:
-        """Return whose address this is; None: nobody's."""
+        """Return the number of the member with this address, or None if no member has it."""
         return self._numbers.get(address)
--- a/quillroad/membership/sender.py
+++ b/quillroad/membership/sender.py
@@ -1,4 +1,7 @@
-"""Building datagrams within the send budget, with piggybacked updates, for an outbox. Pure."""
+"""Builds datagrams with piggybacked updates, within the send budget, into an outbox.
+
+Does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -18,27 +21,27 @@
     encode,
 )
 
-EVERYONE = -1  # as a target: the address at which one datagram reaches all members
-# of the send budget, for what can wait; the rest is for probes and answers
+EVERYONE = -1  # target number of the broadcast address
+# of the send budget, for datagrams that can wait; the rest is for probes and their answers
 DEFERRABLE_FRACTION = 0.8
 BUSY_FRACTION = (
     DEFERRABLE_FRACTION / 2
-)  # of the send budget spent, from where on piggybacks are short
-FEW_UPDATES = 2  # in a datagram with a short piggyback
-BULK_UPDATES = 16  # queued updates from which on a part of the table says more in as many bytes
-MAX_UPDATE_BYTES = 11  # on the wire; the shortest takes 5
+)  # of the send budget used, above which probes carry few updates
+FEW_UPDATES = 2  # on a probe or answer while the budget is short or many updates are queued
+BULK_UPDATES = 16  # with more updates, a part of the table carries more statuses in the same bytes
+MAX_UPDATE_BYTES = 11  # encoded size of the longest update; the shortest takes 5
 NO_STATUSES = PackedStatuses()
 
 
 class Outgoing(NamedTuple):
-    """A datagram to send: to a member by number, or to `EVERYONE`."""
+    """A datagram to send; `target` is the number of a member, or `EVERYONE`."""
 
     target: int
     data: bytes
 
 
 class Payload(NamedTuple):
-    """A datagram without its header and updates; fields as in `Datagram`."""
+    """The fields of a datagram besides its header and updates, as in `Datagram`."""
 
     kind: MessageKind
     sequence: int = 0
@@ -59,7 +62,7 @@
         self._limiter = RateLimiter(timing.max_bytes_per_s, timing.max_datagrams_per_s)
         self._sequence = int(state.draw() * 2**32)
         self.outbox: list[Outgoing] = []
-        self.unsent = 0  # datagrams beyond the budget
+        self.unsent = 0  # datagrams not sent because the budget was spent
 
     def ping(
         self,
@@ -68,7 +71,7 @@
         fraction: float = 1.0,
         updates: tuple[Update, ...] | None = None,
     ) -> int | None:
-        """Send a PING; return its new sequence number, or None where the budget is spent."""
+        """Send a PING; return its sequence number, or None if the budget is spent."""
         self._sequence = (self._sequence + 1) & 0xFFFFFFFF
         payload = Payload(MessageKind.PING, self._sequence)
         sent = self.send(target, payload, now, fraction=fraction, updates=updates)
@@ -84,17 +87,17 @@
         updates: tuple[Update, ...] | None = None,
         first: Iterable[int] = (),
     ) -> bool:
-        """Send a datagram within a fraction of the budget; return False where that is spent.
+        """Put a datagram into the outbox; return False if `fraction` of the budget is spent.
 
-        With `updates` None it carries as many queued ones as fit, those of the members in `first`
-        ahead.
+        If `updates` is None it carries as many queued updates as fit, beginning with those of the
+        members in `first`.
         """
         state = self._state
         piggybacked: list[int] = []
         if updates is None:
             piggybacked = self._piggyback(target, fraction, first, now)
             updates = tuple(state.update_of(n) for n in piggybacked)
-        data, updates = self._fitted(payload, updates)
+        data, updates = self._fit_updates(payload, updates)
         if not self._limiter.try_acquire(len(data), now, fraction):
             self.unsent += 1
             return False
@@ -105,14 +108,15 @@
     def _piggyback(
         self, target: int, fraction: float, first: Iterable[int], now: float
     ) -> list[int]:
-        """Return whose updates travel with a datagram to this target."""
+        """Return the members whose updates are sent along with a datagram to this target."""
         state = self._state
         numbers = list(first)
         if target != EVERYONE and state.table[target] > MemberStatus(
             state.last_incarnation.get(target, 0), MemberState.ALIVE
         ):
-            numbers.insert(0, target)  # what is said of it, which only it can refute
-        # Without this, updates crowd out answers and probes, and healthy members look silent.
+            numbers.insert(0, target)  # only the target itself can refute this status
+        # Otherwise updates use up the budget of probes and answers, and healthy members look
+        # silent.
         short = fraction == 1.0 and (
             self._limiter.used_fraction(now) > BUSY_FRACTION
             or len(state.gossip_queue) > BULK_UPDATES
@@ -120,10 +124,10 @@
         queued = state.gossip_queue.pick(FEW_UPDATES if short else MAX_UPDATES - len(numbers))
         return numbers + [n for n in queued if n not in numbers]
 
-    def _fitted(
+    def _fit_updates(
         self, payload: Payload, updates: tuple[Update, ...]
     ) -> tuple[bytes, tuple[Update, ...]]:
-        """Return the datagram's bytes, and those of the updates that fit into it."""
+        """Return the encoded datagram, and the updates that fit into it."""
         while True:
             data = encode(self._datagram(payload, updates))
             if len(data) <= MAX_DATAGRAM_BYTES:
--- a/quillroad/membership/service.py
+++ b/quillroad/membership/service.py
@@ -1,4 +1,4 @@
-"""Membership in a running gateway: its lifetime, its clock, and who follows the view."""
+"""Runs the membership protocol in a gateway: start and stop, reload, timers, use of the view."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 log = logging.getLogger("quillroad.membership")
 
-BIND_RETRY_S = 0.2  # until an address that another process uses is tried again
-BIND_LOG_S = 10.0  # between two log lines about it
+BIND_RETRY_S = 0.2  # between two attempts to bind an address that is in use
+BIND_LOG_INTERVAL_S = 10.0  # between two log lines about a failed bind
 
 
 class MembershipService:
-    """One gateway's part in the membership, from `start` to `stop`.
+    """Runs one gateway's membership, from `start` to `stop`.
 
-    Where the platform forbids talk between gateways there is no roster, and it does nothing. Raises
-    `ConfigError` for a file that makes no sense.
+    If the platform forbids traffic between gateways there is no roster, and the service does
+    nothing. Raises `ConfigError` for an invalid file.
     """
 
     def __init__(self, path: Path, config: Config, loop: asyncio.AbstractEventLoop) -> None:
@@ -46,7 +46,7 @@
         self._loop = loop
         self.settings: MembershipSettings | None = load_fleet(path, config)
         self.core: Core | None = None
-        # Of the two processes of an upgrade only the one that serves takes part.
+        # During an upgrade, only the one of the two processes that serves is a member.
         self.is_serving: Callable[[], bool] = lambda: True
         configured = config.settings
         self._followers = LiveCountFollowers(
@@ -59,16 +59,19 @@
         self._files = FileWriter(loop)
         self._change_log = ChangeLog(self._files, None, configured.gateway_index)
         if self.settings is None:
-            log.info("the settings allow no talk between gateways: the told number counts")
+            log.info(
+                "membership is off: the settings give no peer addresses; "
+                "the configured gateway count is used"
+            )
 
     def attach(self, engine: Engine, source: Callable[[], Source]) -> None:
-        """Whom the live count is told to; `source` returns the present source of hosts."""
+        """Set what receives the live count; `source` returns the current discovery source."""
         self._followers.attach(engine, source)
 
     # Lifetime.
 
     def start(self) -> None:
-        """Take part from now on, or as soon as the address is free."""
+        """Join the membership now, or as soon as the address can be bound."""
         settings = self.settings
         if settings is None:
             return
@@ -87,9 +90,10 @@
             self._timer = self._loop.call_later(BIND_RETRY_S, self._join)
             return
         try:
-            self._transport = UdpTransport(self._loop, settings.listen, self._readable)
+            self._transport = UdpTransport(self._loop, settings.listen, self._on_readable)
         except OSError as error:
-            # In an upgrade the process that ends still has it; else two run under one number.
+            # During an upgrade the old process still has the address bound; otherwise two
+            # processes were started with the same number.
             self._log_bind_error(settings, error)
             self._timer = self._loop.call_later(BIND_RETRY_S, self._join)
             return
@@ -97,36 +101,39 @@
         draw = random.Random(self._config.seed ^ run_id).random
         self.core = Core(settings.roster, settings.timing, monotonic(), draw, run_id)
         self._followers.begin(settings.hold_s)
-        self._arm()
+        self._schedule_tick()
         self._report()
 
     def _log_bind_error(self, settings: MembershipSettings, error: OSError) -> None:
         now = monotonic()
-        if now - self._bind_logged_at < BIND_LOG_S:
+        if now - self._bind_logged_at < BIND_LOG_INTERVAL_S:
             return
         self._bind_logged_at = now
         in_use = error.errno == errno.EADDRINUSE
         why = "another process holds it" if in_use else error.strerror
-        log.error("no part in the fleet's view: %s:%d: %s", *settings.listen, why)
+        log.error("membership not joined: cannot bind %s:%d: %s", *settings.listen, why)
 
     def leave(self) -> None:
-        """Tell the others that this gateway leaves, so that nobody has to find it faulty."""
+        """Announce that this gateway leaves, so that the others need not detect its failure."""
         if self.core is not None:
             self.core.leave(monotonic())
-            self._flush(self.core)
+            self._send_outbox(self.core)
 
     def stop(self) -> None:
-        """Take no part any more.
+        """Stop the protocol and close the socket.
 
-        Without `leave` before it the others take it for crashed, or for the process that comes next
-        under its number.
+        Without a preceding `leave`, the other members detect a crash, or take the next process with
+        this number for the same member.
         """
         self._close()
         self._files.close()
         self.core = None
 
-    def _step_aside(self) -> None:
-        """The other process of this gateway takes over: the same member, another run."""
+    def _yield_to_other_process(self) -> None:
+        """Stop until this process serves again: the other process of the upgrade takes over.
+
+        That is the same member with another `run_id`.
+        """
         self._close()
         self.core = None
         self._followers.reset()
@@ -146,36 +153,36 @@
     # Reload.
 
     def read_settings(self, config: Config) -> MembershipSettings | None:
-        """Read the file again, for `take`; raises `ConfigError`.
+        """Read the file again, for `apply_settings`; raises `ConfigError`.
 
-        This gateway's number and the configured count are those of the start.
+        This gateway's number and the configured gateway count stay those of the start.
         """
         return load_fleet(self._path, replace(config, settings=self._config.settings))
 
     def apply_settings(self, settings: MembershipSettings | None) -> None:
-        """Take another roster, followers and reports; times and the address need a restart."""
+        """Apply a new roster, quota and report settings; `listen` and `talk` need a restart."""
         if settings is None or self.settings is None:
             return
         if settings.listen != self.settings.listen or settings.timing != self.settings.timing:
-            log.warning("these change with a restart only: members.listen, talk")
+            log.warning("changes of members.listen and talk are ignored until the gateway restarts")
         self.settings = settings
         if self.core is not None:
             self.core.change_roster(settings.roster, monotonic())
-            self._after_core(self.core)
+            self._process_output(self.core)
         self._notify_followers()
 
-    # The clock, and what the core has to say.
+    # Timers, datagrams, and output of the core.
 
-    def _readable(self) -> None:
-        """Read what has come, and do what is due."""
+    def _on_readable(self) -> None:
+        """Process the received datagrams and the resulting output of the core."""
         core = self.core
         if core is None:
             return
         try:
             self._receive(core)
-            self._after_core(core)
+            self._process_output(core)
         except Exception:  # logged with its trace: a fault here may cost the view, and no request
-            log.exception("the fleet's view failed on a datagram")
+            log.exception("membership: processing received datagrams failed")
 
     def _tick(self) -> None:
         core = self.core
@@ -183,37 +190,37 @@
         if core is None:
             return
         if not self.is_serving():
-            self._step_aside()
+            self._yield_to_other_process()
             return
         try:
-            # Read first: in a process that stood still, the answer that a probe waits for may lie
-            # here.
+            # Read first: after a pause of this process, the answer to a probe may be waiting in
+            # the socket, and the probe must not time out.
             self._receive(core)
             core.tick(monotonic())
-            self._follow_view(core)  # a quota may grow by the time alone
-            self._after_core(core)
+            self._follow_view(core)  # a quota may grow once the view has been settled long enough
+            self._process_output(core)
         except Exception:  # logged with its trace: a fault here may cost the view, and no request
-            log.exception("the fleet's view failed")
-            self._arm()
+            log.exception("membership: the timer failed")
+            self._schedule_tick()
 
     def _receive(self, core: Core) -> None:
         if self._transport is not None:
             for data, source in self._transport.receive():
                 core.receive(source, data, monotonic())
 
-    def _after_core(self, core: Core) -> None:
-        self._flush(core)
+    def _process_output(self, core: Core) -> None:
+        self._send_outbox(core)
         if core.changes:
             self._record_changes(core)
             self._follow_view(core)
-        self._arm()
+        self._schedule_tick()
 
     def _record_changes(self, core: Core) -> None:
         changes = core.changes
         core.changes = []
         self._change_log.record_changes(changes, core.number)
 
-    def _arm(self) -> None:
+    def _schedule_tick(self) -> None:
         core = self.core
         if core is None:
             return
@@ -222,8 +229,8 @@
         now = monotonic()
         self._timer = self._loop.call_later(max(0.0, core.arm(now) - now), self._tick)
 
-    def _flush(self, core: Core) -> None:
-        """Send what lies in the outbox."""
+    def _send_outbox(self, core: Core) -> None:
+        """Send the datagrams in the outbox."""
         if self._transport is None:
             return
         outbox = core.outbox
@@ -232,10 +239,10 @@
             if not self._transport.send(outgoing.data, _address(core, outgoing)):
                 core.dropped[DropReason.NOT_SENT] += 1
 
-    # What follows from the view.
+    # Use of the view: quotas and reports.
 
     def _follow_view(self, core: Core) -> None:
-        """Divide quotas by the live count where the settings say so."""
+        """Derive this gateway's position from the view, and pass it to the followers."""
         if self._followers.follow(core.view, monotonic()):
             position = self._followers.position
             self._change_log.record_position(position, core.view.self_state.value)
@@ -259,7 +266,7 @@
 
 
 def _address(core: Core, outgoing: Outgoing) -> tuple[str, int]:
-    """Return where a datagram goes."""
+    """Return the address to send a datagram to."""
     everyone = core.roster.everyone
     if outgoing.target == EVERYONE and everyone is not None:
         return everyone
--- a/quillroad/membership/settings.py
+++ b/quillroad/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the membership, from the file that turns it on. Needs `msgspec`.
+"""Membership settings, read from the file that turns membership on. Needs `msgspec`.
 
 `deploy/fleet.toml` explains each field of the file.
 """
@@ -18,12 +18,13 @@
 from quillroad.membership.timing import Timing
 from quillroad.membership.wire import MAX_DATAGRAM_BYTES, MAX_MEMBERS
 
-QUIET_PERIOD_BYTES = 400  # that probes, answers and help take in a period without updates
-QUIET_FRACTION = 0.4  # of the send budget that they may take, so that updates have the rest
-MIN_BYTES_PER_S = 4 * MAX_DATAGRAM_BYTES  # less sends no probe, answer, help and gossip in a second
-MAX_ANSWER_FRACTION = 0.6  # of the period: the rest is for indirect probes
-GOSSIP_PERIODS = 0.4  # between two rounds of gossip
-RETRANSMIT_FRACTION = 0.75  # of the probe timeout, between two PINGs of a probe
+IDLE_BYTES_PER_PERIOD = 400  # probes, answers and indirect probes of a period without updates
+IDLE_BUDGET_FRACTION = 0.4  # of the send budget for these; the rest is for updates
+# A smaller budget has no room for a probe, an answer, an indirect probe and gossip each second.
+MIN_BYTES_PER_S = 4 * MAX_DATAGRAM_BYTES
+MAX_PROBE_TIMEOUT_FRACTION = 0.6  # of the period; the rest is for indirect probes
+GOSSIP_INTERVAL_PERIODS = 0.4  # probe periods between two gossip rounds
+RETRANSMIT_FRACTION = 0.75  # of the probe timeout, between two PINGs of one probe
 
 
 class _Members(Struct, forbid_unknown_fields=True):
@@ -61,11 +62,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """What the file means for one gateway. Times in seconds.
+    """Membership settings of one gateway. Times are in seconds.
 
-    `subset_follows` and `polling_follows` say which quotas are divided by the live count, once the
-    view has been settled for `hold_s`. The view is written to `report_path` and each change of it
-    to `change_log_path`; None: nowhere.
+    `subset_follows` and `polling_follows` say whether the subset and the polling of discovery are
+    divided by the live count; it falls only once the view has been settled for `hold_s`. The view
+    is written to `report_path` and each change of it to `change_log_path`, unless they are None.
     """
 
     roster: Roster
@@ -80,7 +81,7 @@
 
 
 class _Addresses(NamedTuple):
-    """The members' addresses, and the field of the settings that they come from."""
+    """The members' addresses, and the settings field that they come from."""
 
     listen: Address
     members: list[Address]
@@ -89,9 +90,9 @@
 
 
 def load_fleet(path: Path, config: Config) -> MembershipSettings | None:
-    """Return the file's meaning; None where the platform forbids talk between gateways.
+    """Read the file; return None if neither it nor the platform's settings give peer addresses.
 
-    Raises `ConfigError`.
+    Raises `ConfigError` for an invalid file.
     """
     document = read_toml(path, _File)
     addresses = _addresses(document.members, config)
@@ -112,7 +113,7 @@
 
 
 def _addresses(members: _Members, config: Config) -> _Addresses | None:
-    """Return the file's addresses, else the platform's; None where it has none."""
+    """Return the addresses of the file, else those of the platform, or None if it has none."""
     if members.listen or members.addresses:
         return _Addresses(
             read_address(members.listen, "members.listen"),
@@ -148,7 +149,7 @@
         max_bytes_per_s=talk.bytes_per_second,
         max_datagrams_per_s=talk.datagrams_per_second,
     )
-    if timing.probe_timeout_s > MAX_ANSWER_FRACTION * timing.period_s:
+    if timing.probe_timeout_s > MAX_PROBE_TIMEOUT_FRACTION * timing.period_s:
         raise ConfigError(
             "talk.answer: needs six tenths of talk.period at most, for others to help"
         )
@@ -159,17 +160,17 @@
                 f"talk.fleet_bytes_per_second: needs {MIN_BYTES_PER_S} for each of {members}"
             )
         timing = replace(timing, max_bytes_per_s=own_bytes)
-    return _slowed_to_budget(timing)
+    return _scale_intervals_to_budget(timing)
 
 
-def _slowed_to_budget(timing: Timing) -> Timing:
-    """Lengthen all intervals where the send budget is small; else probes could not be sent."""
-    needed_bytes_per_s = QUIET_PERIOD_BYTES / timing.period_s
-    slowdown = max(1.0, needed_bytes_per_s / (QUIET_FRACTION * timing.max_bytes_per_s))
+def _scale_intervals_to_budget(timing: Timing) -> Timing:
+    """Lengthen all intervals if the send budget is too small for the probes."""
+    needed_bytes_per_s = IDLE_BYTES_PER_PERIOD / timing.period_s
+    slowdown = max(1.0, needed_bytes_per_s / (IDLE_BUDGET_FRACTION * timing.max_bytes_per_s))
     return replace(
         timing,
         period_s=timing.period_s * slowdown,
         probe_timeout_s=timing.probe_timeout_s * slowdown,
-        gossip_interval_s=timing.period_s * slowdown * GOSSIP_PERIODS,
+        gossip_interval_s=timing.period_s * slowdown * GOSSIP_INTERVAL_PERIODS,
         retransmit_s=timing.probe_timeout_s * slowdown * RETRANSMIT_FRACTION,
     )
--- a/quillroad/membership/transport.py
+++ b/quillroad/membership/transport.py
@@ -1,4 +1,4 @@
-"""The UDP socket of the membership protocol: the package's only network I/O."""
+"""The UDP socket of the membership protocol, the only network I/O of the package."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from quillroad.membership.roster import Address
 from quillroad.membership.wire import MAX_DATAGRAM_BYTES
 
-MAX_DATAGRAMS_PER_ITERATION = 64  # of the event loop: a flood must not hold up requests
+MAX_DATAGRAMS_PER_ITERATION = 64  # of the event loop, so that a flood does not delay requests
 
 
 class UdpTransport:
-    """A bound socket, until `close`; raises `OSError` where the address is not free.
+    """A UDP socket that stays bound until `close`; raises `OSError` if it cannot be bound.
 
-    `on_readable` is called by the event loop while datagrams wait.
+    The event loop calls `on_readable` while received datagrams are waiting.
     """
 
     def __init__(
@@ -25,7 +25,7 @@
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             self._socket.setblocking(False)
-            # A reload may add a broadcast address, so this is set without one, too.
+            # Always set, because a reload may add a broadcast address later.
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_BROADCAST, True)
             self._socket.bind(listen)
         except OSError:
@@ -34,19 +34,19 @@
         loop.add_reader(self._socket, on_readable)
 
     def receive(self) -> Iterator[tuple[bytes, Address]]:
-        """Yield at most `MAX_DATAGRAMS_PER_ITERATION` waiting datagrams, with their senders."""
+        """Yield at most `MAX_DATAGRAMS_PER_ITERATION` datagrams, with their source addresses."""
         for _ in range(MAX_DATAGRAMS_PER_ITERATION):
             try:
-                # One byte more than allowed, so that a longer datagram is seen to be one.
+                # One byte above the limit, to recognize datagrams that are too long.
                 data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                continue  # an ICMP error: an earlier datagram of ours found nobody
+                continue  # ICMP error: no process listened at the target of an earlier datagram
             yield data, (source[0], source[1])
 
     def send(self, data: bytes, target: Address) -> bool:
-        """Send a datagram; return False where the socket refuses it."""
+        """Send a datagram; return False if the socket reports an error."""
         try:
             self._socket.sendto(data, target)
         except OSError:
@@ -54,6 +54,6 @@
         return True
 
     def close(self) -> None:
-        """Free the address."""
+        """Close the socket, which frees its address."""
         self._loop.remove_reader(self._socket)
         self._socket.close()
--- a/quillroad/membership/view.py
+++ b/quillroad/membership/view.py
@@ -1,4 +1,4 @@
-"""The membership as one gateway sees it: an immutable value, and what builds it. Pure."""
+"""The membership as one gateway sees it: an immutable snapshot and its builder. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 from quillroad.membership.local_health import HealthState
 from quillroad.membership.member_table import ABSENT, PRESENT, MemberState
 
-MAX_CHANGES = 1024  # changes that the caller has not fetched yet; later ones are dropped
+MAX_CHANGES = 1024  # kept until the caller fetches them; changes beyond this are dropped
 
 
 class Cause(StrEnum):
-    """Why a member came to be in its state; the value is the word of reports."""
+    """Why a member entered its state; the value is what reports contain."""
 
-    ROSTER = "roster"  # it is in the roster, and nothing else is known
-    HEARD = "heard"  # it was heard itself
-    REPORTED = "told"  # another member said so
-    UNANSWERED = "silent"  # it did not answer this gateway's own probes
-    TIMEOUT = "timer"  # its suspicion was not refuted in time
-    SELF = "self"  # what this process saw of itself
+    ROSTER = "roster"  # listed in the roster, nothing else is known
+    HEARD = "heard"  # a datagram from the member arrived
+    REPORTED = "told"  # another member reported the state
+    UNANSWERED = "silent"  # the member did not answer this gateway's probes
+    TIMEOUT = "timer"  # the member did not refute the suspicion in time
+    SELF = "self"  # this process's assessment of itself
 
 
 class ChangeKind(StrEnum):
-    """What changed in a view; the value is the word of the file of changes."""
+    """What changed in a view; the value is what the change log contains."""
 
     UNKNOWN = "unknown"
     ALIVE = "alive"
     SUSPECT = "suspect"
     FAULTY = "gone"
     LEFT = "left"
-    REFUTED = "refuted"  # this gateway refuted what was said of it
+    REFUTED = "refuted"  # this gateway refuted a report about itself
     DUPLICATED = "doubled"  # two processes use one number
     HEALTHY = "sound"
     SLOW = "slow"
@@ -42,8 +42,8 @@
 class MemberRecord(NamedTuple):
     """One member as this gateway sees it.
 
-    `since` is when it came to this state, in seconds of this process's clock, by `cause`, and
-    `reporter` the member whose word or probe that was.
+    `since` is when it entered this state, in seconds of this process's clock, and `cause` why.
+    `reporter` is the member whose report or probe led to the state.
     """
 
     state: MemberState
@@ -56,8 +56,8 @@
 class Change(NamedTuple):
     """One thing that changed in a view, at a time in seconds of this process's clock.
 
-    `number` is the member's, this gateway's own where `kind` is a state of its own. `cause` is a
-    `Cause`, or of a refutation the state that was refuted.
+    `number` is the member's, or this gateway's own if `kind` is about this gateway itself. `cause`
+    is a `Cause` or, for a refutation, the state that was refuted.
     """
 
     at: float
@@ -69,9 +69,9 @@
 
 
 class View(NamedTuple):
-    """Snapshot of the membership. `members` has all but this gateway itself.
+    """Snapshot of the membership. `members` has all members except this gateway.
 
-    `changed_at` is when any of this last changed, or differed from what another member has.
+    `changed_at` is when the view last changed, or last differed from another member's table.
     """
 
     version: int
@@ -87,29 +87,29 @@
 
     @property
     def live_count(self) -> int:
-        """Gateways that are present, this one among them; a suspect is until it is faulty."""
+        """Number of present gateways, including this one and suspects not yet declared faulty."""
         return 1 + self.count(*PRESENT)
 
     @property
     def is_certain(self) -> bool:
-        """Whether no member is suspect or unknown, and this gateway is healthy itself."""
+        """Whether no member is suspect or unknown, and this gateway is healthy."""
         return self.self_state is HealthState.HEALTHY and not self.count(
             MemberState.SUSPECT, MemberState.UNKNOWN
         )
 
     def is_settled(self, now: float, hold_s: float) -> bool:
-        """Whether nothing has been in doubt or changed for `hold_s` seconds."""
+        """Whether the view is certain and has not changed for `hold_s` seconds."""
         return self.is_certain and now - self.changed_at >= hold_s
 
     def live_index(self) -> int:
-        """Return which of the present gateways this one is, from 0, by number."""
+        """Return the index, from 0, of this gateway among the present ones in order of number."""
         return sum(
             n < self.number and record.state in PRESENT for n, record in self.members.items()
         )
 
 
 class ViewBuilder:
-    """The members' records and the changes that they went through."""
+    """Holds the members' records and the changes that the caller has not fetched yet."""
 
     def __init__(self, own_number: int, size: int, now: float) -> None:
         self._own_number = own_number
@@ -127,7 +127,7 @@
         return MemberRecord(MemberState.UNKNOWN, 0, now, Cause.ROSTER, self._own_number)
 
     def snapshot(self, incarnation: int) -> View:
-        """Return the present view; the same object until something changes."""
+        """Return the current view; the same object until something changes."""
         if self._snapshot is None:
             self._snapshot = View(
                 self._version,
@@ -140,7 +140,7 @@
         return self._snapshot
 
     def present(self) -> list[int]:
-        """Return the other members that count as present."""
+        """Return the other members that are alive or suspect."""
         if self._present is None:
             self._present = [n for n, r in self.members.items() if r.state in PRESENT]
         return self._present
@@ -150,7 +150,7 @@
         return [n for n, record in self.members.items() if record.state in ABSENT]
 
     def record(self, number: int, record: MemberRecord, now: float) -> None:
-        """Set a member's record, and note the change where its state is another."""
+        """Set a member's record, and note a change if its state differs from the last one."""
         old = self.members.get(number)
         self.members = self.members.set(number, record)
         if old is not None and old.state is record.state:
@@ -162,11 +162,11 @@
         self.note(Change(now, number, kind, record.incarnation, record.cause, record.reporter), now)
 
     def add(self, number: int, now: float) -> None:
-        """A member that is new in the roster."""
+        """Add a member that is new in the roster."""
         self.record(number, self._unknown(now), now)
 
     def remove(self, number: int, now: float) -> None:
-        """A member that is no longer in the roster."""
+        """Remove a member that is no longer in the roster."""
         self.members = self.members.delete(number)
         self._present = None
         self.touch(now)
@@ -178,7 +178,7 @@
             self.changes.append(change)
 
     def set_self_state(self, state: HealthState, incarnation: int, now: float) -> None:
-        """Set this gateway's own state, and note the change where it is another."""
+        """Set this gateway's own state, and note a change if it differs from the last one."""
         if state is not self._self_state:
             self._self_state = state
             kind = ChangeKind(state.value)
@@ -186,12 +186,12 @@
             self.note(Change(now, number, kind, incarnation, Cause.SELF, number), now)
 
     def touch(self, now: float) -> None:
-        """Something changed: a new version, and nothing is settled."""
+        """Begin a new version of the view, which is not settled."""
         self._changed_at = now
         self._snapshot = None
         self._version += 1
 
     def mark_unsettled(self, now: float) -> None:
-        """Another member's table differs: nothing is settled, though nothing changed here."""
+        """Mark the view as not settled, because another member's table differs; same version."""
         self._changed_at = now
         self._snapshot = None
--- a/quillroad/membership/wire.py
+++ b/quillroad/membership/wire.py
@@ -1,7 +1,8 @@
-"""The datagrams between gateways, in MessagePack: 256 bytes at most. Pure.
+"""Datagrams between gateways: MessagePack arrays of at most 256 bytes. Does no I/O.
 
-Fields are told by their place. The first four are those of every version, so that a member of a
-newer version still counts as heard. Fields behind those that this version knows are ignored.
+Fields are identified by position. The first four are the same in every version, so that a datagram
+of a newer version still shows that its sender is alive. Trailing fields that this version does not
+know are ignored.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
     PackedStatuses,
 )
 
-MAX_DATAGRAM_BYTES = 256  # a datagram is never fragmented, and a flood of them costs little
+MAX_DATAGRAM_BYTES = 256  # avoids IP fragmentation, and limits the cost of a flood
 VERSION = 1
 MAX_MEMBERS = 4096
-MAX_UPDATES = 32  # in one datagram: the shortest take 5 bytes, and the header has its part
-MAX_TABLE_MEMBERS = 224  # members of a table in one datagram
+MAX_UPDATES = 32  # in one datagram: the shortest takes 5 bytes, and the header needs space, too
+MAX_TABLE_MEMBERS = 224  # member statuses in one TABLE datagram
 
 Number = Annotated[int, Meta(ge=0, lt=MAX_MEMBERS)]
 Incarnation = Annotated[int, Meta(ge=0, le=MAX_INCARNATION)]
@@ -32,37 +33,37 @@
 
 
 class MessageKind(IntEnum):
-    """What a datagram is, and what it asks for."""
+    """Kind of a datagram; the comments say which answer it requests."""
 
-    PING = 0  # wants an ACK
+    PING = 0  # requests an ACK
     ACK = 1
-    PING_REQ = 2  # wants a PING to `about` in the sender's stead, and its result
-    NACK = 3  # `about` has not answered yet: says that the helper itself is reachable
+    PING_REQ = 2  # requests a PING to `about` on the sender's behalf, and its result
+    NACK = 3  # `about` has not answered yet; shows that the helper itself is reachable
     GOSSIP = 4  # carries updates only
-    DIGESTS = 5  # wants the chunks of the table that differ from these digests
-    TABLE = 6  # wants what the receiver knows better
-    DUPLICATE = 7  # two processes use the receiver's number
+    DIGESTS = 5  # requests the chunks of the table whose digests differ from these
+    TABLE = 6  # requests the statuses that take precedence in the receiver's table
+    DUPLICATE = 7  # tells the receiver that two processes use its number
 
 
 class DropReason(StrEnum):
-    """Why a datagram, or a part of one, was not taken; the value is the word of reports."""
+    """Why a datagram or a part of it was dropped; the value is what reports contain."""
 
     STRANGER = "stranger"  # from an address that is not in the roster
     OWN_ADDRESS = "own address"
-    FLOOD = "flood"  # beyond the bound of one member
+    FLOOD = "flood"  # above the receive limit of one member
     TOO_LONG = "too long"
     MALFORMED = "malformed"
     VERSION = "version"  # of a newer version
-    NUMBER = "number"  # it has another number than the member at its address
-    UNKNOWN_MEMBER = "unknown member"  # in the middle of a reload one of two knows more members
-    INCARNATION_JUMP = "leap"  # an incarnation that is not credible
-    LAST_INCARNATION = "last incarnation"  # nothing is left to refute with
+    NUMBER = "number"  # its number is not that of the member with its source address
+    UNKNOWN_MEMBER = "unknown member"  # during a reload the sender may already know more members
+    INCARNATION_JUMP = "leap"  # an implausibly high incarnation
+    LAST_INCARNATION = "last incarnation"  # the highest incarnation: no refutation is possible
     BUSY = "busy"  # too many indirect probes in flight
-    NOT_SENT = "not sent"  # the socket refused it
+    NOT_SENT = "not sent"  # the socket reported an error
 
 
 class Update(Struct, array_like=True, frozen=True):
-    """A status of a member, as gossip carries it."""
+    """The status of one member, as carried by gossip."""
 
     number: Number
     incarnation: Incarnation
@@ -70,20 +71,20 @@
     suspector_slots: Annotated[int, Meta(ge=0, lt=2**SUSPECTOR_SLOTS)] = 0
 
     def is_consistent(self) -> bool:
-        """Whether it says something: a suspicion has a suspector, and nothing is unknown."""
+        """Whether the update is valid: not UNKNOWN, and a suspicion has a suspector."""
         if self.state == MemberState.SUSPECT:
             return self.suspector_slots > 0
         return self.state != MemberState.UNKNOWN
 
     def status(self) -> MemberStatus:
-        """Return the status that it carries."""
+        """Return the status as an entry of the member table."""
         state = MemberState(self.state)
         slots = self.suspector_slots if state is MemberState.SUSPECT else 0
         return MemberStatus(self.incarnation, state, slots)
 
 
 class Header(Struct, array_like=True, frozen=True):
-    """The fields that every version begins with."""
+    """The leading fields, the same in every version."""
 
     version: Annotated[int, Meta(ge=0, le=255)]
     number: Number
@@ -94,10 +95,10 @@
 class Datagram(Struct, array_like=True, frozen=True):
     """One datagram.
 
-    `run_id` is drawn at each start of a process; `sequence` ties an answer to its PING; `digest` is
-    that of the sender's table. `about` is the member that a PING_REQ or NACK is about, the first
-    member of a TABLE, or the first chunk of DIGESTS. `codes`, `base` and `exceptions` are those of
-    `PackedStatuses`.
+    `run_id` is random and new at each start of a process; `sequence` matches an answer to its PING;
+    `digest` is that of the sender's table. `about` is the member that a PING_REQ or NACK concerns,
+    the first member of a TABLE, or the first chunk of DIGESTS. `codes`, `base` and `exceptions` are
+    those of `PackedStatuses`.
     """
 
     version: Annotated[int, Meta(ge=0, le=255)]
@@ -120,7 +121,7 @@
 
 
 class DatagramError(Exception):
-    """A datagram that cannot be taken."""
+    """A datagram that cannot be processed; `reason` says why."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -128,11 +129,11 @@
 
 
 class UnreadableDatagramError(DatagramError):
-    """Not a datagram of a gateway."""
+    """The bytes are too long or not a valid datagram."""
 
 
 class NewerVersionError(DatagramError):
-    """A datagram of a version that this one cannot read, from a member that is alive."""
+    """A datagram of another version; its header shows that the sender is alive."""
 
     def __init__(self, header: Header) -> None:
         super().__init__(DropReason.VERSION)
@@ -145,12 +146,12 @@
 
 
 def encode(datagram: Datagram) -> bytes:
-    """Return the bytes of a datagram, which may be more than `MAX_DATAGRAM_BYTES`."""
+    """Encode a datagram; the result may be longer than `MAX_DATAGRAM_BYTES`."""
     return _encoder.encode(datagram)
 
 
 def decode(data: bytes) -> Datagram:
-    """Read a datagram; raises `DatagramError` and nothing else, whatever the bytes."""
+    """Decode a datagram; raises `DatagramError`, and nothing else, for invalid bytes."""
     if len(data) > MAX_DATAGRAM_BYTES:
         raise UnreadableDatagramError(DropReason.TOO_LONG)
     try:
--- a/tests/membership/test_anti_entropy.py
+++ b/tests/membership/test_anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: two tables that differ say the same after an exchange of digests and chunks."""
+"""Anti-entropy: tables that differ become equal by an exchange of digests and chunks."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from quillroad.membership.wire import VERSION, Datagram, DropReason, MessageKind, encode
 from simulation.fleet import address
 
-SIZE = 300  # more than one TABLE datagram has room for
+SIZE = 300  # more members than fit one TABLE datagram
 STATUS = st.builds(
     MemberStatus,
     st.integers(1, 900),
@@ -22,7 +22,7 @@
 
 
 def make(number: int, statuses: dict[int, MemberStatus]) -> Core:
-    """A member that knows these statuses and has nothing left to pass on by gossip."""
+    """Return a member that knows these statuses and has an empty gossip queue."""
     timing = Timing(max_bytes_per_s=10**6, max_datagrams_per_s=10**4)
     core = Core(Roster([address(n) for n in range(SIZE)], number), timing, 0.0, lambda: 0.5, 1)
     for of, status in statuses.items():
@@ -32,7 +32,7 @@
 
 
 def deliver_all(cores: dict[int, Core], now: float) -> None:
-    """Carry what the two members send each other until they have nothing to say."""
+    """Deliver the datagrams between the two members until both outboxes are empty."""
     while any(core.outbox for core in cores.values()):
         for number, core in cores.items():
             outbox, core.outbox = core.outbox, []
@@ -42,14 +42,14 @@
 
 
 @given(st.dictionaries(st.integers(2, SIZE - 1), STATUS, max_size=120), STATUS)
-def test_two_tables_that_differ_become_one(
+def test_tables_that_differ_become_equal(
     statuses: dict[int, MemberStatus], only_other: MemberStatus
 ) -> None:
-    """One member has just started; the other knows the cluster, and it something of one member."""
+    """One member has just started and knows one status that the other may lack."""
     newcomer, settled = make(0, {5: only_other}), make(1, statuses)
     cores = {0: newcomer, 1: settled}
     for second in range(1, 30):
-        # A PING each way in every two seconds, as probes give it; digests go with its answer.
+        # One PING each way every two seconds, as probes would send; it carries the table digest.
         now = 2.0 * second
         for number, core in cores.items():
             ping = Datagram(
@@ -64,8 +64,8 @@
     ]
 
 
-def test_a_table_that_makes_no_sense_is_counted() -> None:
-    """A datagram decodes, and its codes are of no state: its sender costs nobody else anything."""
+def test_a_table_with_invalid_codes_is_counted_as_malformed() -> None:
+    """A datagram that decodes but has invalid state codes is dropped without other effects."""
     core = make(0, {})
     for codes in (b"\xff", b"\x11"):
         bad = Datagram(VERSION, 1, 1, 1, MessageKind.TABLE, 0, 0, codes=codes, exceptions=(9, 1))
@@ -73,8 +73,8 @@
     assert core.dropped[DropReason.MALFORMED] == 2
 
 
-def test_a_table_of_members_that_are_not_in_the_roster_is_counted() -> None:
-    """In the middle of a reload another gateway has the longer roster."""
+def test_a_table_with_members_outside_the_roster_is_counted() -> None:
+    """During a reload another gateway may already have a longer roster."""
     core = make(0, {})
     longer = Datagram(VERSION, 1, 1, 1, MessageKind.TABLE, 0, 0, (), SIZE - 1, (), b"\x11", 1)
     core.receive(address(1), encode(longer), 1.0)
--- a/tests/membership/test_gossip_queue.py
+++ b/tests/membership/test_gossip_queue.py
@@ -1,4 +1,4 @@
-"""Which updates travel next, and how often each does."""
+"""The order in which queued updates are sent, and how often each is sent."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("cluster_size", [2, 40, 4096])
 def test_an_update_is_sent_a_bounded_number_of_times(cluster_size: int) -> None:
-    """Without the bound, what one member sends would grow with every change there ever was."""
+    """Without the bound, a member would keep sending every change that ever happened."""
     queue = GossipQueue()
     queue.put(7)
     sends = 0
@@ -33,7 +33,7 @@
     assert sends == RETRANSMIT_FACTOR * ceil(log10(cluster_size + 1))
 
 
-def test_a_changed_update_begins_anew_and_a_dropped_one_is_gone() -> None:
+def test_a_changed_update_restarts_its_send_count_and_a_dropped_one_is_removed() -> None:
     queue = GossipQueue()
     queue.put(1)
     queue.mark_sent([1, 1, 9], 100)  # 9 is not queued
--- a/tests/membership/test_quota_division.py
+++ b/tests/membership/test_quota_division.py
@@ -1,4 +1,4 @@
-"""By how many to divide: it grows late and shrinks at once."""
+"""The quota of a gateway grows only after a delay and shrinks at once."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from quillroad.membership.quota_division import GatewayPosition, QuotaDivision
 from quillroad.membership.view import Cause, MemberRecord, View
 
-ALIVE, SUSPECT, GONE, UNKNOWN = (
+ALIVE, SUSPECT, FAULTY, UNKNOWN = (
     MemberState.ALIVE,
     MemberState.SUSPECT,
     MemberState.FAULTY,
@@ -18,50 +18,52 @@
 
 
 def view(
-    changed: float,
-    *standings: MemberState,
-    state: HealthState = HealthState.HEALTHY,
+    changed_at: float,
+    *states: MemberState,
+    self_state: HealthState = HealthState.HEALTHY,
     number: int = 2,
 ) -> View:
-    others = [n for n in range(len(standings) + 1) if n != number]
+    others = [n for n in range(len(states) + 1) if n != number]
     members = Map(
-        {n: MemberRecord(s, 1, 0.0, Cause.HEARD, n) for n, s in zip(others, standings, strict=True)}
+        {n: MemberRecord(s, 1, 0.0, Cause.HEARD, n) for n, s in zip(others, states, strict=True)}
     )
-    return View(1, number, 1, state, changed, members)
+    return View(1, number, 1, self_state, changed_at, members)
 
 
-def test_a_quota_grows_only_on_a_view_that_was_settled_for_a_while() -> None:
+def test_a_quota_grows_only_once_the_view_was_settled_for_the_hold_time() -> None:
     division = QuotaDivision(GatewayPosition(2, 4), 5.0)
-    seven = view(10.0, ALIVE, GONE, GONE)
-    assert division.follow(seven, 10.0) == (2, 4)
-    assert division.follow(seven, 14.9) == (2, 4)
-    assert division.follow(seven, 15.0) == (1, 2)
+    two_alive = view(10.0, ALIVE, FAULTY, FAULTY)
+    assert division.follow(two_alive, 10.0) == (2, 4)
+    assert division.follow(two_alive, 14.9) == (2, 4)
+    assert division.follow(two_alive, 15.0) == (1, 2)
 
 
 def test_a_quota_shrinks_at_once() -> None:
     division = QuotaDivision(GatewayPosition(2, 4), 5.0)
-    division.follow(view(0.0, ALIVE, GONE, GONE), 5.0)
-    assert division.follow(view(6.0, ALIVE, SUSPECT, GONE), 6.0) == (2, 3)
+    division.follow(view(0.0, ALIVE, FAULTY, FAULTY), 5.0)
+    assert division.follow(view(6.0, ALIVE, SUSPECT, FAULTY), 6.0) == (2, 3)
     assert division.follow(view(6.0, ALIVE, ALIVE, ALIVE), 6.0) == (2, 4)
 
 
-def test_a_quota_does_not_grow_on_a_view_in_doubt() -> None:
+def test_a_quota_does_not_grow_while_a_member_is_suspect_or_unknown() -> None:
     division = QuotaDivision(GatewayPosition(2, 4), 5.0)
-    assert division.follow(view(0.0, ALIVE, SUSPECT, GONE), 100.0) == (2, 4)
-    assert division.follow(view(0.0, ALIVE, UNKNOWN, GONE), 100.0) == (2, 4)
+    assert division.follow(view(0.0, ALIVE, SUSPECT, FAULTY), 100.0) == (2, 4)
+    assert division.follow(view(0.0, ALIVE, UNKNOWN, FAULTY), 100.0) == (2, 4)
 
 
-def test_a_gateway_that_cannot_judge_goes_back_to_the_configured_position() -> None:
+def test_an_isolated_or_slow_gateway_returns_to_the_configured_position() -> None:
     for state in (HealthState.ISOLATED, HealthState.SLOW):
         division = QuotaDivision(GatewayPosition(2, 4), 5.0)
-        assert division.follow(view(0.0, ALIVE, GONE, GONE), 5.0) == (1, 2)
-        assert division.follow(view(6.0, ALIVE, GONE, GONE, state=state), 6.0) == (2, 4)
+        assert division.follow(view(0.0, ALIVE, FAULTY, FAULTY), 5.0) == (1, 2)
+        assert division.follow(view(6.0, ALIVE, FAULTY, FAULTY, self_state=state), 6.0) == (2, 4)
 
 
-def test_two_processes_of_one_number_halve_its_quota() -> None:
+def test_a_duplicated_gateway_number_halves_its_quota() -> None:
     division = QuotaDivision(GatewayPosition(2, 4), 5.0)
-    division.follow(view(0.0, ALIVE, GONE, GONE), 5.0)
-    assert division.follow(view(6.0, ALIVE, GONE, GONE, state=HealthState.DUPLICATED), 60.0) == (
+    division.follow(view(0.0, ALIVE, FAULTY, FAULTY), 5.0)
+    assert division.follow(
+        view(6.0, ALIVE, FAULTY, FAULTY, self_state=HealthState.DUPLICATED), 60.0
+    ) == (
         2,
         8,
     )
--- a/tests/membership/test_relay.py
+++ b/tests/membership/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay: fault rules, scripts of them, and an address of its own for each gateway."""
+"""The UDP relay of the test bed: fault rules, scripts of rules, one address per gateway pair."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 def gateways(count: int) -> list[socket.socket]:
     opened = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for one in opened:
-        one.bind(("127.0.0.1", 0))
-        one.setblocking(False)
+    for gateway in opened:
+        gateway.bind(("127.0.0.1", 0))
+        gateway.setblocking(False)
     return opened
 
 
-async def read(one: socket.socket) -> tuple[bytes, tuple[str, int]]:
+async def read(gateway: socket.socket) -> tuple[bytes, tuple[str, int]]:
     found: list[tuple[bytes, tuple[str, int]]] = []
 
-    def came() -> bool:
+    def received() -> bool:
         with contextlib.suppress(BlockingIOError):
-            found.append(one.recvfrom(100))
+            found.append(gateway.recvfrom(100))
         return bool(found)
 
-    await until(came)
+    await until(received)
     return found[0]
 
 
@@ -48,55 +48,57 @@
 
 
 @on_loop
-async def test_a_relayed_datagram_comes_from_the_address_that_its_reader_knows() -> None:
-    own = gateways(3)
-    relay = Relay([one.getsockname() for one in own], 1)
-    own[0].sendto(b"to 1", peer(relay, 0, 1))
-    assert await read(own[1]) == (b"to 1", peer(relay, 1, 0))
-    own[2].sendto(b"as 0", peer(relay, 0, 1))  # by another's address
+async def test_a_relayed_datagram_has_the_source_address_that_its_receiver_expects() -> None:
+    sockets = gateways(3)
+    relay = Relay([gateway.getsockname() for gateway in sockets], 1)
+    sockets[0].sendto(b"to 1", peer(relay, 0, 1))
+    assert await read(sockets[1]) == (b"to 1", peer(relay, 1, 0))
+    sockets[2].sendto(b"as 0", peer(relay, 0, 1))  # through the relay address of gateway 0
     await until(lambda: relay.counts["stranger"] == 1)
     relay.rule([Rule(sources=[0], targets=[1], cut=True), Rule(doubled=1.0)])
-    own[0].sendto(b"lost", peer(relay, 0, 1))
-    own[1].sendto(b"back", peer(relay, 1, 0))  # one way only, and by the next rule twice
+    sockets[0].sendto(b"lost", peer(relay, 0, 1))
+    sockets[1].sendto(
+        b"back", peer(relay, 1, 0)
+    )  # the cut is one-way; the next rule duplicates this
     for _ in range(2):
-        assert (await read(own[0]))[0] == b"back"
+        assert (await read(sockets[0]))[0] == b"back"
     await until(lambda: relay.counts["lost"] == 1)
     assert relay.counts == {"sent": 3, "passed": 3, "lost": 1, "stranger": 1}
     relay.close()
 
 
 @on_loop
-async def test_a_script_goes_through_its_phases() -> None:
-    own = gateways(2)
-    relay = Relay([one.getsockname() for one in own], 1)
+async def test_a_script_applies_its_phases_in_order() -> None:
+    sockets = gateways(2)
+    relay = Relay([gateway.getsockname() for gateway in sockets], 1)
     relay.run(read_script(SCRIPT))
     await until(lambda: bool(relay._rules))
-    own[0].sendto(b"first", peer(relay, 0, 1))
+    sockets[0].sendto(b"first", peer(relay, 0, 1))
     await until(lambda: relay.counts["lost"] == 1)
     await until(lambda: relay._rules[0].doubled == 1.0)
-    own[0].sendto(b"then", peer(relay, 0, 1))
-    assert [(await read(own[1]))[0] for _ in range(2)] == [b"then", b"then"]
+    sockets[0].sendto(b"then", peer(relay, 0, 1))
+    assert [(await read(sockets[1]))[0] for _ in range(2)] == [b"then", b"then"]
     relay.close()
 
 
-def test_a_script_that_makes_no_sense_is_rejected() -> None:
+def test_a_script_with_an_invalid_rule_is_rejected() -> None:
     with pytest.raises(msgspec.ValidationError):
         read_script("[[phases]]\nat_s = 0.0\nrules = [{ loss = 2.0 }]")
 
 
 @on_loop
-async def test_a_broadcast_reaches_each_gateway_by_the_rules_of_its_pair() -> None:
-    own = gateways(4)
-    relay = Relay([one.getsockname() for one in own], 1)
+async def test_a_broadcast_follows_the_rules_of_each_pair_of_gateways() -> None:
+    sockets = gateways(4)
+    relay = Relay([gateway.getsockname() for gateway in sockets], 1)
     host, _, port = relay.everyone(0).partition(":")
     relay.rule([Rule(sources=[0], targets=[2], cut=True)])
-    own[0].sendto(b"to all", (host, int(port)))
-    assert await read(own[1]) == (b"to all", peer(relay, 1, 0))
-    assert await read(own[3]) == (b"to all", peer(relay, 3, 0))
+    sockets[0].sendto(b"to all", (host, int(port)))
+    assert await read(sockets[1]) == (b"to all", peer(relay, 1, 0))
+    assert await read(sockets[3]) == (b"to all", peer(relay, 3, 0))
     assert (relay.counts["to all"], relay.counts["passed"], relay.counts["lost"]) == (1, 2, 1)
-    for one in (own[0], own[2]):
+    for gateway in (sockets[0], sockets[2]):
         with pytest.raises(BlockingIOError):
-            one.recvfrom(100)
+            gateway.recvfrom(100)
     relay.close()
-    for one in own:
-        one.close()
+    for gateway in sockets:
+        gateway.close()
--- a/tests/membership/test_sender.py
+++ b/tests/membership/test_sender.py
@@ -24,7 +24,7 @@
 
 
 def make(statuses: dict[int, MemberStatus] | None = None) -> tuple[LocalState, DatagramSender]:
-    """A member of a cluster of 300, which knows and passes on these statuses."""
+    """Return a member of a cluster of `SIZE` that knows and gossips these statuses."""
     roster = Roster([address(n) for n in range(SIZE)], 0)
     state = LocalState(roster, Timing(), 0.0, lambda: 0.5, 1)
     for number, status in (statuses or {}).items():
@@ -50,8 +50,8 @@
         max_size=60,
     )
 )
-def test_a_datagram_never_exceeds_its_size(statuses: dict[int, MemberStatus]) -> None:
-    """However long the updates are: what does not fit stays queued, and is not counted as sent."""
+def test_a_datagram_never_exceeds_the_maximum_size(statuses: dict[int, MemberStatus]) -> None:
+    """Updates that do not fit stay queued and are not counted as sent, however long they are."""
     state, sender = make(statuses)
     assert sender.send(1, GOSSIP, 0.0, fraction=0.8)
     datagram = sent(sender)
@@ -62,8 +62,8 @@
     assert state.gossip_queue.has_unsent() == bool(set(statuses) - carried)
 
 
-def test_an_accused_member_is_told_first() -> None:
-    """Only the member itself can refute what is said of it."""
+def test_a_datagram_to_a_faulty_member_carries_its_own_status_first() -> None:
+    """Only the member itself can refute a report about it."""
     statuses = {n: MemberStatus(1, MemberState.ALIVE) for n in range(2, 9)}
     state, sender = make(statuses)
     state.table.merge(1, MemberStatus(1, MemberState.FAULTY))
@@ -73,14 +73,14 @@
 
 
 def test_probes_carry_few_updates_while_many_are_queued() -> None:
-    """Else updates crowd out probes and their answers, and healthy members look silent."""
+    """Otherwise updates use up the budget of probes, and healthy members look silent."""
     many = {n: MemberStatus(1, MemberState.ALIVE) for n in range(2, BULK_UPDATES + 3)}
     _, sender = make(many)
     assert sender.ping(200, 0.0) is not None
     assert len(sent(sender).updates) == FEW_UPDATES
 
 
-def test_beyond_the_budget_nothing_is_sent_and_that_is_counted() -> None:
+def test_datagrams_beyond_the_budget_are_counted_and_not_sent() -> None:
     _, sender = make()
     count = 0
     while sender.ping(1, 0.0) is not None:
@@ -90,7 +90,7 @@
     assert sender.ping(1, 1.0) is not None
 
 
-def test_what_can_wait_leaves_a_part_of_the_budget_to_probes() -> None:
+def test_deferrable_datagrams_leave_a_part_of_the_budget_to_probes() -> None:
     _, sender = make()
     payload = Payload(MessageKind.GOSSIP)
     while sender.send(1, payload, 0.0, fraction=0.8):
@@ -102,7 +102,7 @@
     st.integers(0, SIZE - 1),
     st.dictionaries(st.integers(0, SIZE - 1), st.integers(1, MAX_INCARNATION), max_size=SIZE),
 )
-def test_a_part_of_the_table_fits_and_has_the_member_asked_for(
+def test_a_part_of_the_table_fits_one_datagram_and_includes_the_given_member(
     about: int, incarnations: dict[int, int]
 ) -> None:
     statuses = {n: MemberStatus(i, MemberState.ALIVE) for n, i in incarnations.items()}
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: every field checked, off where talk is forbidden; and the command."""
+"""The settings file: validation, defaults, membership off without peers; the `fleet` command."""
 
 from __future__ import annotations
 
@@ -33,16 +33,18 @@
 
 def test_the_shipped_file_has_the_defaults(tmp_path: Path) -> None:
     shipped = load_fleet(ROOT / "deploy/fleet.toml", config())
-    usual = load_fleet(file(tmp_path, ""), config())
-    assert shipped is not None and usual is not None
-    assert dataclasses.replace(shipped, roster=usual.roster) == usual
+    defaults = load_fleet(file(tmp_path, ""), config())
+    assert shipped is not None and defaults is not None
+    assert dataclasses.replace(shipped, roster=defaults.roster) == defaults
 
 
-def test_where_talk_is_forbidden_there_are_no_settings(tmp_path: Path) -> None:
+def test_without_peer_addresses_there_are_no_settings(tmp_path: Path) -> None:
     assert load_fleet(file(tmp_path, ""), config(None)) is None
     own = '[members]\nlisten = "127.0.0.1:1"\naddresses = ["127.0.0.1:2", "127.0.0.1:3"]'
-    told = load_fleet(file(tmp_path, own), config(None))  # people's own network: theirs to say
-    assert told is not None and len(told.roster) == 2
+    loaded = load_fleet(
+        file(tmp_path, own), config(None)
+    )  # addresses in the file are used even if the platform gives none
+    assert loaded is not None and len(loaded.roster) == 2
 
 
 @pytest.mark.parametrize(
@@ -76,38 +78,39 @@
     )
 
 
-def test_the_broadcast_address_is_the_platforms_or_the_files(tmp_path: Path) -> None:
+def test_the_broadcast_address_comes_from_the_platform_or_the_file(tmp_path: Path) -> None:
     everyone = ("127.0.0.1", 9)
-    told = load_fleet(file(tmp_path, ""), config(Peers(("127.0.0.1", 7000), ADDRESSES, everyone)))
-    assert told is not None and told.roster.everyone == everyone
+    loaded = load_fleet(file(tmp_path, ""), config(Peers(("127.0.0.1", 7000), ADDRESSES, everyone)))
+    assert loaded is not None and loaded.roster.everyone == everyone
     members = (
         f'[members]\nlisten = "{ADDRESSES[0][0]}:{ADDRESSES[0][1]}"\neveryone = "127.0.0.1:9"\n'
     )
     members += f"addresses = {[f'{host}:{port}' for host, port in ADDRESSES]}"
-    told = load_fleet(file(tmp_path, members), config(None))
-    assert told is not None and told.roster.everyone == everyone
+    loaded = load_fleet(file(tmp_path, members), config(None))
+    assert loaded is not None and loaded.roster.everyone == everyone
     none = load_fleet(file(tmp_path, ""), config())
     assert none is not None and none.roster.everyone is None
 
 
-def test_a_small_budget_has_longer_periods(tmp_path: Path) -> None:
-    few = load_fleet(file(tmp_path, "[talk]\nfleet_bytes_per_second = 3072"), config())
-    usual = load_fleet(file(tmp_path, ""), config())
-    assert few is not None and usual is not None
-    assert few.timing.max_bytes_per_s == 1024 and few.timing.period_s > usual.timing.period_s
+def test_a_small_send_budget_lengthens_the_periods(tmp_path: Path) -> None:
+    limited = load_fleet(file(tmp_path, "[talk]\nfleet_bytes_per_second = 3072"), config())
+    defaults = load_fleet(file(tmp_path, ""), config())
+    assert limited is not None and defaults is not None
+    assert (
+        limited.timing.max_bytes_per_s == 1024
+        and limited.timing.period_s > defaults.timing.period_s
+    )
 
 
-def report(number: int, state: str, *standings: str) -> Report:
-    others = [n for n in range(len(standings) + 1) if n != number]
-    lines = [
-        MemberLine(n, s, 1, 2.0, 0.1, "heard", n) for n, s in zip(others, standings, strict=True)
-    ]
+def report(number: int, state: str, *states: str) -> Report:
+    others = [n for n in range(len(states) + 1) if n != number]
+    lines = [MemberLine(n, s, 1, 2.0, 0.1, "heard", n) for n, s in zip(others, states, strict=True)]
     return Report(
         f"n{number}", number, time.time(), 3, 1, state, 4.0, 2, (number, 3), True, lines, {}, 0, 0
     )
 
 
-def test_the_command_says_where_views_differ(
+def test_the_fleet_command_reports_where_views_differ(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     views = [report(0, "sound", "alive", "gone"), report(1, "sound", "alive", "alive")]
@@ -134,8 +137,8 @@
 
 
 def test_only_the_transport_and_the_service_do_io() -> None:
-    """Cores take time and randomness as arguments; else the simulation's runs would not be the
-    same each time."""
+    """The core takes time and randomness as arguments; otherwise simulation runs would not be
+    reproducible."""
     for path in sorted((ROOT / "quillroad/membership").glob("*.py")):
         names = set()
         for node in ast.walk(ast.parse(path.read_text())):
@@ -147,7 +150,7 @@
         assert path.name == "transport.py" or "socket" not in names, path
 
 
-def test_nothing_of_the_package_is_imported_while_it_is_off() -> None:
+def test_the_package_is_not_imported_while_membership_is_off() -> None:
     import subprocess  # noqa: PLC0415
     import sys  # noqa: PLC0415
 
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -1,4 +1,4 @@
-"""The UDP socket: what is read in one turn, what cannot be sent, and the address afterwards."""
+"""The UDP socket: reads per event-loop iteration, refused sends, and release of the address."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @on_loop
-async def test_datagrams_arrive_with_their_sender_and_too_long_ones_are_seen_to_be() -> None:
+async def test_datagrams_arrive_with_their_source_and_long_ones_exceed_the_maximum() -> None:
     readable = asyncio.Event()
     ports = free_port(), free_port()
     one, other = open_transport(ports[0], readable), open_transport(ports[1])
@@ -35,8 +35,8 @@
 
 
 @on_loop
-async def test_a_flood_is_read_in_parts() -> None:
-    """Two hundred datagrams wait: requests get their turn after each part of them."""
+async def test_a_flood_is_read_in_several_iterations() -> None:
+    """Reading all waiting datagrams at once would delay requests on the same event loop."""
     readable = asyncio.Event()
     port = free_port()
     transport = open_transport(port, readable)
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""The view: snapshots, their versions, and the changes that are kept for the caller."""
+"""The view: snapshots, versions, and the changes kept until the caller fetches them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_every_member_state_and_health_state_has_a_kind_of_change() -> None:
-    """The words of the file of changes; a state without one would end the process that meets it."""
+    """A state without a name in the change log would raise an exception when a member enters it."""
     assert {ChangeKind(state.reported_name) for state in MemberState} == {
         ChangeKind.UNKNOWN,
         ChangeKind.ALIVE,
@@ -28,7 +28,7 @@
     }
 
 
-def test_only_another_state_is_a_change() -> None:
+def test_only_a_new_state_is_recorded_as_a_change() -> None:
     builder = ViewBuilder(0, 4, 0.0)
     builder.record(2, record(MemberState.ALIVE), 1.0)
     first = builder.snapshot(1)
@@ -43,7 +43,7 @@
     assert builder.present() == [] and builder.absent() == [2]
 
 
-def test_a_table_that_differs_unsettles_the_view() -> None:
+def test_a_difference_of_tables_makes_the_view_unsettled() -> None:
     builder = ViewBuilder(0, 2, 0.0)
     builder.record(1, record(MemberState.ALIVE), 1.0)
     builder.set_self_state(HealthState.HEALTHY, 1, 1.0)
@@ -52,7 +52,7 @@
     assert not builder.snapshot(1).is_settled(6.0, 5.0)
 
 
-def test_changes_that_nobody_fetches_are_bounded() -> None:
+def test_changes_that_are_not_fetched_are_bounded() -> None:
     builder = ViewBuilder(0, 2, 0.0)
     for i in range(MAX_CHANGES + 10):
         state = MemberState.ALIVE if i % 2 else MemberState.FAULTY
--- a/tests/membership/test_wire.py
+++ b/tests/membership/test_wire.py
@@ -1,4 +1,4 @@
-"""Datagrams: whatever bytes come, and every one that is made."""
+"""Encoding and decoding of datagrams, including damaged and arbitrary bytes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 BITS = st.integers(0, 2**32 - 1)
 NUMBERS = st.integers(0, MAX_MEMBERS - 1)
-NEWS = st.builds(Update, NUMBERS, BITS, st.integers(1, 4), st.integers(1, 7))
+UPDATES = st.builds(Update, NUMBERS, BITS, st.integers(1, 4), st.integers(1, 7))
 DATAGRAMS = st.builds(
     Datagram,
     st.just(VERSION),
@@ -32,7 +32,7 @@
     st.sampled_from(list(MessageKind)),
     BITS,
     BITS,
-    st.lists(NEWS, max_size=12).map(tuple),
+    st.lists(UPDATES, max_size=12).map(tuple),
     NUMBERS,
 )
 
@@ -52,17 +52,19 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_read_or_rejected(data: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_or_rejected(data: bytes) -> None:
     readable(data)
 
 
 @given(DATAGRAMS, st.integers(0, 255), st.binary(min_size=1, max_size=3))
-def test_any_damage_is_read_or_rejected(datagram: Datagram, at: int, damage: bytes) -> None:
+def test_damaged_datagrams_are_decoded_or_rejected(
+    datagram: Datagram, at: int, damage: bytes
+) -> None:
     data = encode(datagram)
     readable(data[: at % len(data)] + damage + data[at % len(data) + 1 :])
 
 
-def test_bounds_on_every_field() -> None:
+def test_fields_outside_their_bounds_are_rejected() -> None:
     good = [VERSION, 3, 7, 1, 0, 9, 11, [], 0]
     assert readable(msgspec.msgpack.encode(good))
     for at, value in (
@@ -88,12 +90,12 @@
     assert not readable(msgspec.msgpack.encode(good)[:1]) and not readable(b"")
     assert not readable(
         msgspec.msgpack.encode([*good, b"x" * 250])
-    )  # longer than a datagram may be
+    )  # longer than MAX_DATAGRAM_BYTES
 
 
 def test_unknown_trailing_fields_are_ignored() -> None:
-    whole = [VERSION, 3, 7, 1, 0, 9, 11, [], 0, [], b"", 0, [], {"new": 1}, 5]
-    assert decode(msgspec.msgpack.encode(whole)).sequence == 9
+    with_extra_fields = [VERSION, 3, 7, 1, 0, 9, 11, [], 0, [], b"", 0, [], {"new": 1}, 5]
+    assert decode(msgspec.msgpack.encode(with_extra_fields)).sequence == 9
 
 
 def test_a_datagram_of_a_newer_version_still_names_its_sender() -> None:
