--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -58,10 +58,10 @@
 
     def views_agree() -> bool:
         for number in observers:
-            report = view(on, number)
-            if report is None:
+            latest_report = view(on, number)
+            if latest_report is None:
                 return False
-            found = standing(report)
+            found = standing(latest_report)
             if found.get("alive", set()) != expected - {number} or found.get("suspect"):
                 return False
         return True
@@ -229,11 +229,11 @@
         # All at once, so that they exceed the limit for one second on a slow machine, too.
         await on.relay.send_command(inject=[1, 0, "00"], times=200)
         await until(lambda: {"malformed", "flood", "too long"} <= view(on, 0).dropped.keys())  # type: ignore[union-attr]
-        report = view(on, 0)
+        latest_report = view(on, 0)
         assert (
-            report is not None
-            and report.dropped["malformed"] >= 4
-            and report.dropped["too long"] == 1
+            latest_report is not None
+            and latest_report.dropped["malformed"] >= 4
+            and latest_report.dropped["too long"] == 1
         )
         load = on.load(0)
         await load.open_loop(steady(20.0, 2.0))
