--- a/bench/fleet_view.py
+++ b/bench/fleet_view.py
@@ -49,7 +49,7 @@
 from quillroad.membership.timing import Timing
 from quillroad.membership.view import ChangeKind
 from simulation.cuts import Cuts
-from simulation.fleet import EVERYONE, Fleet, Part
+from simulation.fleet import BROADCAST_TARGET, Fleet, Part
 from simulation.heartbeats import Heartbeats
 from simulation.net import Link, World
 from simulation.phi import Phi
@@ -74,7 +74,7 @@
 # The printed names are those of the journal: the docstring explains them.
 DETECTORS = {
     "own": Detector(Core),
-    "own aloud": Detector(Core, broadcast_address=EVERYONE),
+    "own aloud": Detector(Core, broadcast_address=BROADCAST_TARGET),
     "plain SWIM": Detector(Core, replace(Timing(), lifeguard=False)),
     "heartbeats": Detector(Heartbeats),
     "phi-accrual": Detector(Phi),
--- a/bench/fleet_walk.py
+++ b/bench/fleet_walk.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from bench.tables import header, row
-from simulation.fleet import EVERYONE
+from simulation.fleet import BROADCAST_TARGET
 from simulation.walk import Broken, Flight, Step, Walk
 
 MEMBERS = 3
@@ -38,7 +38,7 @@
 
 def play(depth: int, closing: int, start: Start) -> Result:
     """Walk from one start: `depth` steps, and `closing` steps with the network whole after each."""
-    walk = Walk(MEMBERS, everyone=EVERYONE if start.has_broadcast else None)
+    walk = Walk(MEMBERS, everyone=BROADCAST_TARGET if start.has_broadcast else None)
     began_s = time.process_time()
     broken = ""
     try:
--- a/quillroad/membership/broadcast.py
+++ b/quillroad/membership/broadcast.py
@@ -6,9 +6,9 @@
 from __future__ import annotations
 
 from quillroad.membership.sender import (
+    BROADCAST_TARGET,
     BULK_UPDATES,
     DEFERRABLE_FRACTION,
-    EVERYONE,
     GOSSIP,
     DatagramSender,
 )
@@ -59,11 +59,11 @@
         if len(self.pending) <= BULK_UPDATES:
             updates = tuple(state.update_of(n) for n in self.pending)
             if self._sender.send(
-                EVERYONE, GOSSIP, now, fraction=DEFERRABLE_FRACTION, updates=updates
+                BROADCAST_TARGET, GOSSIP, now, fraction=DEFERRABLE_FRACTION, updates=updates
             ):
                 self.pending.clear()
             return
         first = min(self.pending)
-        stop = self._tables.send(EVERYONE, first, now)
+        stop = self._tables.send(BROADCAST_TARGET, first, now)
         if stop is not None:
             self.pending -= set(range(first, stop))
--- a/quillroad/membership/core.py
+++ b/quillroad/membership/core.py
@@ -35,7 +35,7 @@
     DropReason,
     Header,
     MessageKind,
-    NewerVersionError,
+    OtherVersionError,
     decode,
 )
 
@@ -227,7 +227,7 @@
             datagram = decode(data)
         except DatagramError as error:
             self.state.dropped[error.reason] += 1
-            if isinstance(error, NewerVersionError) and error.header.number == number:
+            if isinstance(error, OtherVersionError) and error.header.number == number:
                 self._heard(error.header, now)
             return
         if datagram.number != number:
--- a/quillroad/membership/failure_detector.py
+++ b/quillroad/membership/failure_detector.py
@@ -97,7 +97,7 @@
         after its maximum timeout.
         """
         state = self._state
-        if not state.can_judge(now):
+        if not state.is_fit_to_suspect(now):
             return
         own_slot = suspector_slot(state.number)
         unconfirmed = {
@@ -124,7 +124,7 @@
         if not self._burst.is_due(now):
             return
         count = self._burst.step(now)
-        if not state.can_judge(now) or not state.recent_answer(now):
+        if not state.is_fit_to_suspect(now) or not state.recent_answer(now):
             return
         candidates = self._unheard(now)
         for number in state.sample(int(count + state.draw()), candidates):
@@ -254,7 +254,7 @@
             state.health.record_no_answer(probe.helper_heard or probe.direct_only)
         state.review_health(now)
         status = state.table[probe.number]
-        if status.state in ABSENT or not state.can_judge(now):
+        if status.state in ABSENT or not state.is_fit_to_suspect(now):
             return
         if status.state is MemberState.UNKNOWN:
             self._missing_at_start(probe.number, now)
--- a/quillroad/membership/member_table.py
+++ b/quillroad/membership/member_table.py
@@ -82,7 +82,7 @@
     return 1 << number % SUSPECTOR_SLOTS
 
 
-def credible(incarnation: int, known: int) -> bool:
+def is_credible(incarnation: int, known: int) -> bool:
     """Whether a reported incarnation is credible for a member whose known one is `known`.
 
     Without this check, one false report of the maximum incarnation would make every later suspicion
--- a/quillroad/membership/member_updates.py
+++ b/quillroad/membership/member_updates.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from quillroad.membership.broadcast import Broadcaster
-from quillroad.membership.member_table import ABSENT, MemberState, MemberStatus, credible
+from quillroad.membership.member_table import ABSENT, MemberState, MemberStatus, is_credible
 from quillroad.membership.refutation import Refutation
 from quillroad.membership.state import LocalState
 from quillroad.membership.suspicions import SuspicionTracker
@@ -45,7 +45,7 @@
     ) -> None:
         """Merge another member's status into the table, pass on a change and update the view."""
         state = self._state
-        if cause is Cause.REPORTED and not credible(
+        if cause is Cause.REPORTED and not is_credible(
             status.incarnation, state.table[number].incarnation
         ):
             state.dropped[DropReason.INCARNATION_JUMP] += 1
--- a/quillroad/membership/refutation.py
+++ b/quillroad/membership/refutation.py
@@ -7,7 +7,7 @@
     MAX_INCARNATION,
     MemberState,
     MemberStatus,
-    credible,
+    is_credible,
 )
 from quillroad.membership.state import LocalState
 from quillroad.membership.view import Change, ChangeKind
@@ -48,7 +48,7 @@
         it before it restarted without its state; in that case several members report it.
         """
         state = self._state
-        if not credible(incarnation, state.incarnation):
+        if not is_credible(incarnation, state.incarnation):
             state.dropped[DropReason.INCARNATION_JUMP] += 1
             self._jump_reporters.add(reporter)
             if len(self._jump_reporters) < state.witnesses_needed:
--- a/quillroad/membership/rejoin.py
+++ b/quillroad/membership/rejoin.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from quillroad.membership.sender import EVERYONE, DatagramSender
+from quillroad.membership.sender import BROADCAST_TARGET, DatagramSender
 from quillroad.membership.state import LocalState
 from quillroad.membership.table_transfer import TableTransfer
 
@@ -42,6 +42,6 @@
         for number in state.sample(1, state.view.absent()):
             if broadcasts:
                 # Each absent member that receives the table part refutes its own entry.
-                self._tables.send(EVERYONE, number, now)
+                self._tables.send(BROADCAST_TARGET, number, now)
             else:
                 self._sender.ping(number, now)
--- a/quillroad/membership/sender.py
+++ b/quillroad/membership/sender.py
@@ -21,7 +21,7 @@
     encode,
 )
 
-EVERYONE = -1  # target number of the broadcast address
+BROADCAST_TARGET = -1  # target number of the broadcast address
 # of the send budget, for datagrams that can wait; the rest is for probes and their answers
 DEFERRABLE_FRACTION = 0.8
 BUSY_FRACTION = (
@@ -34,7 +34,7 @@
 
 
 class Outgoing(NamedTuple):
-    """A datagram to send; `target` is the number of a member, or `EVERYONE`."""
+    """A datagram to send; `target` is the number of a member, or `BROADCAST_TARGET`."""
 
     target: int
     data: bytes
@@ -111,7 +111,7 @@
         """Return the members whose updates are sent along with a datagram to this target."""
         state = self._state
         numbers = list(first)
-        if target != EVERYONE and state.table[target] > MemberStatus(
+        if target != BROADCAST_TARGET and state.table[target] > MemberStatus(
             state.last_incarnation.get(target, 0), MemberState.ALIVE
         ):
             numbers.insert(0, target)  # only the target itself can refute this status
--- a/quillroad/membership/service.py
+++ b/quillroad/membership/service.py
@@ -22,7 +22,7 @@
 from quillroad.membership.live_count import LiveCountFollowers
 from quillroad.membership.quota_division import GatewayPosition
 from quillroad.membership.report import make_report, write_report
-from quillroad.membership.sender import EVERYONE, Outgoing
+from quillroad.membership.sender import BROADCAST_TARGET, Outgoing
 from quillroad.membership.settings import MembershipSettings, load_fleet
 from quillroad.membership.transport import UdpTransport
 from quillroad.membership.wire import DropReason
@@ -268,6 +268,6 @@
 def _address(core: Core, outgoing: Outgoing) -> tuple[str, int]:
     """Return the address to send a datagram to."""
     everyone = core.roster.everyone
-    if outgoing.target == EVERYONE and everyone is not None:
+    if outgoing.target == BROADCAST_TARGET and everyone is not None:
         return everyone
     return core.roster.addresses[outgoing.target]
--- a/quillroad/membership/state.py
+++ b/quillroad/membership/state.py
@@ -77,7 +77,7 @@
         """
         return len(self.suspicions) >= MASS_FAILURE_SUSPECTS and self.health.loss < LOSSY_NETWORK
 
-    def can_judge(self, now: float) -> bool:
+    def is_fit_to_suspect(self, now: float) -> bool:
         """Whether this member is healthy enough to suspect others."""
         return self.health.state(now) is HealthState.HEALTHY
 
--- a/quillroad/membership/suspicions.py
+++ b/quillroad/membership/suspicions.py
@@ -164,7 +164,9 @@
             return
         # During a mass failure timeouts are so short that a gateway that has just been cut off has
         # not detected its own isolation yet.
-        can_end = (not state.is_mass_failure or state.recent_answer(now)) and state.can_judge(now)
+        can_end = (
+            not state.is_mass_failure or state.recent_answer(now)
+        ) and state.is_fit_to_suspect(now)
         for number in expired:
             suspicion = state.suspicions[number]
             if not can_end or not suspicion.known_to_others:
--- a/quillroad/membership/wire.py
+++ b/quillroad/membership/wire.py
@@ -132,7 +132,7 @@
     """The bytes are too long or not a valid datagram."""
 
 
-class NewerVersionError(DatagramError):
+class OtherVersionError(DatagramError):
     """A datagram of another version; its header shows that the sender is alive."""
 
     def __init__(self, header: Header) -> None:
@@ -157,7 +157,7 @@
     try:
         header = _header_decoder.decode(data)
         if header.version != VERSION:
-            raise NewerVersionError(header)
+            raise OtherVersionError(header)
         datagram = _decoder.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError):
         raise UnreadableDatagramError(DropReason.MALFORMED) from None
--- a/quillroad/upgrade/channel.py
+++ b/quillroad/upgrade/channel.py
@@ -12,8 +12,8 @@
 from typing import NamedTuple
 
 from quillroad.upgrade.messages import (
-    BATCH,
     MAX_CHUNK_BYTES,
+    MAX_DESCRIPTORS_PER_MESSAGE,
     BadPacketError,
     Message,
     Reader,
@@ -139,7 +139,7 @@
             try:
                 packet, ancillary, flags, _ = self._sock.recvmsg(
                     MAX_CHUNK_BYTES + MAX_HEADER_BYTES,
-                    socket.CMSG_SPACE(BATCH * array.array("i").itemsize),
+                    socket.CMSG_SPACE(MAX_DESCRIPTORS_PER_MESSAGE * array.array("i").itemsize),
                     socket.MSG_CMSG_CLOEXEC,
                 )
             except (BlockingIOError, InterruptedError):
--- a/quillroad/upgrade/messages.py
+++ b/quillroad/upgrade/messages.py
@@ -31,19 +31,19 @@
     32 * 1024
 )  # in a packet; the default send buffer has 208 KiB (net.core.wmem_default)
 MAX_MESSAGE_BYTES = 32 * 1024 * 1024  # the state of 100,000 hosts takes about 12 MB
-BATCH = 16  # maximum number of descriptors sent with one message
+MAX_DESCRIPTORS_PER_MESSAGE = 16  # maximum number of descriptors sent with one message
 MAX_TAG_CHARACTERS = 40  # kept of an unknown tag
 
 _HEADER = struct.Struct("!4sBBHHIHI")
 
 
-def batch_of(descriptors: int) -> int:
+def migration_batch_size(descriptors: int) -> int:
     """Return how many connections move in one batch, given the gateway's descriptor limit.
 
     While a batch moves, both processes hold a copy of each descriptor that their limits do not
     count. An upgrade therefore reserves twice as many descriptors as a batch has.
     """
-    return max(1, min(BATCH, descriptors // 32))
+    return max(1, min(MAX_DESCRIPTORS_PER_MESSAGE, descriptors // 32))
 
 
 class BadPacketError(Exception):
@@ -70,13 +70,13 @@
     memory_mb: float = 0.0
 
 
-class Unfit(Struct, tag="unfit", array_like=True):
+class CannotServe(Struct, tag="unfit", array_like=True):
     """Worker to supervisor: it cannot serve or take over, and why. The worker exits."""
 
     why: str
 
 
-class Give(Struct, tag="give", array_like=True):
+class PrepareHandover(Struct, tag="give", array_like=True):
     """Supervisor to the serving worker, with its end of a socket pair: prepare to hand over.
 
     The serving worker's limit falls by `descriptors`, which the other worker may hold meanwhile.
@@ -86,7 +86,7 @@
     other: int = 0  # number of the worker that takes over
 
 
-class Take(Struct, tag="take", array_like=True):
+class PrepareTakeover(Struct, tag="take", array_like=True):
     """Supervisor to the worker that takes over, with the other end of the socket pair."""
 
     other: int = 0  # number of the worker that hands over
@@ -107,13 +107,13 @@
     left: list[str] = []
 
 
-class Yield(Struct, tag="yield", array_like=True):
+class YieldListener(Struct, tag="yield", array_like=True):
     """Supervisor to the serving worker: stop accepting connections and hand over."""
 
     grant: int
 
 
-class Yielded(Struct, tag="yielded", array_like=True):
+class ListenerYielded(Struct, tag="yielded", array_like=True):
     """Worker to supervisor: it has stopped accepting under this grant."""
 
     grant: int
@@ -123,13 +123,13 @@
     """Worker to supervisor: it has adopted the final state of the other worker."""
 
 
-class Own(Struct, tag="own", array_like=True):
+class GrantListener(Struct, tag="own", array_like=True):
     """Supervisor to worker: start accepting connections."""
 
     grant: int
 
 
-class Owning(Struct, tag="owning", array_like=True):
+class ListenerGranted(Struct, tag="owning", array_like=True):
     """Worker to supervisor: it accepts connections under this grant."""
 
     grant: int
@@ -168,11 +168,11 @@
 class Connections(Struct, tag="connections", array_like=True):
     """Worker to worker, with one descriptor for each connection: idle client connections.
 
-    `brought` has the number of requests that each connection has carried so far.
+    `requests_carried` has the number of requests that each connection has carried so far.
     """
 
     batch: int
-    brought: list[int]
+    requests_carried: list[int]
 
 
 class BatchReceived(Struct, tag="kept", array_like=True):
@@ -206,13 +206,13 @@
     descriptors: int
 
 
-class Lend(Struct, tag="lend", array_like=True):
+class RaiseDescriptorLimit(Struct, tag="lend", array_like=True):
     """Worker to worker: raises the receiver's descriptor limit until their link closes."""
 
     descriptors: int
 
 
-class Come(Struct, tag="come", array_like=True):
+class ReadyForConnections(Struct, tag="come", array_like=True):
     """Worker to worker: it accepts now, and is ready to receive connections."""
 
 
@@ -238,16 +238,16 @@
     Hello
     | Welcome
     | Ready
-    | Unfit
-    | Give
-    | Take
+    | CannotServe
+    | PrepareHandover
+    | PrepareTakeover
     | Ended
     | Prepared
-    | Yield
-    | Yielded
+    | YieldListener
+    | ListenerYielded
     | StateAdopted
-    | Own
-    | Owning
+    | GrantListener
+    | ListenerGranted
     | Retire
     | Report
     | State
@@ -257,8 +257,8 @@
     | Release
     | AttemptsInFlight
     | DescriptorLimit
-    | Lend
-    | Come
+    | RaiseDescriptorLimit
+    | ReadyForConnections
     | OperatorActions
     | Unknown
 )
--- a/quillroad/upgrade/process.py
+++ b/quillroad/upgrade/process.py
@@ -23,7 +23,7 @@
 from quillroad.upgrade.canary import Canary
 from quillroad.upgrade.channel import PEER_CLOSED, Channel, close_all, pair
 from quillroad.upgrade.control_socket import ControlSocket
-from quillroad.upgrade.messages import Message, Take, Welcome
+from quillroad.upgrade.messages import Message, PrepareTakeover, Welcome
 from quillroad.upgrade.owned_tasks import OwnedTasks
 from quillroad.upgrade.settings import Upgrades, load_upgrades
 from quillroad.upgrade.supervisor import Supervisor
@@ -164,7 +164,7 @@
         ends = pair()
         if giver is not None and taker is not None:
             giver.send(command.message, [ends[0].fileno()])
-            taker.send(Take(command.giver), [ends[1].fileno()])
+            taker.send(PrepareTakeover(command.giver), [ends[1].fileno()])
         for end in ends:
             end.close()  # the messages hold duplicates in the kernel
 
--- a/quillroad/upgrade/sections.py
+++ b/quillroad/upgrade/sections.py
@@ -21,12 +21,12 @@
 from quillroad.upgrade.sibling_engine import SiblingEngine
 from quillroad.upgrade.state_snapshot import Names, StateSnapshot, adopt, export
 
-KNOWN = ("clock", "hosts", "module", "admission")
-OPTIONAL = ("by-hand", "zones")  # their features may be off in either process
+REQUIRED_SECTIONS = ("clock", "hosts", "module", "admission")
+OPTIONAL_SECTIONS = ("by-hand", "zones")  # their features may be off in either process
 # The order in which sections are read. Operators' actions come before the endpoint list, so that no
 # host that an operator took out of service appears as ready, and before the learned state, which is
 # valid only if both processes have the same start time for a host.
-ORDER = ("by-hand", *KNOWN, "zones")
+SECTION_ORDER = ("by-hand", *REQUIRED_SECTIONS, "zones")
 
 
 class Clock(Struct):
@@ -141,11 +141,15 @@
     Returns one line of text for each thing that cannot be used. A section that cannot be decoded is
     ignored as a whole.
     """
-    unusable = [f"section {name!r}: not known" for name in sections if name not in KNOWN + OPTIONAL]
-    for name in ORDER:
+    unusable = [
+        f"section {name!r}: not known"
+        for name in sections
+        if name not in REQUIRED_SECTIONS + OPTIONAL_SECTIONS
+    ]
+    for name in SECTION_ORDER:
         if name in sections:
             unusable += _read_section(gateway, name, sections[name], trial)
-        elif name not in OPTIONAL:
+        elif name not in OPTIONAL_SECTIONS:
             unusable.append(f"section {name!r}: missing")
     return unusable
 
--- a/quillroad/upgrade/sibling_handover.py
+++ b/quillroad/upgrade/sibling_handover.py
@@ -7,10 +7,10 @@
     Hello  ->                                  accepts one new process at a time
                                            <-  Welcome(descriptors) + the listening socket
     reads its configuration, runs its self-test
-    Ready  ->                                  sends Give to its worker state
-    sends Take to its worker state         <-  State(final=False) ..., as in `worker_state`
-                                               on Prepared: sends Yield to its worker state
-    on StateAdopted: sends Own to its worker state, and waits for the next new process
+    Ready  ->                                  sends PrepareHandover to its worker state
+    sends PrepareTakeover to its worker    <-  State(final=False) ..., as in `worker_state`
+    state                                      on Prepared: sends YieldListener to its worker state
+    on StateAdopted: sends GrantListener to its worker state, and waits for the next new process
 
 A process that loses the link continues alone: the one that handed over accepts again on its
 listener, which it never closed; the new one serves with the listener that it received, or opens
@@ -26,17 +26,17 @@
 from quillroad.upgrade.messages import (
     VERSION,
     DescriptorLimit,
-    Give,
+    GrantListener,
     Hello,
     Message,
-    Own,
     Prepared,
+    PrepareHandover,
+    PrepareTakeover,
     Ready,
     StateAdopted,
-    Take,
     Welcome,
-    Yield,
-    batch_of,
+    YieldListener,
+    migration_batch_size,
 )
 
 SIBLING = 1  # the worker number that each process uses for the other
@@ -111,7 +111,7 @@
     def _serve(self) -> list[HandoverCommand]:
         self._grant += 1
         self.phase = HandoverPhase.SERVING
-        return [TellWorker(Own(self._grant)), HandoverStep.PUBLISH]
+        return [TellWorker(GrantListener(self._grant)), HandoverStep.PUBLISH]
 
     # As the new process.
 
@@ -132,7 +132,7 @@
         """
         if linked:
             self.phase = HandoverPhase.TAKING_OVER
-            return [TellWorker(Take(SIBLING)), SendToSibling(Ready())]
+            return [TellWorker(PrepareTakeover(SIBLING)), SendToSibling(Ready())]
         return self._serve_alone()
 
     def handover_timed_out(self) -> list[HandoverCommand]:
@@ -158,32 +158,32 @@
         if hello.version != VERSION:
             return [HandoverStep.CLOSE_LINK]
         self.phase = HandoverPhase.HANDING_OVER
-        left = self.descriptors - self._newcomer_limit - 2 * batch_of(self.descriptors)
+        left = self.descriptors - self._newcomer_limit - 2 * migration_batch_size(self.descriptors)
         welcome = Welcome(self.descriptors // 2)
         return [TellWorker(DescriptorLimit(left)), SendToSibling(welcome, listener=True)]
 
     # As either process.
 
-    def sibling_said(self, message: Message) -> list[HandoverCommand]:
+    def on_sibling_message(self, message: Message) -> list[HandoverCommand]:
         """Handle a message of the sibling that is not for the worker state."""
         match message:
             case Hello() if self.accepts_newcomer():
                 return self._welcome(message)
             case Ready() if self.phase is HandoverPhase.HANDING_OVER:
                 lent = self.descriptors // 2 - self._newcomer_limit
-                return [TellWorker(Give(lent, SIBLING))]
+                return [TellWorker(PrepareHandover(lent, SIBLING))]
             case Welcome() if self.phase is HandoverPhase.AWAITING_WELCOME:
                 self.phase = HandoverPhase.PREPARING
                 return [HandoverStep.PREPARE]
         return []
 
-    def worker_said(self, message: Message) -> list[HandoverCommand]:
+    def on_worker_message(self, message: Message) -> list[HandoverCommand]:
         """Handle a message of this process's worker state to its supervisor."""
         match message:
             case Prepared() if self.phase is HandoverPhase.HANDING_OVER:
                 self.phase = HandoverPhase.STANDING_BY
                 self._grant += 1
-                return [TellWorker(Yield(self._grant))]
+                return [TellWorker(YieldListener(self._grant))]
             case StateAdopted() if self.phase is HandoverPhase.TAKING_OVER:
                 return self._serve()
         return []
--- a/quillroad/upgrade/sibling_process.py
+++ b/quillroad/upgrade/sibling_process.py
@@ -31,7 +31,7 @@
     Message,
     Ready,
     Welcome,
-    batch_of,
+    migration_batch_size,
 )
 from quillroad.upgrade.rendezvous import Rendezvous
 from quillroad.upgrade.selftest import SelfTestError, selftest
@@ -136,7 +136,7 @@
 
     def _sibling_ended(self) -> None:
         self._unwatch_process()
-        self._perform_all(self._state.supervisor_said(Ended(SIBLING)))
+        self._perform_all(self._state.on_supervisor_message(Ended(SIBLING)))
 
     def _on_sibling_message(self, message: Message, descriptors: list[int]) -> None:
         if not isinstance(message, Hello | Ready | Welcome):
@@ -147,7 +147,7 @@
             self._listener = socket.socket(fileno=descriptors.pop())
             self._listener.setblocking(False)
         close_all(descriptors)
-        self._perform_handover(self._handover.sibling_said(message))
+        self._perform_handover(self._handover.on_sibling_message(message))
 
     def _serve_operators(self, on: bool) -> None:
         """Do nothing: each process has its own admin address, from its start to its end."""
@@ -159,7 +159,7 @@
             self._perform_handover(self._handover.link_lost())
 
     def _to_supervisor(self, message: Message) -> None:
-        self._perform_handover(self._handover.worker_said(message))
+        self._perform_handover(self._handover.on_worker_message(message))
 
     # Commands of `sibling_handover`.
 
@@ -180,7 +180,7 @@
                 self._send_to_sibling(command.message, descriptors)
             case TellWorker():
                 if not (isinstance(command.message, DescriptorLimit) and self._gateway is None):
-                    self._perform_all(self._state.supervisor_said(command.message))
+                    self._perform_all(self._state.on_supervisor_message(command.message))
             case HandoverStep.PREPARE:
                 self._tasks.start(self._prepare())
             case HandoverStep.OPEN_LISTENER:
@@ -214,7 +214,7 @@
         descriptors = self._handover.descriptors
         self._build(self._config, (descriptors // 2 if is_linked else descriptors) - RESERVED)
         # `sibling_handover` reserves descriptors for two batches of this size.
-        self._state.batch = batch_of(descriptors)
+        self._state.batch = migration_batch_size(descriptors)
         operators = self.gateway.admin
         assert operators is not None
         operators.start()
--- a/quillroad/upgrade/state_adoption.py
+++ b/quillroad/upgrade/state_adoption.py
@@ -12,9 +12,9 @@
 from quillroad.balancing.timers import Timer, TimerPurpose
 from quillroad.upgrade.state_document import (
     VERSION,
+    HostRecord,
     Names,
-    RequestKnown,
-    ServerKnown,
+    RequestRecord,
     StateSnapshot,
     Work,
 )
@@ -123,7 +123,7 @@
 
 
 def _restore_host(
-    balancer: Balancer, document: ServerKnown, fresh: bool, work: bool
+    balancer: Balancer, document: HostRecord, fresh: bool, work: bool
 ) -> HostState | None:
     """Restore one host; None if it is not in the endpoint list here or has restarted."""
     host = balancer.hosts.get(document.id) if document.listed else None
@@ -149,11 +149,11 @@
     return host
 
 
-def _has_restarted(host: HostState, document: ServerKnown) -> bool:
+def _has_restarted(host: HostState, document: HostRecord) -> bool:
     return (host.endpoint.started_us or 0) != (document.started_us or 0)
 
 
-def _new_host(balancer: Balancer, document: ServerKnown) -> HostState:
+def _new_host(balancer: Balancer, document: HostRecord) -> HostState:
     status = EndpointStatus(document.state)
     host = HostState(
         Endpoint(
@@ -194,7 +194,7 @@
 
 
 def _restore_request(
-    balancer: Balancer, document: RequestKnown, hosts: Sequence[HostState]
+    balancer: Balancer, document: RequestRecord, hosts: Sequence[HostState]
 ) -> Request:
     arrival = RequestArrived(
         document.id, document.route, document.useful_us, long_body=document.long
--- a/quillroad/upgrade/state_document.py
+++ b/quillroad/upgrade/state_document.py
@@ -19,7 +19,7 @@
 """Version of the format. A later document is read as this version, and the reader reports that."""
 
 
-class ServerKnown(Struct, array_like=True):
+class HostRecord(Struct, array_like=True):
     """One host: its entry in the endpoint list, and what was learned about it.
 
     `state` is the number of its `EndpointStatus`, `kind` its machine type, `hint` its weight,
@@ -50,7 +50,7 @@
     failures: int = 0
 
 
-class RouteKnown(Struct):
+class RouteRecord(Struct):
     """One route.
 
     `tokens` are the tokens of its retry budget, `cost_us` is its uncrowded latency, learned from
@@ -65,7 +65,7 @@
     latency: list[int] = []
 
 
-class AttemptKnown(Struct, array_like=True):
+class AttemptRecord(Struct, array_like=True):
     """One attempt of an open request.
 
     `server` is an index into the document's `servers`. `alone`: its host had no other attempt when
@@ -80,7 +80,7 @@
     full: bool
 
 
-class RequestKnown(Struct, array_like=True):
+class RequestRecord(Struct, array_like=True):
     """One open request.
 
     `cost_us` is its expected work; an answer after `useful_us` has no value; `over` says that it
@@ -98,7 +98,7 @@
     groups: int
     closed: bool
     registered: bool
-    attempts: list[AttemptKnown] = []
+    attempts: list[AttemptRecord] = []
     long: bool = False
 
 
@@ -111,7 +111,7 @@
     of the purpose, and request or -1. `tags` is the last timer id.
     """
 
-    requests: list[RequestKnown]
+    requests: list[RequestRecord]
     queues: list[tuple[list[int], list[int]]]
     due: list[list[tuple[int, int, int]]]
     alarms: list[tuple[int, str, int]]
@@ -133,8 +133,8 @@
     """
 
     now_us: int
-    servers: list[ServerKnown]
-    routes: list[RouteKnown]
+    servers: list[HostRecord]
+    routes: list[RouteRecord]
     balancers: int = 1
     version: int = VERSION
     quotas: dict[str, tuple[float, int]] = {}
--- a/quillroad/upgrade/state_snapshot.py
+++ b/quillroad/upgrade/state_snapshot.py
@@ -18,11 +18,11 @@
 from quillroad.upgrade.state_adoption import ADOPTED_TIMERS, adopt
 from quillroad.upgrade.state_document import (
     VERSION,
-    AttemptKnown,
+    AttemptRecord,
+    HostRecord,
     Names,
-    RequestKnown,
-    RouteKnown,
-    ServerKnown,
+    RequestRecord,
+    RouteRecord,
     StateSnapshot,
     Work,
 )
@@ -30,11 +30,11 @@
 __all__ = [
     "ADOPTED_TIMERS",
     "VERSION",
-    "AttemptKnown",
+    "AttemptRecord",
+    "HostRecord",
     "Names",
-    "RequestKnown",
-    "RouteKnown",
-    "ServerKnown",
+    "RequestRecord",
+    "RouteRecord",
     "StateSnapshot",
     "Work",
     "adopt",
@@ -98,7 +98,7 @@
     """The hosts of a snapshot, and the index of each."""
 
     def __init__(self, balancer: Balancer) -> None:
-        self.known: list[ServerKnown] = []
+        self.known: list[HostRecord] = []
         # By id() of the state: the number of a removed host may be in use by another host.
         self._index: dict[int, int] = {}
         for host in balancer.hosts.values():
@@ -112,9 +112,9 @@
         return self._index[id(host)]
 
 
-def _host_known(host: HostState, listed: bool) -> ServerKnown:
+def _host_known(host: HostState, listed: bool) -> HostRecord:
     endpoint = host.endpoint
-    return ServerKnown(
+    return HostRecord(
         id=endpoint.id,
         state=endpoint.status.value,
         zone=endpoint.zone,
@@ -137,8 +137,8 @@
     )
 
 
-def _route_known(route: RouteState) -> RouteKnown:
-    return RouteKnown(
+def _route_known(route: RouteState) -> RouteRecord:
+    return RouteRecord(
         route.settings.name,
         route.retry_budget.tokens,
         route.uncrowded_latency_us,
@@ -152,7 +152,7 @@
     """The open requests of a snapshot, and the index of each."""
 
     def __init__(self, balancer: Balancer, hosts: _HostTable) -> None:
-        self.known: list[RequestKnown] = []
+        self.known: list[RequestRecord] = []
         self._balancer = balancer
         self._hosts = hosts
         self._index: dict[int, int] = {}
@@ -164,8 +164,8 @@
             self.known.append(self._request_known(request))
         return self._index[id(request)]
 
-    def _request_known(self, request: Request) -> RequestKnown:
-        return RequestKnown(
+    def _request_known(self, request: Request) -> RequestRecord:
+        return RequestRecord(
             id=request.id,
             route=self._balancer.routes.index(request.route),
             cost_us=request.work_us,
@@ -179,8 +179,8 @@
             long=request.long_body,
         )
 
-    def _attempt_known(self, attempt: Attempt) -> AttemptKnown:
-        return AttemptKnown(
+    def _attempt_known(self, attempt: Attempt) -> AttemptRecord:
+        return AttemptRecord(
             server=self._hosts.index_of(attempt.host),
             sent_us=attempt.sent_us,
             outcome=attempt.outcome.value if attempt.outcome else None,
--- a/quillroad/upgrade/supervisor.py
+++ b/quillroad/upgrade/supervisor.py
@@ -26,20 +26,20 @@
 from quillroad.upgrade.canary import RequestCounts
 from quillroad.upgrade.messages import (
     VERSION,
+    CannotServe,
     DescriptorLimit,
     Ended,
-    Give,
     Hello,
+    ListenerGranted,
+    ListenerYielded,
     Message,
-    Owning,
     Prepared,
+    PrepareHandover,
     Ready,
     Report,
     StateAdopted,
-    Unfit,
     Welcome,
-    Yield,
-    Yielded,
+    YieldListener,
 )
 from quillroad.upgrade.supervisor_commands import (
     CloseListener,
@@ -88,16 +88,16 @@
             case Ready():
                 worker.ready, worker.memory_mb = True, message.memory_mb
                 self._candidate_is_ready(now, worker)
-            case Unfit():
+            case CannotServe():
                 self._unfit(now, number, message.why)
             case Prepared():
                 self._worker_prepared(now, worker, message)
-            case Yielded():
+            case ListenerYielded():
                 self._worker_yielded(now, number, message)
             case StateAdopted():
                 worker.has_state = True
                 self._grant_to_candidate(now)
-            case Owning():
+            case ListenerGranted():
                 if message.grant == self._newest_grant and number in self.granted:
                     self._worker_accepts(now, number)
             case Report():
@@ -267,7 +267,7 @@
             self._abort(now, "")
             return
         self.workers[self.owner].prepared = False
-        give = Give(0, worker.number)
+        give = PrepareHandover(0, worker.number)
         self._commands.append(ConnectWorkers(self.owner, worker.number, give))
         self._enter_phase(Phase.PREPARING, now + self.limits.prepare_s)
 
@@ -279,10 +279,10 @@
                 self._log("left behind", worker.number, line)
         both = [self.workers.get(self.owner), self.workers.get(self.candidate)]
         if self.phase is Phase.PREPARING and all(one is not None and one.prepared for one in both):
-            self._send(self.owner, Yield(self._newest_grant))
+            self._send(self.owner, YieldListener(self._newest_grant))
             self._enter_phase(Phase.SWITCHING, now + self.limits.switch_s)
 
-    def _worker_yielded(self, now: float, number: int, message: Yielded) -> None:
+    def _worker_yielded(self, now: float, number: int, message: ListenerYielded) -> None:
         if message.grant != self._newest_grant:
             return
         self.granted.discard(number)
--- a/quillroad/upgrade/supervisor_commands.py
+++ b/quillroad/upgrade/supervisor_commands.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from quillroad.upgrade.messages import Give, Message
+from quillroad.upgrade.messages import Message, PrepareHandover
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,12 +26,13 @@
 class ConnectWorkers:
     """Connect two workers by a socket pair.
 
-    `Give` is sent to the giver and `Take` to the taker, each with its end of the pair.
+    `PrepareHandover` is sent to the giver and `PrepareTakeover` to the taker, each with its end of
+    the pair.
     """
 
     giver: int
     taker: int
-    message: Give
+    message: PrepareHandover
 
 
 @dataclass(frozen=True, slots=True)
--- a/quillroad/upgrade/supervisor_recovery.py
+++ b/quillroad/upgrade/supervisor_recovery.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from quillroad.upgrade.messages import Yield
+from quillroad.upgrade.messages import YieldListener
 from quillroad.upgrade.supervisor_commands import ExitSupervisor
 from quillroad.upgrade.supervisor_state import Phase, SupervisorState
 
@@ -102,7 +102,7 @@
             self._end_upgrade(why)
             return
         self._enter_phase(Phase.RETURNING, now + self.limits.switch_s)
-        self._send(self.owner, Yield(self._newest_grant))
+        self._send(self.owner, YieldListener(self._newest_grant))
 
     def _grant_to_standby(self, now: float) -> None:
         """The new owner has stopped accepting: grant the listener to the standby."""
--- a/quillroad/upgrade/supervisor_state.py
+++ b/quillroad/upgrade/supervisor_state.py
@@ -11,7 +11,13 @@
 from enum import StrEnum
 
 from quillroad.upgrade.canary import Canary
-from quillroad.upgrade.messages import DescriptorLimit, Message, Own, Retire, batch_of
+from quillroad.upgrade.messages import (
+    DescriptorLimit,
+    GrantListener,
+    Message,
+    Retire,
+    migration_batch_size,
+)
 from quillroad.upgrade.supervisor_commands import (
     Command,
     KillWorker,
@@ -55,7 +61,11 @@
     @property
     def owner_descriptors(self) -> int:
         """Descriptor limit of the owner while a candidate runs beside it."""
-        return self.descriptors - self.candidate_descriptors - 2 * batch_of(self.descriptors)
+        return (
+            self.descriptors
+            - self.candidate_descriptors
+            - 2 * migration_batch_size(self.descriptors)
+        )
 
 
 @dataclass(slots=True)
@@ -142,7 +152,7 @@
         assert not self.granted - {number}, "two workers would accept connections"
         self._newest_grant += 1
         self.granted.add(number)
-        self._send(number, Own(self._newest_grant))
+        self._send(number, GrantListener(self._newest_grant))
         self.phase_deadline = now + self.limits.switch_s
 
     def _restore_descriptor_limit(self) -> None:
--- a/quillroad/upgrade/worker.py
+++ b/quillroad/upgrade/worker.py
@@ -18,13 +18,13 @@
 from quillroad.upgrade.channel import Channel, close_all
 from quillroad.upgrade.messages import (
     VERSION,
-    Give,
+    CannotServe,
     Hello,
     Message,
+    PrepareHandover,
+    PrepareTakeover,
     Ready,
     Report,
-    Take,
-    Unfit,
     Welcome,
 )
 from quillroad.upgrade.selftest import SelfTestError, selftest
@@ -77,12 +77,12 @@
             self._listener.setblocking(False)
             self._tasks.start(self._prepare(message))
             return
-        is_link = isinstance(message, Give | Take) and len(descriptors) == 1
+        is_link = isinstance(message, PrepareHandover | PrepareTakeover) and len(descriptors) == 1
         if is_link and self._gateway is not None:
             self._open_link(socket.socket(fileno=descriptors.pop()))
         close_all(descriptors)
         if self._gateway is not None:
-            self._perform_all(self._state.supervisor_said(message))
+            self._perform_all(self._state.on_supervisor_message(message))
 
     def _on_supervisor_lost(self, why: str) -> None:
         """Drain and end: without a supervisor nothing would start a successor for this worker."""
@@ -92,7 +92,7 @@
     async def _prepare(self, welcome: Welcome) -> None:
         """Read the configuration, run the self-test, build the gateway, then send `Ready`.
 
-        Sends `Unfit` with the reason and ends the process if one of these fails.
+        Sends `CannotServe` with the reason and ends the process if one of these fails.
         """
         try:
             config = (self._read_again if welcome.reloaded else self._read_first)()
@@ -109,7 +109,7 @@
             self._tasks.start(self._report_forever())
 
     def _report_unfit(self, why: str, status: int) -> None:
-        self._supervisor.send(Unfit(why))
+        self._supervisor.send(CannotServe(why))
         self._fail(status)
 
     async def _report_forever(self) -> None:
--- a/quillroad/upgrade/worker_process.py
+++ b/quillroad/upgrade/worker_process.py
@@ -18,7 +18,13 @@
 from quillroad.config import RESERVED, Config
 from quillroad.gateway import ANSWERS_FLUSH_S, Gateway
 from quillroad.upgrade.channel import Channel, close_all
-from quillroad.upgrade.messages import Connections, Message, OperatorActions, State, batch_of
+from quillroad.upgrade.messages import (
+    Connections,
+    Message,
+    OperatorActions,
+    State,
+    migration_batch_size,
+)
 from quillroad.upgrade.migration import MigratingServer, Migrations, wait_until_empty
 from quillroad.upgrade.owned_tasks import OwnedTasks
 from quillroad.upgrade.sections import operator_actions, read, write
@@ -28,12 +34,12 @@
     AdoptState,
     DropBatches,
     ExportState,
-    KeepBatch,
+    HoldBatch,
     LearnAttempts,
     LimitDescriptors,
     LinkRole,
-    OwnBatch,
     ReleaseBatch,
+    ServeBatch,
     Step,
     TakeBackBatch,
     ToSibling,
@@ -118,12 +124,12 @@
             if self._gateway is not None and self._gateway.admin is not None:
                 self._gateway.admin.learn(message.out, message.back, message.drained)
             return
-        if isinstance(message, Connections) and len(message.brought) != len(descriptors):
+        if isinstance(message, Connections) and len(message.requests_carried) != len(descriptors):
             close_all(descriptors)
             self._on_link_lost("a batch of connections came with a wrong number of descriptors")
             return
         self._descriptors = descriptors
-        self._perform_all(self._state.sibling_said(message))
+        self._perform_all(self._state.on_sibling_message(message))
         close_all(self._descriptors)
         self._descriptors = []
 
@@ -154,7 +160,7 @@
 
         `descriptors` is the limit on descriptors. Raises `ConfigError` and `OSError`.
         """
-        self._state.batch = batch_of(config.sockets)
+        self._state.batch = migration_batch_size(config.sockets)
         gateway = Gateway(config, self._loop, SiblingEngine, MigratingServer, self._zones)
         self._gateway = gateway
         self._limit_descriptors(descriptors)
@@ -258,10 +264,10 @@
             case LimitDescriptors():
                 more = self.gateway.descriptors.limit if command.more else -RESERVED
                 self._limit_descriptors(command.descriptors + more)
-            case KeepBatch():
+            case HoldBatch():
                 self.migrations.keep(command.batch, command.request_counts, self._descriptors)
                 self._descriptors = []
-            case OwnBatch():
+            case ServeBatch():
                 self.migrations.own(command.batch)
             case DropBatches():
                 self.migrations.drop()
--- a/quillroad/upgrade/worker_state.py
+++ b/quillroad/upgrade/worker_state.py
@@ -1,8 +1,8 @@
 """The state machine of a worker in an upgrade: its reactions to supervisor and sibling. No I/O.
 
-`supervisor_said` handles messages of the supervisor, `sibling_said` those of the other worker, and
-`link_lost` the loss of the link to the sibling. Each returns the commands to execute, in order. A
-worker accepts connections from `Own` to `Yield` and at no other time.
+`on_supervisor_message` handles messages of the supervisor, `on_sibling_message` those of the other
+worker, and `link_lost` the loss of the link to the sibling. Each returns the commands to execute,
+in order. A worker accepts connections from `GrantListener` to `YieldListener` and at no other time.
 
 A hand-over over the link between two workers; the giver is the one that served so far. Messages in
 parentheses come from the supervisor, and "sends" means to the supervisor:
@@ -10,11 +10,11 @@
     giver                                   taker
     State(final=False)  ->                  checks it on a copy
                                         <-  StateResult(final=False) both send Prepared
-    (Yield) stops accepting
+    (YieldListener) stops accepting
     State(final=True), AttemptsInFlight ->  adopts it
                                         <-  StateResult(final=True)  sends StateAdopted
-                                            (Own) accepts
-                                        <-  Come
+                                            (GrantListener) accepts
+                                        <-  ReadyForConnections
     Connections(batch) + descriptors  ->    holds them, reads nothing
                                         <-  BatchReceived(batch)
     Release(batch)  ->                      serves them
@@ -33,27 +33,27 @@
 from enum import Enum
 
 from quillroad.upgrade.messages import (
-    BATCH,
+    MAX_DESCRIPTORS_PER_MESSAGE,
     AttemptsInFlight,
     BatchReceived,
-    Come,
     Connections,
     DescriptorLimit,
     Ended,
-    Give,
-    Lend,
+    GrantListener,
+    ListenerGranted,
+    ListenerYielded,
     Message,
-    Own,
-    Owning,
     Prepared,
+    PrepareHandover,
+    PrepareTakeover,
+    RaiseDescriptorLimit,
+    ReadyForConnections,
     Release,
     Retire,
     State,
     StateAdopted,
     StateResult,
-    Take,
-    Yield,
-    Yielded,
+    YieldListener,
 )
 
 MIN_LENT_DESCRIPTORS = 8  # fewer are not worth a message
@@ -129,7 +129,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepBatch:
+class HoldBatch:
     """Hold the descriptors received with a batch, without reading from them.
 
     `request_counts` is the number of requests that each connection has carried so far.
@@ -140,7 +140,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnBatch:
+class ServeBatch:
     """Serve the connections held of a batch."""
 
     batch: int
@@ -173,8 +173,8 @@
     | AdoptState
     | LearnAttempts
     | LimitDescriptors
-    | KeepBatch
-    | OwnBatch
+    | HoldBatch
+    | ServeBatch
     | DropBatches
     | ReleaseBatch
     | TakeBackBatch
@@ -190,7 +190,7 @@
     """
 
     window: int = 1
-    batch: int = BATCH
+    batch: int = MAX_DESCRIPTORS_PER_MESSAGE
     role: LinkRole = LinkRole.NONE
     accepts: bool = False
     yielded: bool = False  # has served, and does not accept any more
@@ -208,18 +208,18 @@
 
     # Messages of the supervisor.
 
-    def supervisor_said(self, message: Message) -> list[WorkerCommand]:
+    def on_supervisor_message(self, message: Message) -> list[WorkerCommand]:
         """Handle a message of the supervisor."""
         match message:
-            case Give():
+            case PrepareHandover():
                 return self._give(message)
-            case Take():
+            case PrepareTakeover():
                 self._link_to(LinkRole.TAKER, message.other)
             case Ended():
                 return self._ended(message)
-            case Yield():
+            case YieldListener():
                 return self._yield(message.grant)
-            case Own():
+            case GrantListener():
                 return self._own(message.grant)
             case Retire():
                 return [*self._stop_accepting(), Step.FINISH]
@@ -230,7 +230,7 @@
     def _link_to(self, role: LinkRole, sibling: int) -> None:
         self.role, self.sibling, self.sibling_has_ended = role, sibling, False
 
-    def _give(self, message: Give) -> list[WorkerCommand]:
+    def _give(self, message: PrepareHandover) -> list[WorkerCommand]:
         self._link_to(LinkRole.GIVER, message.other)
         self.lent = message.descriptors
         return [LimitDescriptors(-message.descriptors, True), ExportState(False)]
@@ -256,7 +256,7 @@
         self.yielded = True
         if self.role is not LinkRole.NONE:
             commands.append(Step.UPDATE_SIBLING)
-        return [*commands, ToSupervisor(Yielded(grant))]
+        return [*commands, ToSupervisor(ListenerYielded(grant))]
 
     def _own(self, grant: int) -> list[WorkerCommand]:
         commands: list[WorkerCommand] = []
@@ -266,14 +266,14 @@
         if not self.accepts:
             commands.append(Step.ACCEPT)
         self.accepts, self.yielded = True, False
-        commands.append(ToSupervisor(Owning(grant)))
+        commands.append(ToSupervisor(ListenerGranted(grant)))
         if self.role is not LinkRole.NONE:
-            commands += [Step.UPDATE_SIBLING, ToSibling(Come())]
+            commands += [Step.UPDATE_SIBLING, ToSibling(ReadyForConnections())]
         return commands
 
     # Messages of the sibling.
 
-    def sibling_said(self, message: Message) -> list[WorkerCommand]:
+    def on_sibling_message(self, message: Message) -> list[WorkerCommand]:
         """Handle a message of the sibling."""
         match message:
             case State():
@@ -284,13 +284,13 @@
                 return [ToSupervisor(Prepared(message.left))] if is_trial else []
             case AttemptsInFlight():
                 return [LearnAttempts(message)]
-            case Lend():
+            case RaiseDescriptorLimit():
                 return [LimitDescriptors(message.descriptors, True)]
-            case Come():
+            case ReadyForConnections():
                 return self._come()
             case Connections():
                 self.received.add(message.batch)
-                keep = KeepBatch(message.batch, tuple(message.brought))
+                keep = HoldBatch(message.batch, tuple(message.requests_carried))
                 return [keep, ToSibling(BatchReceived(message.batch))]
             case BatchReceived():
                 return self._batch_received(message)
@@ -325,7 +325,7 @@
         if message.batch not in self.received:
             return []
         self.received.discard(message.batch)
-        return [LimitDescriptors(message.descriptors, True), OwnBatch(message.batch)]
+        return [LimitDescriptors(message.descriptors, True), ServeBatch(message.batch)]
 
     # Other events.
 
@@ -363,7 +363,7 @@
         if not self.yielded or self.role is LinkRole.NONE or spare < MIN_LENT_DESCRIPTORS:
             return []
         self.lent += spare
-        return [LimitDescriptors(-spare, True), ToSibling(Lend(spare))]
+        return [LimitDescriptors(-spare, True), ToSibling(RaiseDescriptorLimit(spare))]
 
     def waited(self) -> list[WorkerCommand]:
         """Drop the held batches: no end of the sibling was reported, so it still serves them."""
@@ -374,7 +374,7 @@
 
     def _own_held_batches(self) -> list[WorkerCommand]:
         """Serve the batches that the sibling had offered, but not released, when it ended."""
-        commands: list[WorkerCommand] = [OwnBatch(batch) for batch in sorted(self.received)]
+        commands: list[WorkerCommand] = [ServeBatch(batch) for batch in sorted(self.received)]
         self.received.clear()
         return commands
 
--- a/simulation/fleet.py
+++ b/simulation/fleet.py
@@ -9,7 +9,7 @@
 from quillroad.membership.core import Core
 from quillroad.membership.member_table import MemberState
 from quillroad.membership.roster import Address, Roster
-from quillroad.membership.sender import EVERYONE as TO_ALL
+from quillroad.membership.sender import BROADCAST_TARGET as TO_ALL
 from quillroad.membership.sender import Outgoing
 from quillroad.membership.timing import Timing
 from quillroad.membership.view import Change, View
@@ -17,7 +17,7 @@
 
 PORT = 7946  # of every member's address
 # Where a datagram reaches all, in a fleet that has such a place.
-EVERYONE: Address = ("10.255.255.255", PORT)
+BROADCAST_TARGET: Address = ("10.255.255.255", PORT)
 BUFFERED = 200  # datagrams that a stopped process's socket holds: the kernel drops what comes then
 
 
--- a/simulation/schedule.py
+++ b/simulation/schedule.py
@@ -19,7 +19,7 @@
 from quillroad.membership.member_table import MemberState
 from quillroad.membership.timing import Timing
 from simulation.errors import InvariantError
-from simulation.fleet import EVERYONE, Fleet, Member, Part
+from simulation.fleet import BROADCAST_TARGET, Fleet, Member, Part
 from simulation.net import Link, World
 
 START_S = 15.0  # from the start of all members until they agree, at most
@@ -135,7 +135,7 @@
             World(schedule.seed, Link(loss=QUIET_LOSS)),
             schedule.size,
             timing,
-            everyone=EVERYONE if schedule.broadcast else None,
+            everyone=BROADCAST_TARGET if schedule.broadcast else None,
         )
         self._incarnations = [0] * schedule.size  # the highest that each ever had
         self._views: dict[tuple[int, int], _MemberView] = {}  # by (holder, member)
--- a/simulation/walk.py
+++ b/simulation/walk.py
@@ -18,7 +18,7 @@
 from quillroad.membership.local_health import HealthState
 from quillroad.membership.member_table import MemberState
 from quillroad.membership.roster import Address, Roster
-from quillroad.membership.sender import EVERYONE
+from quillroad.membership.sender import BROADCAST_TARGET
 from quillroad.membership.timing import Timing
 from simulation.errors import InvariantError
 from simulation.fleet import address
@@ -178,7 +178,11 @@
         """The state after a core has run: its datagrams are on their way, and it was checked."""
         flights = list(state.flights)
         for target, data in core.outbox:
-            to = [target] if target != EVERYONE else [n for n in range(self._size) if n != number]
+            to = (
+                [target]
+                if target != BROADCAST_TARGET
+                else [n for n in range(self._size) if n != number]
+            )
             flights += [Flight(number, n, data) for n in to]
         core.outbox.clear()
         core.changes.clear()
--- a/tests/membership/clusters.py
+++ b/tests/membership/clusters.py
@@ -4,14 +4,16 @@
 
 from quillroad.membership.core import Core
 from quillroad.membership.wire import VERSION, Datagram, MessageKind, Update, encode
-from simulation.fleet import EVERYONE, Fleet
+from simulation.fleet import BROADCAST_TARGET, Fleet
 from simulation.net import Link, World
 
 SEEDS = (1, 2, 3)
 
 
 def settled_cluster(size: int, seed: int, loss: float = 0.0, broadcast: bool = False) -> Fleet:
-    fleet = Fleet(World(seed, Link(loss=loss)), size, everyone=EVERYONE if broadcast else None)
+    fleet = Fleet(
+        World(seed, Link(loss=loss)), size, everyone=BROADCAST_TARGET if broadcast else None
+    )
     fleet.start(within_s=1.0)
     assert fleet.until(fleet.agreed, 20.0) is not None
     fleet.world.run(fleet.world.now + 3.0)
--- a/tests/membership/test_traces.py
+++ b/tests/membership/test_traces.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from simulation.fleet import EVERYONE, Fleet, Member
+from simulation.fleet import BROADCAST_TARGET, Fleet, Member
 from simulation.net import Link, World
 
 
@@ -36,7 +36,9 @@
 def play(seed: int, size: int, broadcast: bool) -> tuple[str, int]:
     """Return the trace and the number of view changes of a run with every kind of fault."""
     fleet = Fleet(
-        World(seed, Link(loss=0.05, doubled=0.02)), size, everyone=EVERYONE if broadcast else None
+        World(seed, Link(loss=0.05, doubled=0.02)),
+        size,
+        everyone=BROADCAST_TARGET if broadcast else None,
     )
     world = fleet.world
 
--- a/tests/membership/test_walk.py
+++ b/tests/membership/test_walk.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quillroad.membership.roster import Address
-from simulation.fleet import EVERYONE
+from simulation.fleet import BROADCAST_TARGET
 from simulation.walk import Broken, Draws, Flight, State, Step, Walk
 from tests.membership.test_schedules import FAULTS
 
@@ -19,7 +19,7 @@
 )
 
 
-@pytest.fixture(scope="module", params=[None, EVERYONE], ids=["one by one", "broadcast"])
+@pytest.fixture(scope="module", params=[None, BROADCAST_TARGET], ids=["one by one", "broadcast"])
 def walk(request: pytest.FixtureRequest) -> Walk:
     everyone: Address | None = request.param
     return Walk(3, everyone=everyone)
--- a/tests/membership/test_wire.py
+++ b/tests/membership/test_wire.py
@@ -13,7 +13,7 @@
     VERSION,
     Datagram,
     MessageKind,
-    NewerVersionError,
+    OtherVersionError,
     UnreadableDatagramError,
     Update,
     decode,
@@ -40,7 +40,7 @@
 def readable(data: bytes) -> bool:
     try:
         decode(data)
-    except (UnreadableDatagramError, NewerVersionError):
+    except (UnreadableDatagramError, OtherVersionError):
         return False
     return True
 
@@ -99,6 +99,6 @@
 
 
 def test_a_datagram_of_a_newer_version_still_names_its_sender() -> None:
-    with pytest.raises(NewerVersionError) as caught:
+    with pytest.raises(OtherVersionError) as caught:
         decode(msgspec.msgpack.encode([VERSION + 1, 3, 7, 4, "whatever", {}]))
     assert (caught.value.header.number, caught.value.header.incarnation) == (3, 4)
--- a/tests/recordings/upgrade.py
+++ b/tests/recordings/upgrade.py
@@ -21,39 +21,39 @@
 from quillroad.upgrade.messages import (
     AttemptsInFlight,
     BatchReceived,
-    Come,
+    CannotServe,
     Connections,
     DescriptorLimit,
     Ended,
-    Give,
+    GrantListener,
     Hello,
-    Lend,
+    ListenerGranted,
+    ListenerYielded,
     Message,
     OperatorActions,
-    Own,
-    Owning,
     Prepared,
+    PrepareHandover,
+    PrepareTakeover,
+    RaiseDescriptorLimit,
     Reader,
     Ready,
+    ReadyForConnections,
     Release,
     Report,
     Retire,
     StateAdopted,
     StateResult,
-    Take,
-    Unfit,
     Unknown,
     Welcome,
-    Yield,
-    Yielded,
+    YieldListener,
     packets,
 )
 from quillroad.upgrade.messages import State as StateMessage
 from quillroad.upgrade.migration import MigratingServer
 from quillroad.upgrade.sections import (
-    KNOWN,
-    OPTIONAL,
-    ORDER,
+    OPTIONAL_SECTIONS,
+    REQUIRED_SECTIONS,
+    SECTION_ORDER,
     AdmissionEstimates,
     Clock,
     HostLine,
@@ -65,11 +65,11 @@
 from quillroad.upgrade.sibling_engine import SiblingEngine
 from quillroad.upgrade.state_snapshot import (
     ADOPTED_TIMERS,
-    AttemptKnown,
+    AttemptRecord,
+    HostRecord,
     Names,
-    RequestKnown,
-    RouteKnown,
-    ServerKnown,
+    RequestRecord,
+    RouteRecord,
     StateSnapshot,
     Work,
     adopt,
@@ -89,16 +89,16 @@
     Hello(7, "3.14"),
     Welcome(901, True),
     Ready(41.25),
-    Unfit("self-test: answered with 500"),
-    Give(902, 2),
-    Take(3),
+    CannotServe("self-test: answered with 500"),
+    PrepareHandover(902, 2),
+    PrepareTakeover(3),
     Ended(4),
     Prepared(["section 'x': not known", "tenant 'y': not configured"]),
-    Yield(5),
-    Yielded(6),
+    YieldListener(5),
+    ListenerYielded(6),
     StateAdopted(),
-    Own(8),
-    Owning(9),
+    GrantListener(8),
+    ListenerGranted(9),
     Retire(),
     Report(10, 11, 12, 13, 14, 15, 16.5),
     StateMessage({"clock": b"\x01\x02", "module": b"\x03"}, True),
@@ -108,8 +108,8 @@
     Release(21, 22),
     AttemptsInFlight([(23, 24, 25), (26, 27, 28)], ["r-1", "r-2"], ["r-3"]),
     DescriptorLimit(29),
-    Lend(30),
-    Come(),
+    RaiseDescriptorLimit(30),
+    ReadyForConnections(),
     OperatorActions({"s-1": 31, "s-2": 32}, {"s-3": (33, 34)}, True),
     Unknown("later"),
 )
@@ -117,16 +117,16 @@
     Hello(0),
     Welcome(0),
     Ready(),
-    Unfit(""),
-    Give(0),
-    Take(),
+    CannotServe(""),
+    PrepareHandover(0),
+    PrepareTakeover(),
     Ended(0),
     Prepared(),
-    Yield(0),
-    Yielded(0),
+    YieldListener(0),
+    ListenerYielded(0),
     StateAdopted(),
-    Own(0),
-    Owning(0),
+    GrantListener(0),
+    ListenerGranted(0),
     Retire(),
     Report(),
     StateMessage({}, False),
@@ -136,8 +136,8 @@
     Release(0, 0),
     AttemptsInFlight([]),
     DescriptorLimit(0),
-    Lend(0),
-    Come(),
+    RaiseDescriptorLimit(0),
+    ReadyForConnections(),
     OperatorActions({}),
     Unknown(),
 )
@@ -169,20 +169,20 @@
     return {f"part {part}": head for part, head in enumerate(heads)}
 
 
-SERVER = ServerKnown(
+SERVER = HostRecord(
     101, 2, 3, 4, 5, 1.5, 6_000_001, 0.75, 7_000_002, 8, 9, 10, 11, 12, 13, 14, 15.5, False, 16
 )
-ROUTE = RouteKnown("status-check", 17.5, 18.5, 19, 20.5, [21, 22, 23])
+ROUTE = RouteRecord("status-check", 17.5, 18.5, 19, 20.5, [21, 22, 23])
 # All flags, then one at a time: none changes places with another unseen.
 FLAGS = [[True] * 5, *([place == on for place in range(5)] for on in range(5))]
 ATTEMPTS = [
-    AttemptKnown(1, 24, "success", *FLAGS[0][:3]),
-    AttemptKnown(0, 25, "timeout", *FLAGS[1][:3]),
-    AttemptKnown(0, 26, "full", *FLAGS[2][:3]),
-    AttemptKnown(0, 59, None, *FLAGS[3][:3]),
+    AttemptRecord(1, 24, "success", *FLAGS[0][:3]),
+    AttemptRecord(0, 25, "timeout", *FLAGS[1][:3]),
+    AttemptRecord(0, 26, "full", *FLAGS[2][:3]),
+    AttemptRecord(0, 59, None, *FLAGS[3][:3]),
 ]
 REQUESTS = [
-    RequestKnown(27, 28, 29.5, 30, over, 31, 32, closed, kept, ATTEMPTS, long)
+    RequestRecord(27, 28, 29.5, 30, over, 31, 32, closed, kept, ATTEMPTS, long)
     for over, closed, kept, long, _ in FLAGS
 ]
 WORK = Work(REQUESTS, [([0, 1], [2])], [[(33, 0, 1), (34, 1, 2)]], [(35, "hedge", 0)], 36, 37)
@@ -299,10 +299,10 @@
 
 DEFAULT_STRUCTS: tuple[Struct, ...] = (
     *DEFAULT_MESSAGES,
-    ServerKnown(1, 2, 3, 4, 5, 6.5, None, 7.5, 8),
-    RouteKnown("", 1.5, 2.5, 3, 4.5),
-    AttemptKnown(1, 2, None, True, False, True),
-    RequestKnown(1, 2, 3.5, 4, True, 5, 6, False, True),
+    HostRecord(1, 2, 3, 4, 5, 6.5, None, 7.5, 8),
+    RouteRecord("", 1.5, 2.5, 3, 4.5),
+    AttemptRecord(1, 2, None, True, False, True),
+    RequestRecord(1, 2, 3.5, 4, True, 5, 6, False, True),
     Work([], [], [], [], 1, 2),
     StateSnapshot(0, [], []),
     Hosts([]),
@@ -404,9 +404,9 @@
     }
     told["hosts, defaults"] = msgspec.msgpack.encode(Hosts([]))
     told["admission, defaults"] = msgspec.msgpack.encode(AdmissionEstimates(0.0, 0.0))
-    told["names in order"] = ", ".join(ORDER)
-    told["names that have to be there"] = ", ".join(KNOWN)
-    told["names that may be there"] = ", ".join(OPTIONAL)
+    told["names in order"] = ", ".join(SECTION_ORDER)
+    told["names that have to be there"] = ", ".join(REQUIRED_SECTIONS)
+    told["names that may be there"] = ", ".join(OPTIONAL_SECTIONS)
     return told
 
 
--- a/tests/upgrade/test_channel.py
+++ b/tests/upgrade/test_channel.py
@@ -12,8 +12,8 @@
 
 from quillroad.upgrade.channel import Channel, pair
 from quillroad.upgrade.messages import (
-    BATCH,
     MAX_CHUNK_BYTES,
+    MAX_DESCRIPTORS_PER_MESSAGE,
     AttemptsInFlight,
     BadPacketError,
     Connections,
@@ -24,7 +24,7 @@
     Report,
     State,
     Unknown,
-    Yield,
+    YieldListener,
     decode,
     packets,
 )
@@ -61,7 +61,7 @@
 def test_a_corrupted_lost_duplicated_or_truncated_packet_raises_an_error(
     data: st.DataObject,
 ) -> None:
-    messages: list[Message] = [Hello(1, "x"), State({"a": b"y" * 40_000}, True), Yield(7)]
+    messages: list[Message] = [Hello(1, "x"), State({"a": b"y" * 40_000}, True), YieldListener(7)]
     sent = [
         packet for number, message in enumerate(messages) for packet in packets(message, number)
     ]
@@ -124,9 +124,9 @@
 async def test_descriptors_are_passed_with_a_message_and_none_leaks() -> None:
     before = len(os.listdir("/proc/self/fd"))
     one, other = (RecordingEnd(sock) for sock in pair())
-    pipes = [os.pipe() for _ in range(BATCH)]
-    one.channel.send(Connections(3, [0] * BATCH), [out for out, _ in pipes])
-    await until(lambda: len(other.fds) == BATCH)
+    pipes = [os.pipe() for _ in range(MAX_DESCRIPTORS_PER_MESSAGE)]
+    one.channel.send(Connections(3, [0] * MAX_DESCRIPTORS_PER_MESSAGE), [out for out, _ in pipes])
+    await until(lambda: len(other.fds) == MAX_DESCRIPTORS_PER_MESSAGE)
     for (out, into), copy in zip(pipes, other.fds, strict=True):
         os.write(into, b"x")
         assert os.read(copy, 1) == b"x"
@@ -143,10 +143,10 @@
     stopped there lost the last `Release`, and client connections with it.
     """
     one, other = (RecordingEnd(sock) for sock in pair())
-    other.channel.send(Yield(1))  # never read
+    other.channel.send(YieldListener(1))  # never read
     one.channel.send(Release(1, 16))
     one.channel.close()
-    other.channel.send(Yield(2))
+    other.channel.send(YieldListener(2))
     await until(lambda: bool(other.why))
     assert other.received == [Release(1, 16)] and other.why == ["the peer closed the socket"]
 
@@ -156,13 +156,13 @@
     one, other = (RecordingEnd(sock) for sock in pair())
     big = State({"module": b"x" * (4 * 1024 * 1024)}, False)
     one.channel.send(big)
-    one.channel.send(Yield(1))
+    one.channel.send(YieldListener(1))
     await until(lambda: len(other.received) == 2)
-    assert other.received == [big, Yield(1)]
+    assert other.received == [big, YieldListener(1)]
     unread_pair = pair()
     sender = RecordingEnd(unread_pair[0])
     for number in range(5000):
-        sender.channel.send(Yield(number))
+        sender.channel.send(YieldListener(number))
     assert (
         sender.why == ["the peer does not read, too many packets are queued"]
         and sender.channel.closed
--- a/tests/upgrade/test_machines.py
+++ b/tests/upgrade/test_machines.py
@@ -17,32 +17,32 @@
 from quillroad.upgrade.canary import Canary, CanaryTuning, RequestCounts, wilson_interval
 from quillroad.upgrade.messages import (
     VERSION,
+    CannotServe,
     Connections,
     DescriptorLimit,
-    Give,
     Hello,
+    ListenerGranted,
+    ListenerYielded,
     Message,
-    Owning,
     Prepared,
+    PrepareHandover,
+    PrepareTakeover,
     Ready,
     Report,
     State,
     StateAdopted,
-    Take,
-    Unfit,
     Welcome,
-    Yielded,
 )
 from quillroad.upgrade.supervisor import Limits, Phase, Supervisor
 from quillroad.upgrade.worker_state import (
     AdoptState,
     DropBatches,
     ExportState,
-    KeepBatch,
+    HoldBatch,
     LimitDescriptors,
     LinkRole,
-    OwnBatch,
     ReleaseBatch,
+    ServeBatch,
     Step,
     TakeBackBatch,
     ToSibling,
@@ -164,11 +164,17 @@
                 case commands.ConnectWorkers():
                     for one, other, message in (
                         (action.giver, action.taker, action.message),
-                        (action.taker, action.giver, Take()),
+                        (action.taker, action.giver, PrepareTakeover()),
                     ):
                         if one in self.processes:
                             self.processes[one].sibling = other
-                            self.send(0, one, Take(other) if isinstance(message, Take) else message)
+                            self.send(
+                                0,
+                                one,
+                                PrepareTakeover(other)
+                                if isinstance(message, PrepareTakeover)
+                                else message,
+                            )
                 case commands.StopWorker():
                     if action.worker in self.processes:
                         self.processes[action.worker].stopping = True
@@ -191,7 +197,7 @@
                     process.set_limit(action)
                 if action is Step.ACCEPT:
                     self.end(number, 1)
-                elif isinstance(action, OwnBatch):  # connections that it cannot serve are closed
+                elif isinstance(action, ServeBatch):  # connections that it cannot serve are closed
                     self.closed |= process.kept.pop(action.batch)
                 else:
                     if isinstance(action, ReleaseBatch):
@@ -223,9 +229,9 @@
                     process.finishing = True
                 case LimitDescriptors():
                     process.set_limit(action)
-                case KeepBatch():
+                case HoldBatch():
                     process.kept[action.batch] = self.received_connections
-                case OwnBatch():
+                case ServeBatch():
                     process.holds |= process.kept.pop(action.batch, set())
                 case Step.AWAIT_SIBLING_END:
                     process.sibling_end_due = self.now + 1.0
@@ -281,9 +287,9 @@
             self.send(to, 0, Ready())
         else:
             handle = (
-                process.worker_state.supervisor_said
+                process.worker_state.on_supervisor_message
                 if sender == 0
-                else process.worker_state.sibling_said
+                else process.worker_state.on_sibling_message
             )
             self.perform_worker(to, handle(message))
 
@@ -379,7 +385,14 @@
         assert survivor == 1 and machine.upgrade_results[0]
     # Only connections that the killed process alone held are lost, none that the other one had.
     assert IDLE - machine.lost <= machine.processes[survivor].holds
-    moving = ("Come", "BatchReceived", "Connections", "Release", "AttemptsInFlight", "Owning")
+    moving = (
+        "ReadyForConnections",
+        "BatchReceived",
+        "Connections",
+        "Release",
+        "AttemptsInFlight",
+        "ListenerGranted",
+    )
     assert not machine.lost or victim == 1 or kind in moving
     upgrade(machine)  # the next upgrade succeeds
     assert machine.upgrade_results[-1] == "" and machine.serving() > survivor
@@ -494,7 +507,11 @@
 
 def test_an_unfit_incompatible_or_too_large_candidate_is_killed_before_the_hand_over() -> None:
     for message, limit, why in (
-        (Unfit("self-test: status-check: no answer"), 0.0, "self-test: status-check: no answer"),
+        (
+            CannotServe("self-test: status-check: no answer"),
+            0.0,
+            "self-test: status-check: no answer",
+        ),
         (Hello(VERSION + 1), 0.0, f"it speaks version {VERSION + 1}, this is {VERSION}"),
         (Ready(150.0), 192.0, "both processes take 210 MB, 192 are allowed"),
     ):
@@ -502,12 +519,14 @@
         supervisor.begin(0.0)
         supervisor.message_received(0.0, 1, Hello(VERSION))
         supervisor.message_received(0.0, 1, Ready(60.0))
-        supervisor.message_received(0.0, 1, Owning(1))
+        supervisor.message_received(0.0, 1, ListenerGranted(1))
         _, actions = supervisor.operator_command(1.0, "upgrade")
         actions = supervisor.message_received(1.1, 2, message)
         assert commands.UpgradeEnded(why) in actions and commands.KillWorker(2) in actions
         assert supervisor.granted == {1} and not any(
-            isinstance(a, commands.SendMessage) and a.worker == 1 and isinstance(a.message, Give)
+            isinstance(a, commands.SendMessage)
+            and a.worker == 1
+            and isinstance(a.message, PrepareHandover)
             for a in actions
         )
 
@@ -530,7 +549,7 @@
         1, Welcome(1024)
     )
     supervisor.message_received(0.0, 1, Ready())
-    supervisor.message_received(0.0, 1, Owning(1))
+    supervisor.message_received(0.0, 1, ListenerGranted(1))
     assert supervisor.reload() == [1]
     supervisor.operator_command(1.0, "upgrade")
     assert supervisor.reload() == [1]  # the new worker has no signal handler yet
@@ -553,7 +572,7 @@
         )
         for message in (Hello(VERSION), Ready()):
             supervisor.message_received(now, worker, message)
-        supervisor.message_received(now, worker, Owning(supervisor._newest_grant))
+        supervisor.message_received(now, worker, ListenerGranted(supervisor._newest_grant))
         assert supervisor.phase is Phase.SERVING
         now += served_s
         actions, wait_s = supervisor.worker_ended(now, worker, -11), 0.0
@@ -629,7 +648,7 @@
     supervisor.begin(0.0)
     supervisor.message_received(0.0, 1, Hello(VERSION))
     supervisor.message_received(0.0, 1, Ready(30.0))
-    supervisor.message_received(0.0, 1, Owning(1))
+    supervisor.message_received(0.0, 1, ListenerGranted(1))
     for i in range(1, 20):
         supervisor.message_received(i / 10, 1, Report(served=108))
     supervisor.operator_command(1.9, "upgrade")
@@ -638,8 +657,8 @@
     supervisor.message_received(1.9, 1, Prepared())
     supervisor.message_received(1.9, 2, Prepared())
     supervisor.message_received(2.0, 2, StateAdopted())
-    supervisor.message_received(2.0, 1, Yielded(1))
-    supervisor.message_received(2.0, 2, Owning(2))
+    supervisor.message_received(2.0, 1, ListenerYielded(1))
+    supervisor.message_received(2.0, 2, ListenerGranted(2))
     for at in reports:
         supervisor.message_received(at, 2, Report())
     supervisor.tick(2.705)
--- a/tests/upgrade/test_sections.py
+++ b/tests/upgrade/test_sections.py
@@ -17,7 +17,7 @@
 from quillroad.gateway import Gateway
 from quillroad.upgrade.messages import AttemptsInFlight
 from quillroad.upgrade.migration import MigratingServer
-from quillroad.upgrade.sections import KNOWN, read, write
+from quillroad.upgrade.sections import REQUIRED_SECTIONS, read, write
 from quillroad.upgrade.sibling_engine import SiblingEngine
 from tests.net import FakeDiscovery, FakeHost, make_config, on_loop, serve_ok, until
 
@@ -136,7 +136,7 @@
         new = make_gateway(1)
         unusable = read(new, section_bodies, trial=False)
         assert len(unusable) == 1 and unusable[0].startswith(expected)
-        adopted = [name for name in KNOWN if name not in change]
+        adopted = [name for name in REQUIRED_SECTIONS if name not in change]
         assert ("hosts" in adopted) is bool(new.engine.hosts)
 
 
--- a/tests/upgrade/test_sibling_handover.py
+++ b/tests/upgrade/test_sibling_handover.py
@@ -19,7 +19,7 @@
 import pytest
 
 from quillroad.config import RESERVED
-from quillroad.upgrade.messages import AttemptsInFlight, Hello, Message, State, batch_of
+from quillroad.upgrade.messages import AttemptsInFlight, Hello, Message, State, migration_batch_size
 from quillroad.upgrade.sibling_handover import (
     NEWCOMER_DESCRIPTORS,
     HandoverCommand,
@@ -73,7 +73,7 @@
                 case SendToSibling():
                     self.outbox.append(command.message)
                 case TellWorker():
-                    self.perform_worker(self.worker.supervisor_said(command.message))
+                    self.perform_worker(self.worker.on_supervisor_message(command.message))
                 case HandoverStep.PREPARE:
                     self.prepares = True
                     whole = self.handover.descriptors
@@ -91,7 +91,7 @@
         for command in commands:
             match command:
                 case ToSupervisor():
-                    self.perform_handover(self.handover.worker_said(command.message))
+                    self.perform_handover(self.handover.on_worker_message(command.message))
                 case ToSibling():
                     self.outbox.append(command.message)
                 case ExportState():
@@ -110,9 +110,9 @@
         if kind == "Welcome":
             self.listens = True
         if kind in ("Hello", "Ready", "Welcome"):
-            self.perform_handover(self.handover.sibling_said(message))
+            self.perform_handover(self.handover.on_sibling_message(message))
         else:
-            self.perform_worker(self.worker.sibling_said(message))
+            self.perform_worker(self.worker.on_sibling_message(message))
 
     def lose_link(self) -> None:
         if self.linked:
@@ -145,7 +145,8 @@
         # use descriptors of both processes.
         both = old.limit + new.limit + 2 * RESERVED
         assert (
-            both + 2 * batch_of(old.handover.descriptors) * new.linked <= old.handover.descriptors
+            both + 2 * migration_batch_size(old.handover.descriptors) * new.linked
+            <= old.handover.descriptors
             or not delivered
         )
         if new.prepares and new.linked:
@@ -225,7 +226,7 @@
 def test_hello_of_other_protocol_version_closes_link() -> None:
     old = serving_side()
     old.linked = True
-    old.perform_handover(old.handover.sibling_said(Hello(99)))
+    old.perform_handover(old.handover.on_sibling_message(Hello(99)))
     assert not old.linked and old.accepts and old.handover.accepts_newcomer()
 
 
@@ -328,7 +329,14 @@
         assert list(environment.gateway.folder.iterdir()) == []
 
 
-NEWCOMER_MESSAGES = ["Hello", "Ready", "StateResult", "Come", "BatchReceived", "AttemptsInFlight"]
+NEWCOMER_MESSAGES = [
+    "Hello",
+    "Ready",
+    "StateResult",
+    "ReadyForConnections",
+    "BatchReceived",
+    "AttemptsInFlight",
+]
 PREDECESSOR_MESSAGES = ["Welcome", "State", "AttemptsInFlight", "Connections", "Release"]
 
 
--- a/tests/upgrade/test_upgrades.py
+++ b/tests/upgrade/test_upgrades.py
@@ -22,7 +22,7 @@
 
 from quillroad.config import RESERVED, ConfigError
 from quillroad.downstream.connection_limit import RESTING_FRACTION
-from quillroad.upgrade.messages import batch_of
+from quillroad.upgrade.messages import migration_batch_size
 from quillroad.upgrade.settings import load_upgrades
 from testbed.account import RequestClass, count_outcomes, total
 from testbed.builds import Builds
@@ -237,7 +237,7 @@
         ("new", "StateAdopted"),
         ("new", "BatchReceived"),
         ("old", "State"),
-        ("old", "Yielded"),
+        ("old", "ListenerYielded"),
         ("old", "Connections"),
         ("old", "Release"),
     ],
@@ -257,7 +257,7 @@
         setup.builds.no_fault()
         assert len(setup.workers()) == 1
         assert (setup.workers() == [old]) is (who == "new")
-        assert bool(results[0]) is (who == "new" or kind in ("State", "Yielded"))
+        assert bool(results[0]) is (who == "new" or kind in ("State", "ListenerYielded"))
         # A killed process loses the requests that it holds, and no others.
         held = 0 if who == "new" and kind != "BatchReceived" else 16
         check_no_request_lost(setup, load, held)
@@ -423,7 +423,7 @@
         # Together with the load's, no more connections than may be idle during an upgrade, which
         # reserves some descriptors. Otherwise a load that a busy machine delays opens more
         # connections, and the gateway closes those that were idle longest.
-        least = (SOCKETS - 64 - 2 * batch_of(SOCKETS) - RESERVED) // 2
+        least = (SOCKETS - 64 - 2 * migration_batch_size(SOCKETS) - RESERVED) // 2
         resting = int(RESTING_FRACTION * least) - 24
         clients = [await asyncio.open_connection(*address) for _ in range(resting)]
         for _ in range(2):  # connections with a single request are closed early
