--- a/quillroad/admin/errors.py
+++ b/quillroad/admin/errors.py
@@ -1,28 +1,28 @@
-"""What can be wrong with a call of an operator."""
+"""Errors of operators' calls."""
 
 from __future__ import annotations
 
 
 class AdminCallError(Exception):
-    """A call that cannot be carried out; it has changed nothing."""
+    """A call was not carried out; nothing has changed."""
 
 
 class BadCallError(AdminCallError):
-    """A call that makes no sense.
+    """A call has an unknown path, a wrong method or a malformed host id.
 
-    `status` is that of its answer; `allow` is the method that its path has, where the method is
-    what is wrong, and empty otherwise.
+    `status` is the HTTP status of the answer. For a wrong method (405), `allow` is the method that
+    the path accepts, for the `Allow` header; otherwise it is empty.
     """
 
-    def __init__(self, status: int, why: str, allow: str = "") -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str, allow: str = "") -> None:
+        super().__init__(reason)
         self.status = status
         self.allow = allow
 
 
 class NoSuchHostError(AdminCallError):
-    """A host that no source has told of, and that is not out of service either."""
+    """The host is neither in the endpoint list nor out of service."""
 
 
 class TooManyOverridesError(AdminCallError):
-    """More hosts are out of service than can be remembered."""
+    """The maximum number of hosts (`MAX_OVERRIDES`) is out of service already."""
--- a/quillroad/admin/figures.py
+++ b/quillroad/admin/figures.py
@@ -1,8 +1,8 @@
-"""What the gateway reports, in the Prometheus exposition format (text, version 0.0.4).
+"""The gateway's metrics in the Prometheus text exposition format, version 0.0.4.
 
-Ends of requests are counted where they are decided and nowhere else, so that served, refused,
-failed and in flight add up to what was taken. Gauges are read off whoever holds what they show, at
-the moment of the call.
+Each request is counted exactly once, where its outcome is decided, so that served, refused, failed
+and in-flight requests add up to the requests accepted. Gauges are read from the component that owns
+the value at the time of the scrape.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 PREFIX = "svc"
 CONTENT_TYPE = CONTENT_TYPE_PLAIN_0_0_4
-# Names of the gauges, and the help text of each.
+# Help text of each gauge, by its name without the prefix.
 GAUGES = {
     "attempts": "Attempts written whole to hosts since the start of the process.",
     "in_flight": "Requests taken and not ended.",
@@ -27,7 +27,7 @@
 
 
 class RequestOutcome(IntEnum):
-    """How a request ended; the label of its metric is the name in lower case."""
+    """How a request ended."""
 
     SERVED = 0
     REFUSED = 1
@@ -35,7 +35,7 @@
 
     @property
     def label(self) -> str:
-        """The label's value."""
+        """The value of the metric's `outcome` label: the member's name in lower case."""
         return self.name.lower()
 
 
@@ -43,49 +43,50 @@
 
 
 def outcome(status: int) -> RequestOutcome:
-    """The outcome that an answer's status tells (0: no answer)."""
+    """Return the outcome that a response status stands for; 0 means that no response was sent."""
     if status == 200:
         return RequestOutcome.SERVED
     return RequestOutcome.REFUSED if status in (429, 503) else RequestOutcome.FAILED
 
 
 class Figures:
-    """Counts from 0 for each process.
+    """Request counters, which start from 0 in each process, and the page of metrics.
 
-    `routes` are the names of the routes, by their number; `gauges` reads the present values, by the
-    names in `GAUGES`.
+    `routes` holds the route names, indexed by route number. `gauges` returns the current values,
+    keyed by the names in `GAUGES`.
     """
 
     def __init__(self, routes: Sequence[str], gauges: Callable[[], dict[str, float]]) -> None:
-        self._routes = routes
-        self._gauges = gauges
-        # Requests ended, by route and in the order of `OUTCOMES`.
+        self._route_names = routes
+        self._read_gauges = gauges
+        # Number of requests ended, by route number and then by outcome, in the order of `OUTCOMES`.
         self.counts = [[0 for _ in OUTCOMES] for _ in routes]
         self._registry = CollectorRegistry(auto_describe=False)
         self._registry.register(self)
 
     def ended(self, route: int, status: int) -> None:
-        """Count a request that has ended with this status; 0 where it ended with no answer."""
+        """Count a request that ended with this status; 0 means that no response was sent."""
         self.counts[route][outcome(status)] += 1
 
     def collect(self) -> Iterator[Metric]:
-        """Everything as it is now, for the library.
+        """Yield all metrics with their current values; `prometheus_client` calls this.
 
-        Untyped, since the names are told without the suffixes that typed families would add.
+        The metrics are untyped because the library adds a suffix such as `_total` to the names of
+        typed families, and the published names have none.
         """
         requests = UnknownMetricFamily(
             f"{PREFIX}_requests",
             "Requests ended since the start of the process.",
             labels=("class", "outcome"),
         )
-        for route, counts in zip(self._routes, self.counts, strict=True):
-            for kind, count in zip(OUTCOMES, counts, strict=True):
-                requests.add_metric((route, kind.label), count)
+        for route, counts in zip(self._route_names, self.counts, strict=True):
+            for request_outcome, count in zip(OUTCOMES, counts, strict=True):
+                requests.add_metric((route, request_outcome.label), count)
         yield requests
-        values = self._gauges()
-        for name, text in GAUGES.items():
-            yield UnknownMetricFamily(f"{PREFIX}_{name}", text, value=values[name])
+        values = self._read_gauges()
+        for name, help_text in GAUGES.items():
+            yield UnknownMetricFamily(f"{PREFIX}_{name}", help_text, value=values[name])
 
     def text(self) -> bytes:
-        """The whole page of metrics."""
+        """Return the page of metrics in the text exposition format."""
         return generate_latest(self._registry)
--- a/quillroad/admin/pages.py
+++ b/quillroad/admin/pages.py
@@ -1,4 +1,4 @@
-"""Answers to calls of operators."""
+"""HTTP responses to operators' calls."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Page(NamedTuple):
-    """The answer to a call; `allow` is the method that its path has, or empty."""
+    """The response to a call; `allow` is the value of the `Allow` header, empty for no header."""
 
     status: int
     body: bytes
@@ -27,12 +27,12 @@
 
 
 def page(status: int, text: str = "", allow: str = "") -> Page:
-    """A page of one line; without a text its status says all."""
+    """Return a page of one line of text: `text`, or the status's reason phrase in lower case."""
     return Page(status, (text or REASONS[status].lower()).encode() + b"\n", allow=allow)
 
 
 def response(answer: Page) -> bytes:
-    """The bytes of an HTTP/1.1 response, on a connection that closes after it."""
+    """Return the bytes of the HTTP/1.1 response, with `Connection: close`."""
     lines = [
         f"HTTP/1.1 {answer.status} {REASONS[answer.status]}",
         f"Content-Type: {answer.content_type}",
--- a/quillroad/managed_gateway.py
+++ b/quillroad/managed_gateway.py
@@ -1,4 +1,4 @@
-"""What operators' calls need of a gateway: the side of `gateway.py` that `admin/` knows."""
+"""The interface of `gateway.py` that `admin/` uses to carry out operators' calls."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class GatewayFigures(NamedTuple):
-    """A gateway's figures at one moment.
+    """Counters and gauges of a gateway at one moment.
 
-    `attempts_sent` counts attempts written whole to hosts since the start of the process,
-    `requests_open` requests taken and not ended, `hosts_known` hosts in the list, `hosts_ejected`
-    those of them that outlier detection has taken out of rotation.
+    `attempts_sent` is the number of attempts written in full to hosts since the process started,
+    `requests_open` the number of requests in flight, `hosts_known` the number of listed hosts, and
+    `hosts_ejected` the number of those that outlier detection has ejected.
     """
 
     attempts_sent: int
@@ -25,7 +25,7 @@
 
 
 class ManagedGateway(Protocol):
-    """A gateway as operators see it."""
+    """A gateway that operators can observe, drain and take hosts out of."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
@@ -33,11 +33,11 @@
 
     @property
     def route_names(self) -> Sequence[str]:
-        """The names of the routes, by their number."""
+        """The route names, indexed by route number."""
 
     @property
     def ready(self) -> bool:
-        """Whether the gateway can serve, and is to."""
+        """Whether the gateway can serve requests and is not draining."""
 
     def set_drained(self, on: bool) -> None:
         """Drain the gateway, or put it back into service."""
@@ -45,7 +45,7 @@
     def apply_endpoints(
         self, update: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
-        """Go by these endpoints from now on; names and addresses are by endpoint number."""
+        """Apply an endpoint update; names and addresses are keyed by endpoint number."""
 
     def figures(self) -> GatewayFigures:
-        """The present figures."""
+        """Return the current counters and gauges."""
--- a/quillroad/serving_state.py
+++ b/quillroad/serving_state.py
@@ -1,41 +1,41 @@
-"""Whether the gateway takes work: ready, drained by an operator, or ending. Free of I/O."""
+"""Whether the gateway is serving, drained by an operator, or shutting down. Performs no I/O."""
 
 from __future__ import annotations
 
 
 class ServingState:
-    """Two reasons to drain, each on its own: an operator's call, and the end of the process.
+    """The two independent reasons to drain: an operator's call, and the shutdown of the process.
 
-    An operator can take back only the first: without that a call to resume would let a process
-    that is about to exit accept connections, and lose them.
+    An operator can revoke only the first. Otherwise a call to resume would make a process that is
+    about to exit accept connections, which would be lost when it exits.
     """
 
     def __init__(self) -> None:
-        self.drained_by_operator = False  # drained by an operator
-        self.ending = False  # the process is to end
+        self.drained_by_operator = False
+        self.ending = False  # the process is shutting down
 
     @property
     def draining(self) -> bool:
-        """Whether there is a reason to drain."""
+        """Whether the gateway drains, for either reason."""
         return self.drained_by_operator or self.ending
 
     def drain(self) -> bool:
-        """An operator drains the gateway; returns whether that changes anything."""
-        before = self.draining
+        """Drain on an operator's call; return whether `draining` has changed."""
+        was_draining = self.draining
         self.drained_by_operator = True
-        return not before
+        return not was_draining
 
     def resume(self) -> bool:
-        """An operator takes the drain back; returns whether that changes anything.
+        """Revoke the operator's drain; return whether `draining` has changed.
 
-        It does not once the process is ending.
+        It does not change while the process is shutting down.
         """
-        before = self.draining
+        was_draining = self.draining
         self.drained_by_operator = False
-        return before and not self.ending
+        return was_draining and not self.ending
 
     def end(self) -> bool:
-        """The process is to end; returns whether that changes anything."""
-        before = self.draining
+        """Drain because the process shuts down; return whether `draining` has changed."""
+        was_draining = self.draining
         self.ending = True
-        return not before
+        return not was_draining
--- a/tests/admin/test_decisions.py
+++ b/tests/admin/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions behind the operators' address, without a socket."""
+"""Tests of parsing, host overrides and draining behind the admin address, without sockets."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         (b"POST", b"/hosts/a%2Fb/ready", Call(Act.READY, "a/b")),
     ],
 )
-def test_calls_are_read(method: bytes, target: bytes, call: Call) -> None:
+def test_valid_requests_are_parsed(method: bytes, target: bytes, call: Call) -> None:
     assert read_call(method, target) == call
 
 
@@ -44,103 +44,137 @@
         (b"POST", b"/hosts/a/maint/", 404),
     ],
 )
-def test_calls_that_make_no_sense(method: bytes, target: bytes, status: int) -> None:
-    with pytest.raises(BadCallError) as told:
+def test_invalid_requests_raise_bad_call_error(method: bytes, target: bytes, status: int) -> None:
+    with pytest.raises(BadCallError) as raised:
         read_call(method, target)
-    assert told.value.status == status
+    assert raised.value.status == status
 
 
 @given(st.lists(st.sampled_from(["fail", "ok", "end"])))
 def test_serving_state_drains_for_either_reason(steps: list[str]) -> None:
-    serving_state, by_hand, ending = ServingState(), False, False
+    serving_state, drained_by_operator, ending = ServingState(), False, False
     for step in steps:
-        before = by_hand or ending
+        before = drained_by_operator or ending
         if step == "end":
             ending = True
         else:
-            by_hand = step == "fail"
-        acts = {
+            drained_by_operator = step == "fail"
+        operations = {
             "fail": serving_state.drain,
             "ok": serving_state.resume,
             "end": serving_state.end,
         }
-        changed = acts[step]()
-        assert serving_state.draining == (by_hand or ending)
+        changed = operations[step]()
+        assert serving_state.draining == (drained_by_operator or ending)
         assert changed == (serving_state.draining != before)
 
 
-def line(name: str, started_us: int = 0, state: EndpointStatus = EndpointStatus.READY) -> Endpoint:
+def make_endpoint(
+    name: str, started_us: int = 0, state: EndpointStatus = EndpointStatus.READY
+) -> Endpoint:
     return Endpoint(NAMES.index(name) + 1, state, started_us=started_us)
 
 
-def full(*servers: Endpoint) -> tuple[EndpointUpdate, dict[int, str], dict[int, Address]]:
-    names = {s.id: NAMES[s.id - 1] for s in servers}
+def full_update(*listed: Endpoint) -> tuple[EndpointUpdate, dict[int, str], dict[int, Address]]:
+    names = {endpoint.id: NAMES[endpoint.id - 1] for endpoint in listed}
     return (
-        EndpointUpdate(UpdateKind.FULL, servers, 1),
+        EndpointUpdate(UpdateKind.FULL, listed, 1),
         names,
-        {s.id: ("127.0.0.1", s.id) for s in servers},
+        {endpoint.id: ("127.0.0.1", endpoint.id) for endpoint in listed},
     )
 
 
-def test_a_host_stays_out_until_put_back_whatever_lists_say() -> None:
-    """A host is out of service while lists call it ready, leave it out, and list it again."""
+def test_host_stays_out_of_service_despite_discovery_updates() -> None:
+    """An operator takes a host out; discovery reports it as ready, removes it and lists it again.
+
+    Any of these updates could put the host back into rotation while the operator works on it.
+    """
     overrides = HostOverrides()
-    overrides.apply(*full(line("a"), line("b")))
-    told = overrides.take_out("a", 100)
-    assert told is not None and told.update.kind is UpdateKind.INCREMENTAL
-    assert [(s.id, s.status) for s in told.update.endpoints] == [(1, EndpointStatus.DRAINING)]
-    assert overrides.take_out("a", 100) is None  # twice out needs one call back
-    assert [s.status for s in overrides.apply(*full(line("a"), line("b"))).update.endpoints] == [
+    overrides.apply(*full_update(make_endpoint("a"), make_endpoint("b")))
+    engine_update = overrides.take_out("a", 100)
+    assert engine_update is not None and engine_update.update.kind is UpdateKind.INCREMENTAL
+    assert [(endpoint.id, endpoint.status) for endpoint in engine_update.update.endpoints] == [
+        (1, EndpointStatus.DRAINING)
+    ]
+    assert overrides.take_out("a", 100) is None  # two calls to take it out need one to put it back
+    assert [
+        endpoint.status
+        for endpoint in overrides.apply(
+            *full_update(make_endpoint("a"), make_endpoint("b"))
+        ).update.endpoints
+    ] == [
         EndpointStatus.DRAINING,
         EndpointStatus.READY,
     ]
-    overrides.apply(*full(line("b")))  # it leaves, and comes back under its id
+    # Discovery removes the host, then lists it again under the same id.
+    overrides.apply(*full_update(make_endpoint("b")))
     assert overrides.listed == 0
     assert (
-        overrides.apply(*full(line("a"), line("b"))).update.endpoints[0].status
+        overrides.apply(*full_update(make_endpoint("a"), make_endpoint("b")))
+        .update.endpoints[0]
+        .status
         is EndpointStatus.DRAINING
     )
-    back = overrides.put_back("a", 777)
-    assert back is not None and back.update.endpoints[0] == line("a", 777)
+    returned = overrides.put_back("a", 777)
+    assert returned is not None and returned.update.endpoints[0] == make_endpoint("a", 777)
+    # The host is back already: a second call causes no new slow start.
+    assert overrides.put_back("a", 999) is None
+    assert (
+        overrides.apply(*full_update(make_endpoint("a", 99), make_endpoint("b")))
+        .update.endpoints[0]
+        .started_us
+        == 777
+    )
+    # A start that discovery reports after the host went out replaces the time of the call, because
+    # all gateways see the same report.
     assert (
-        overrides.put_back("a", 999) is None
-    )  # it is back: another call changes nothing, and starts nothing anew
-    assert overrides.apply(*full(line("a", 99), line("b"))).update.endpoints[0].started_us == 777
-    # A start that the source tells of, since it went out, is the one that counts: all gateways hear
-    # of it.
-    assert overrides.apply(*full(line("a", 500), line("b"))).update.endpoints[0].started_us == 500
-    assert overrides.apply(*full(line("a", 900), line("b"))).update.endpoints[0].started_us == 900
+        overrides.apply(*full_update(make_endpoint("a", 500), make_endpoint("b")))
+        .update.endpoints[0]
+        .started_us
+        == 500
+    )
+    assert (
+        overrides.apply(*full_update(make_endpoint("a", 900), make_endpoint("b")))
+        .update.endpoints[0]
+        .started_us
+        == 900
+    )
 
 
-def test_a_restart_told_before_the_return_is_no_second_start() -> None:
-    """The source tells of a restart while the host is out, then the host is put back.
+def test_restart_reported_before_put_back_is_not_counted_twice() -> None:
+    """Discovery reports a restart while the host is out of service, then the host is put back.
 
-    Counted as two starts it would get a second slow start."""
+    Counted as two starts, the host would get a second slow start.
+    """
     overrides = HostOverrides()
-    overrides.apply(*full(line("a", 50)))
+    overrides.apply(*full_update(make_endpoint("a", 50)))
     overrides.take_out("a", 100)
-    overrides.apply(*full(line("a", 300)))
-    back = overrides.put_back("a", 777)
-    assert back is not None and back.update.endpoints[0] == line("a", 300)
+    overrides.apply(*full_update(make_endpoint("a", 300)))
+    returned = overrides.put_back("a", 777)
+    assert returned is not None and returned.update.endpoints[0] == make_endpoint("a", 300)
+
 
+def test_put_back_while_discovery_reports_draining_or_no_host() -> None:
+    """An operator puts a host back that discovery reports as draining or no longer lists.
 
-def test_a_return_while_the_source_says_draining_or_nothing() -> None:
+    The call ends only the override: the host must not become ready against discovery.
+    """
     overrides = HostOverrides()
-    overrides.apply(*full(line("a")))
+    overrides.apply(*full_update(make_endpoint("a")))
     overrides.take_out("a", 100)
-    overrides.apply(*full(line("a", state=EndpointStatus.DRAINING)))
-    back = overrides.put_back("a", 5)
-    assert back is not None and back.update.endpoints[0].status is EndpointStatus.DRAINING
+    overrides.apply(*full_update(make_endpoint("a", state=EndpointStatus.DRAINING)))
+    returned = overrides.put_back("a", 5)
+    assert returned is not None and returned.update.endpoints[0].status is EndpointStatus.DRAINING
     overrides.take_out("a", 100)
-    overrides.apply(*full())
-    assert overrides.put_back("a", 6) is None  # not listed: a yes, and nothing to tell the engine
+    overrides.apply(*full_update())
+    assert overrides.put_back("a", 6) is None  # not listed: succeeds without an update
     with pytest.raises(NoSuchHostError):
         overrides.put_back("a", 7)
 
 
-def test_unknown_hosts_and_too_many_overrides_are_errors() -> None:
+def test_unknown_host_and_too_many_overrides_raise() -> None:
     overrides = HostOverrides()
-    overrides.apply(*full(line("a")))
+    overrides.apply(*full_update(make_endpoint("a")))
     with pytest.raises(NoSuchHostError):
         overrides.take_out("x", 1)
     with pytest.raises(NoSuchHostError):
@@ -162,52 +196,55 @@
         )
     )
 )
-def test_no_host_out_of_service_is_ever_shown_ready(
+def test_host_out_of_service_is_never_reported_ready(
     steps: list[tuple[str, str, EndpointStatus, int]],
 ) -> None:
-    """Lists, calls and moves to another process come in whatever order.
+    """Discovery updates, operators' calls and hand-overs to a new process occur in any order.
 
-    The engine's own picture, built from what it was told alone, is that of a fresh look at the
-    whole list."""
+    The hosts that the engine knows from the updates alone always match the endpoint list with the
+    overrides applied.
+    """
     overrides, source, out = HostOverrides(), {}, set[str]()
     engine: dict[int, Endpoint] = {}
     for now, (step, name, state, started) in enumerate(steps, 100):
-        told = None
+        engine_update = None
         if step in ("list", "change"):
-            source[name] = line(name, started, state)
+            source[name] = make_endpoint(name, started, state)
             if state is EndpointStatus.REMOVED:
                 del source[name]
             if step == "list":
-                told = overrides.apply(*full(*source.values()))
+                engine_update = overrides.apply(*full_update(*source.values()))
                 engine = {}
             else:
-                told = overrides.apply(
-                    EndpointUpdate(UpdateKind.INCREMENTAL, (line(name, started, state),)),
+                engine_update = overrides.apply(
+                    EndpointUpdate(UpdateKind.INCREMENTAL, (make_endpoint(name, started, state),)),
                     {NAMES.index(name) + 1: name},
                     {NAMES.index(name) + 1: ("127.0.0.1", 1)},
                 )
-        elif (
-            step == "move"
-        ):  # an upgrade: the newcomer has its own list, and learns what is by hand
-            other = HostOverrides()
-            engine = {s.id: s for s in other.apply(*full(*source.values())).update.endpoints}
-            told = other.learn(overrides.out_since_us, overrides.returned)
-            overrides = other
+        elif step == "move":
+            # An upgrade: the new process has its own list and adopts the overrides.
+            new_overrides = HostOverrides()
+            engine = {
+                endpoint.id: endpoint
+                for endpoint in new_overrides.apply(*full_update(*source.values())).update.endpoints
+            }
+            engine_update = new_overrides.learn(overrides.out_since_us, overrides.returned)
+            overrides = new_overrides
         elif name in source and step == "maint":
-            told = overrides.take_out(name, now)
+            engine_update = overrides.take_out(name, now)
             out.add(name)
         elif name in out and step == "ready":
-            told = overrides.put_back(name, now)
+            engine_update = overrides.put_back(name, now)
             out.discard(name)
-        if told is not None:
-            for server in told.update.endpoints:
-                engine[server.id] = server
-                if server.status is EndpointStatus.REMOVED:
-                    del engine[server.id]
+        if engine_update is not None:
+            for known_endpoint in engine_update.update.endpoints:
+                engine[known_endpoint.id] = known_endpoint
+                if known_endpoint.status is EndpointStatus.REMOVED:
+                    del engine[known_endpoint.id]
         assert set(overrides.out_since_us) == out
-        assert set(engine) == {s.id for s in source.values()}
-        for server in engine.values():
-            shown = NAMES[server.id - 1]
-            ready = source[shown].status is EndpointStatus.READY and shown not in out
-            assert (server.status is EndpointStatus.READY) == ready
-            assert (server.started_us or 0) >= (source[shown].started_us or 0)
+        assert set(engine) == {endpoint.id for endpoint in source.values()}
+        for known_endpoint in engine.values():
+            host_name = NAMES[known_endpoint.id - 1]
+            ready = source[host_name].status is EndpointStatus.READY and host_name not in out
+            assert (known_endpoint.status is EndpointStatus.READY) == ready
+            assert (known_endpoint.started_us or 0) >= (source[host_name].started_us or 0)
--- a/tests/recordings/operators.py
+++ b/tests/recordings/operators.py
@@ -73,7 +73,7 @@
         return told
 
     told = asyncio.run(run())
-    for method, target, _ in parameters(test_decisions.test_calls_that_make_no_sense):
+    for method, target, _ in parameters(test_decisions.test_invalid_requests_raise_bad_call_error):
         try:
             read_call(method, target)
         except BadCallError as bad:
