--- a/quillroad/admin/__init__.py
+++ b/quillroad/admin/__init__.py
@@ -1,6 +1,6 @@
-"""The operators' address: metrics, hosts taken out of service, a gateway drained and put back.
+"""The admin address: metrics and health, taking hosts out of service, draining the gateway.
 
-Imported only where the configuration tells such an address.
+Imported only if an admin address is configured.
 """
 
 from quillroad.admin.admin import RESERVED, Admin
--- a/quillroad/admin/admin.py
+++ b/quillroad/admin/admin.py
@@ -1,4 +1,4 @@
-"""Joins the operators' address to a gateway: what each call does, and what it reads."""
+"""Carries out operators' calls on a gateway and reads the values of its metrics."""
 
 from __future__ import annotations
 
@@ -19,12 +19,13 @@
 
 log = logging.getLogger("quillroad.admin")
 
-# Descriptors that clients and hosts cannot have: of the connections, the listener and an accept.
+# File descriptors that the admin address reserves, which connections to clients and hosts cannot
+# use: its connections, its listener and a connection that is being accepted.
 RESERVED = MAX_CONNECTIONS + 2
 
 
 class Admin:
-    """The operators' side of one gateway, at `address`."""
+    """The admin interface of one gateway, which listens at `address`."""
 
     def __init__(self, gateway: ManagedGateway, address: Address) -> None:
         self._gateway = gateway
@@ -32,68 +33,72 @@
         self.host_overrides = HostOverrides()
         self.figures = Figures(gateway.route_names, self._gauges)
         self.listener = OperatorListener(gateway.loop, self.act)
-        self.port = 0  # that operators connect to; 0 until it listens
-        self.reloads = [0, 0]  # failed, ok
-        # Called after an operator has changed something, for another process of this gateway.
+        self.port = 0  # port of the listener; 0 until `start`
+        self.reloads = [0, 0]  # numbers of failed and of successful configuration reloads
+        # Called after each call that changes state, to pass the change on to the sibling process.
         self.on_change: Callable[[], None] | None = None
-        # Whether this process serves, where another process of this gateway may; None: it does.
+        # Returns whether this process serves, where its sibling process may serve instead. None if
+        # this process always serves.
         self.serves: Callable[[], bool] | None = None
 
     def start(self) -> None:
-        """Take calls from now on. Raises OSError where the address cannot be used."""
+        """Start accepting calls. Raise `OSError` if the address cannot be bound."""
         listener = open_listener(*self._address)
         self.port = listener.getsockname()[1]
         self.listener.listen(listener)
-        log.info("operators are answered at %s:%d", self._address[0], self.port)
+        log.info("admin address listens on %s:%d", self._address[0], self.port)
 
     def pause(self) -> None:
-        """Take no new calls, until `start`."""
+        """Stop accepting new connections until `start` is called again."""
         self.listener.pause()
 
     def stop(self) -> None:
-        """Take no more calls and end those that are there."""
+        """Stop accepting connections and abort the open ones."""
         self.listener.stop()
 
     def update_endpoints(
         self, update: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
-        """Go by what a source tells of endpoints, with the overrides laid over it."""
-        self._apply(self.host_overrides.apply(update, names, addresses))
+        """Apply an endpoint update from discovery to the gateway, with the overrides applied."""
+        self._apply_to_engine(self.host_overrides.apply(update, names, addresses))
 
-    def _apply(self, changed: EngineUpdate | None) -> None:
+    def _apply_to_engine(self, changed: EngineUpdate | None) -> None:
         if changed is not None:
             self._gateway.apply_endpoints(*changed)
 
     def learn(self, out: dict[str, int], back: dict[str, tuple[int, int]], drained: bool) -> None:
-        """Go by the overrides and the drain that another process of this gateway holds."""
-        self._apply(self.host_overrides.learn(out, back))
+        """Adopt the overrides and the drain of the sibling process.
+
+        `out` and `back` have the formats that `HostOverrides.learn` describes.
+        """
+        self._apply_to_engine(self.host_overrides.learn(out, back))
         self._gateway.set_drained(drained)
 
     def act(self, call: Call) -> Page:
-        """Do what a call asks for; the answer follows what was done."""
+        """Carry out a call and return its response, built after the change has taken effect."""
         serves = self.serves is None or self.serves()
         if call.act is Act.HEALTH:
             ready = self._gateway.ready and serves
             return page(200, "ready") if ready else page(503, "not ready")
         if call.act is Act.STATS:
             return Page(200, self.figures.text(), CONTENT_TYPE)
-        if not serves:  # it would be undone by what the process before holds
+        if not serves:  # the state that the old process hands over would overwrite the change
             return page(503, "not serving yet")
         try:
-            self._change(call)
+            self._carry_out(call)
         except NoSuchHostError:
             return page(404, "no such host")
         except TooManyOverridesError:
             return page(503, "too many hosts are out by hand")
-        log.info("by hand: %s %s", call.act.value, call.host)
+        log.info("operator's call carried out: %s %s", call.act.value, call.host)
         if self.on_change is not None:
             self.on_change()
         return page(200)
 
-    def _change(self, call: Call) -> None:
-        """Carry out a call that changes something.
+    def _carry_out(self, call: Call) -> None:
+        """Carry out a call that changes state.
 
-        Raises `NoSuchHostError` and `TooManyOverridesError`, with nothing changed.
+        Raise `NoSuchHostError` or `TooManyOverridesError`; in both cases nothing has changed.
         """
         match call.act:
             case Act.FAIL:
@@ -101,11 +106,12 @@
             case Act.OK:
                 self._gateway.set_drained(False)
             case Act.MAINT:
-                self._apply(self.host_overrides.take_out(call.host, _unix_us()))
+                self._apply_to_engine(self.host_overrides.take_out(call.host, _unix_us()))
             case Act.READY:
-                self._apply(self.host_overrides.put_back(call.host, _unix_us()))
+                self._apply_to_engine(self.host_overrides.put_back(call.host, _unix_us()))
 
     def _gauges(self) -> dict[str, float]:
+        """Return the current values of the gauges, keyed by the names in `GAUGES`."""
         figures = self._gateway.figures()
         return {
             "attempts": figures.attempts_sent,
@@ -118,5 +124,5 @@
 
 
 def _unix_us() -> int:
-    """Unix time in microseconds."""
+    """Return the current Unix time in microseconds."""
     return time.time_ns() // 1000
--- a/quillroad/admin/listener.py
+++ b/quillroad/admin/listener.py
@@ -1,8 +1,8 @@
-"""The operators' listener: one call a connection, within limits of its own.
+"""HTTP listener of the admin address: one call per connection, with its own connection limit.
 
-Nothing here waits for the clients' side, and no caller can keep others out: a connection has so
-long for its call, and where there are too many the one that has been there longest with no whole
-call ends.
+Calls never wait for the gateway's client connections. No caller can lock out others: each
+connection must send its call within `CALL_TIMEOUT_S`, and at the connection limit the oldest one is
+aborted in favor of a new one.
 """
 
 from __future__ import annotations
@@ -24,86 +24,90 @@
 
 log = logging.getLogger("quillroad.admin")
 
-# Connections at once: a few programs that ask, and some more for those that hold one.
+# Maximum number of open connections: a few for monitoring programs, and spare ones because callers
+# may hold theirs open.
 MAX_CONNECTIONS = 16
-# Age before which a connection is not ended for a new one: a call that was written has been read
-# by then.
-MIN_AGE_S = 0.03
-# For a whole call: longer than a person or a slow script needs to write one.
+# Minimum age at which a connection may be aborted in favor of a new one. A call that was sent at
+# once has been read by then.
+MIN_REPLACEABLE_AGE_S = 0.03
+# Time for a complete call to arrive: longer than a person or a slow script needs to send one.
 CALL_TIMEOUT_S = 5.0
-# For the caller to take its answer and close.
+# Time for the caller to read the response and close the connection.
 ANSWER_TIMEOUT_S = 1.0
-# Bytes of a call, and of a body, which no call needs.
+# Maximum size of a whole call, and of its body, which is read but ignored: no call needs one.
 MAX_CALL_BYTES = 16 * 1024
 MAX_BODY_BYTES = 4 * 1024
 
 
 class _CallConnection(asyncio.Protocol):
-    """One connection: reads one call, answers it, closes."""
+    """Server side of one connection: reads one call, sends the response, closes."""
 
     def __init__(self, listener: OperatorListener) -> None:
         self._listener = listener
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._headers: list[tuple[bytes, bytes]] = []
-        self._url = b""
+        self._target = b""
         self._bytes_read = 0
         self._body_bytes = 0
         self._bad_request: BadRequestError | None = None
         self._in_head = True
         self.answered = False
-        self.since = monotonic()
-        self._timer = listener.loop.call_at(self.since + CALL_TIMEOUT_S, self._time_out)
+        self.opened_at_s = monotonic()
+        self._timer = listener.loop.call_at(self.opened_at_s + CALL_TIMEOUT_S, self._time_out)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take note of the transport."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
+        """Store the transport."""
+        # uvloop's transports are not subclasses of asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Let go of everything; the listener has a place more."""
+        """Release the parser and the timer, and free the connection's place in the listener."""
         self._transport = None
-        self._parser = None  # it refers back: the cycle would wait for the collector
+        self._parser = None  # breaks a reference cycle, which would last until a garbage collection
         self._timer.cancel()
-        self._listener.forget(self)
+        self._listener.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read bytes of the call; answer it once it is whole, bad or too long."""
+        """Parse bytes of the call; respond once the call is complete, malformed or too long."""
         if self.answered or self._parser is None:
             return
         self._bytes_read += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass  # the offer is not taken up; the call has been answered
+            pass  # upgrade offers are ignored; the call has been answered already
         except (httptools.HttpParserError, BadRequestError) as error:
             bad = error if isinstance(error, BadRequestError) else self._bad_request
-            self._answer_bad(page(400, "not HTTP") if bad is None else page(bad.status, str(bad)))
+            self._respond_with_error(
+                page(400, "not HTTP") if bad is None else page(bad.status, str(bad))
+            )
             return
         if self._bytes_read > MAX_CALL_BYTES:
-            self._answer_bad(page(431 if self._in_head else 413, "a call too long"))
+            self._respond_with_error(page(431 if self._in_head else 413, "a call too long"))
 
-    def _answer_bad(self, answer: Page) -> None:
-        """Answer bytes that are no call; what follows a whole call is nobody's."""
+    def _respond_with_error(self, answer: Page) -> None:
+        """Send an error response, unless the call has been answered: later bytes are ignored."""
         if not self.answered:
             self._answer(answer)
 
     def eof_received(self) -> bool:
-        """Keep the transport where an answer is on its way: the caller may still read it."""
+        """Keep the transport open after a response, which the caller may still be reading."""
         return self.answered
 
-    # Called by the parser.
+    # Callbacks of the httptools parser.
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the target."""
-        self._url += url
+        """Append a piece of the request target."""
+        self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer, which means nothing here."""
+        """Store a header; trailers are ignored."""
         if self._in_head:
             self._headers.append((name, value.strip()))
 
     def on_headers_complete(self) -> None:
-        """Raise `BadRequestError` where the framing is ambiguous or the body too long."""
+        """Raise `BadRequestError` if the framing is ambiguous or the declared body too long."""
         assert self._parser is not None
         self._in_head = False
         try:
@@ -114,25 +118,25 @@
             raise
 
     def on_body(self, body: bytes) -> None:
-        """Raise `BadRequestError` where a body of untold length is too long."""
+        """Raise `BadRequestError` if the body received is too long; a chunked one has no length."""
         self._body_bytes += len(body)
         if self._body_bytes > MAX_BODY_BYTES:
             self._bad_request = BadRequestError(413, "no call has such a body")
             raise self._bad_request
 
     def on_message_complete(self) -> None:
-        """Carry the call out, and answer it."""
+        """Carry out the call and send its response."""
         if self.answered or self._parser is None:
             return
         try:
-            call = read_call(self._parser.get_method(), self._url)
+            call = read_call(self._parser.get_method(), self._target)
         except BadCallError as bad:
             self._answer(page(bad.status, str(bad), bad.allow))
             return
         try:
             answer = self._listener.act(call)
-        except Exception:  # a call's fault must not end the listener, nor the gateway
-            log.exception("%s failed", call.act.value)
+        except Exception:  # a failed call must not stop the listener or the gateway
+            log.exception("operator's call %s failed", call.act.value)
             answer = page(500)
         self._answer(answer)
 
@@ -142,67 +146,72 @@
         if transport is None:
             return
         transport.write(response(answer))
-        # Its sending side ends first: a close on unread bytes would take the answer along.
+        # Close only the sending side: closing a socket with unread bytes resets the connection, and
+        # the caller would lose the response.
         transport.write_eof()
         self._timer.cancel()
-        self._timer = self._listener.loop.call_later(ANSWER_TIMEOUT_S, self.end)
+        self._timer = self._listener.loop.call_later(ANSWER_TIMEOUT_S, self.abort_connection)
 
     def _time_out(self) -> None:
-        """Answer that no whole call came in time."""
+        """Respond with 408: no complete call arrived within `CALL_TIMEOUT_S`."""
         self._answer(page(408))
 
-    def end(self) -> None:
-        """End the connection at once."""
+    def abort_connection(self) -> None:
+        """Close the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class OperatorListener:
-    """The listener and its connections. `act` answers a call, at once."""
+    """The listener and its connections. `act` carries out a call and returns its response."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, act: Callable[[Call], Page]) -> None:
         self.loop = loop
         self.act = act
-        self._connections: dict[_CallConnection, None] = {}  # the oldest first
-        self._acceptor = Acceptor(loop, self._make_connection, self._has_capacity, self.forget)
+        self._connections: dict[_CallConnection, None] = {}  # in order of acceptance
+        self._acceptor = Acceptor(loop, self._make_connection, self._has_capacity, self.discard)
 
     def __len__(self) -> int:
         return len(self._connections)
 
     def listen(self, listener: socket.socket) -> None:
-        """Take calls from a socket that listens; it is closed by this listener from now on."""
+        """Start accepting calls on a listening socket, which this listener now owns and closes."""
         self._acceptor.listen(listener)
 
-    def _replaceable(self) -> _CallConnection | None:
-        """The connection to end for a new one; None where all are too new."""
-        latest = monotonic() - MIN_AGE_S
+    def _replaceable_connection(self) -> _CallConnection | None:
+        """Return the oldest connection, or None if it is younger than `MIN_REPLACEABLE_AGE_S`."""
+        newest_replaceable_s = monotonic() - MIN_REPLACEABLE_AGE_S
         for connection in self._connections:
-            if connection.since < latest:
+            if connection.opened_at_s < newest_replaceable_s:
                 return connection
         return None
 
     def _has_capacity(self) -> bool:
-        return len(self._connections) < MAX_CONNECTIONS or self._replaceable() is not None
+        return (
+            len(self._connections) < MAX_CONNECTIONS or self._replaceable_connection() is not None
+        )
 
     def _make_connection(self, sock: socket.socket) -> _CallConnection:
-        oldest = self._replaceable() if len(self._connections) >= MAX_CONNECTIONS else None
+        oldest = (
+            self._replaceable_connection() if len(self._connections) >= MAX_CONNECTIONS else None
+        )
         if oldest is not None:
-            oldest.end()
-            self.forget(oldest)
+            oldest.abort_connection()
+            self.discard(oldest)
         connection = _CallConnection(self)
         self._connections[connection] = None
         return connection
 
-    def forget(self, connection: _CallConnection) -> None:
-        """Count a connection no more: it has ended."""
+    def discard(self, connection: _CallConnection) -> None:
+        """Remove a closed connection from the open ones."""
         self._connections.pop(connection, None)
 
     def pause(self) -> None:
-        """Close the socket; calls that have come are still answered."""
+        """Close the listening socket; calls that have arrived are still answered."""
         self._acceptor.close()
 
     def stop(self) -> None:
-        """Take no more calls and end those that are there."""
+        """Stop accepting connections and abort the open ones."""
         self.pause()
         for connection in list(self._connections):
-            connection.end()
+            connection.abort_connection()
--- a/tests/admin/test_decisions.py
+++ b/tests/admin/test_decisions.py
@@ -75,12 +75,14 @@
     return Endpoint(NAMES.index(name) + 1, state, started_us=started_us)
 
 
-def full_update(*listed: Endpoint) -> tuple[EndpointUpdate, dict[int, str], dict[int, Address]]:
-    names = {endpoint.id: NAMES[endpoint.id - 1] for endpoint in listed}
+def full_update(
+    *listed_endpoints: Endpoint,
+) -> tuple[EndpointUpdate, dict[int, str], dict[int, Address]]:
+    names = {endpoint.id: NAMES[endpoint.id - 1] for endpoint in listed_endpoints}
     return (
-        EndpointUpdate(UpdateKind.FULL, listed, 1),
+        EndpointUpdate(UpdateKind.FULL, listed_endpoints, 1),
         names,
-        {endpoint.id: ("127.0.0.1", endpoint.id) for endpoint in listed},
+        {endpoint.id: ("127.0.0.1", endpoint.id) for endpoint in listed_endpoints},
     )
 
 
@@ -115,8 +117,10 @@
         .status
         is EndpointStatus.DRAINING
     )
-    returned = overrides.put_back("a", 777)
-    assert returned is not None and returned.update.endpoints[0] == make_endpoint("a", 777)
+    return_update = overrides.put_back("a", 777)
+    assert return_update is not None and return_update.update.endpoints[0] == make_endpoint(
+        "a", 777
+    )
     # The host is back already: a second call causes no new slow start.
     assert overrides.put_back("a", 999) is None
     assert (
@@ -150,8 +154,10 @@
     overrides.apply(*full_update(make_endpoint("a", 50)))
     overrides.take_out("a", 100)
     overrides.apply(*full_update(make_endpoint("a", 300)))
-    returned = overrides.put_back("a", 777)
-    assert returned is not None and returned.update.endpoints[0] == make_endpoint("a", 300)
+    return_update = overrides.put_back("a", 777)
+    assert return_update is not None and return_update.update.endpoints[0] == make_endpoint(
+        "a", 300
+    )
 
 
 def test_put_back_while_discovery_reports_draining_or_no_host() -> None:
@@ -163,8 +169,11 @@
     overrides.apply(*full_update(make_endpoint("a")))
     overrides.take_out("a", 100)
     overrides.apply(*full_update(make_endpoint("a", state=EndpointStatus.DRAINING)))
-    returned = overrides.put_back("a", 5)
-    assert returned is not None and returned.update.endpoints[0].status is EndpointStatus.DRAINING
+    return_update = overrides.put_back("a", 5)
+    assert (
+        return_update is not None
+        and return_update.update.endpoints[0].status is EndpointStatus.DRAINING
+    )
     overrides.take_out("a", 100)
     overrides.apply(*full_update())
     assert overrides.put_back("a", 6) is None  # not listed: succeeds without an update
