--- a/quillroad/zones/__init__.py
+++ b/quillroad/zones/__init__.py
@@ -1,9 +1,10 @@
-"""Cross-zone traffic of one gateway: counted, held to a budget and reported.
+"""Counts, limits and reports the cross-zone traffic of one gateway.
 
-Off unless a file turns it on; needs `msgspec`. The decisions are in
-`quillroad/balancing/zone_routing.py`. Here `traffic` counts what went over the sockets, `report`
-joins both into one document, `report_writer` puts it on the disk, and `zones` holds these parts
-together for the gateway.
+Disabled unless a zones file is configured; requires `msgspec`.
+`quillroad/balancing/zone_routing.py` decides which attempts may leave the zone. In this package,
+`settings` reads the zones file, `traffic` counts attempts and bytes, `report` builds a report from
+these counts and the budget, `report_writer` writes it to its file, and `zones` connects these parts
+with the gateway.
 """
 
 from quillroad.zones.zones import Zones
--- a/quillroad/zones/report.py
+++ b/quillroad/zones/report.py
@@ -1,7 +1,7 @@
-"""The report of cross-zone traffic, as JSON: its form, how it is made, and how it is read. No I/O.
+"""The cross-zone traffic report: its JSON format, how it is built and how it is parsed. No I/O.
 
-The stored names of fields never change: where one differs from the code's, `field(name=...)` has
-it.
+The names of JSON fields never change: `field(name=...)` keeps the JSON name of a field that has
+another name in the code.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 from quillroad.zones.traffic import AttemptEnd, TrafficCounters, ZoneTraffic
 
 MINUTES = 60
-"""Minutes that a report looks back: what an operator asks for after an outage; bounds its size."""
+"""Minutes of history in a report: enough to review an outage, and a limit on the report's size."""
 SECONDS_PER_MINUTE = 60
-MICROSECONDS = 1e6
-"""In a second: the balancer's clock and limits count microseconds, the report seconds."""
+MICROSECONDS_PER_SECOND = 1e6
+"""The balancer's clock and limits use microseconds, the report seconds."""
 NEVER_S = -1.0
-"""In place of a time in seconds: it does not come."""
-NEVER_FROM_S = 1e9
-"""A wait (30 years) from which on the report says never: JSON has no infinity."""
+"""Stands for a time in seconds that will never be reached."""
+NEVER_THRESHOLD_S = 1e9
+"""Waits of 1e9 s (30 years) and more are reported as `NEVER_S`: JSON has no infinity."""
 UNKNOWN_ZONE = "?"
-"""Stands for a zone that the settings do not name."""
+"""Name in the report for all zones that are not in the settings."""
 SPEND = "spend"
 REFUSE = "refuse"
 
 
 class ZoneLine(Struct):
-    """One route's attempts at one zone since the start, as `ZoneTraffic` counts them."""
+    """One route's attempts in one zone since the start; `ZoneTraffic` defines the counts."""
 
     zone: str
     is_local: bool = field(name="home")
@@ -55,12 +55,13 @@
 
 
 class RouteLine(Struct):
-    """One route since the start.
+    """Cross-zone counts of one route since the start, and how it may use the budget.
 
-    `crossed` attempts were sent to remote zones, by reason in `reasons`; `past` of them went past
-    the budget. `refused` requests were rejected for want of budget. `when_lost` is what the route
-    does while the local zone is lost (`SPEND` or `REFUSE`), `reserve` the part (0 to 1) of the
-    budget that it leaves to others.
+    `crossed`: attempts sent to remote zones. `reasons`: these attempts by `CrossZoneReason`, in
+    lower case. `past`: those of them that exceeded the budget. `refused`: requests rejected because
+    the budget was used up. `when_lost`: whether the route may exceed the budget while the local
+    zone is lost (`SPEND`) or not (`REFUSE`). `reserve` (0 to 1): share of the budget that the route
+    must leave unused for other routes.
     """
 
     name: str
@@ -74,7 +75,7 @@
 
 
 class MinuteLine(Struct, array_like=True):
-    """Counts of one minute, which starts at `start_s` (seconds since 1970), each by route."""
+    """Counts of the minute that starts at `start_s` (Unix time), each indexed by route."""
 
     start_s: int
     crossed: list[int]
@@ -83,13 +84,13 @@
 
 
 class Report(Struct):
-    """The state of the budget and the traffic of one gateway.
+    """Cross-zone budget and traffic of one gateway.
 
-    `at` and `since` (the start) are seconds since 1970. `budget_used` is the part of the budget in
-    use (1: all of it). `remote_fraction` (0 to 1) of first attempts, `per_second` attempts and
-    `bytes_per_second` are its limits, as means over `window_s` seconds. `allowed_in_s` has for each
-    route the seconds until an attempt within the budget is allowed, at the traffic of today, or
-    `NEVER_S`.
+    `at` and `since`, the time of the report and of the gateway's start, are Unix times in seconds.
+    `budget_used`: fraction of the budget in use (1: all of it). The limits are averages over
+    `window_s` seconds: `remote_fraction` (0 to 1) of first attempts, `per_second` attempts and
+    `bytes_per_second`. `allowed_in_s`: for each route, the seconds until the budget allows another
+    cross-zone attempt, assuming current traffic, or `NEVER_S`.
     """
 
     gateway: str
@@ -110,10 +111,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedGateway:
-    """What a report says of the gateway itself.
+    """Identity of the gateway in its reports.
 
-    `zone_names` and `route_names` are in the order of the settings, `local_zone` is an index into
-    the former; `since` is the gateway's start in seconds since 1970.
+    `zone_names` and `route_names` are in the order of the settings; `local_zone` is an index into
+    `zone_names`. `since` is the gateway's start as Unix time in seconds.
     """
 
     name: str
@@ -125,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Totals:
-    """Counts of one route since the start."""
+    """Counts of one route since the start, at the last update."""
 
     crossed: int = 0
     over_budget: int = 0
@@ -133,25 +134,27 @@
 
 
 class MinuteHistory:
-    """Counts by minute, of the last `MINUTES` minutes, from totals that only grow."""
+    """Per-minute counts of the last `MINUTES` minutes, computed from cumulative counts."""
 
     def __init__(self, route_count: int) -> None:
-        self._totals = [_Totals() for _ in range(route_count)]
+        self._totals_at_last_update = [_Totals() for _ in range(route_count)]
         self._lines: deque[MinuteLine] = deque(maxlen=MINUTES)
 
     def update(self, unix_s: float, counts: Sequence[CrossZoneCounts]) -> None:
-        """Add what was counted since the last call to the minute of `unix_s` (since 1970)."""
+        """Add the growth of `counts` since the last call to the minute of `unix_s` (Unix time)."""
         line = self._line_at(int(unix_s) // SECONDS_PER_MINUTE * SECONDS_PER_MINUTE)
         for route, count in enumerate(counts):
-            before = self._totals[route]
-            line.crossed[route] += count.total - before.crossed
-            line.over_budget[route] += count.over_budget - before.over_budget
-            line.rejected[route] += count.rejected - before.rejected
-            self._totals[route] = _Totals(count.total, count.over_budget, count.rejected)
+            previous = self._totals_at_last_update[route]
+            line.crossed[route] += count.total - previous.crossed
+            line.over_budget[route] += count.over_budget - previous.over_budget
+            line.rejected[route] += count.rejected - previous.rejected
+            self._totals_at_last_update[route] = _Totals(
+                count.total, count.over_budget, count.rejected
+            )
 
     def _line_at(self, start_s: int) -> MinuteLine:
         if not self._lines or self._lines[-1].start_s != start_s:
-            zeros = [0] * len(self._totals)
+            zeros = [0] * len(self._totals_at_last_update)
             self._lines.append(MinuteLine(start_s, zeros, zeros.copy(), zeros.copy()))
         return self._lines[-1]
 
@@ -168,7 +171,7 @@
     at: float,
     now_us: int,
 ) -> Report:
-    """Return the report at `at` (seconds since 1970), which is `now_us` of the balancer's clock."""
+    """Return the report at `at` (Unix time in seconds), `now_us` on the balancer's clock."""
     limits = budget.budget
     routes = range(len(gateway.route_names))
     return Report(
@@ -182,7 +185,7 @@
         remote_fraction=limits.share,
         per_second=limits.per_s,
         bytes_per_second=limits.bytes_per_s,
-        window_s=limits.window_us / MICROSECONDS,
+        window_s=limits.window_us / MICROSECONDS_PER_SECOND,
         allowed_in_s=[_allowed_in_s(budget, now_us, route) for route in routes],
         classes=[
             _route_line(gateway, route, limits.classes[route], budget.counts[route], counters)
@@ -193,8 +196,8 @@
 
 
 def _allowed_in_s(budget: CrossZoneBudget, now_us: int, route: int) -> float:
-    seconds = budget.wait_us(now_us, route) / MICROSECONDS
-    return round(seconds, 3) if seconds < NEVER_FROM_S else NEVER_S
+    seconds = budget.wait_us(now_us, route) / MICROSECONDS_PER_SECOND
+    return round(seconds, 3) if seconds < NEVER_THRESHOLD_S else NEVER_S
 
 
 def _route_line(
@@ -217,7 +220,7 @@
 
 
 def _zone_lines(gateway: ReportedGateway, route: int, counters: TrafficCounters) -> list[ZoneLine]:
-    """Return a line for each zone of the settings, and one for unknown zones that were sent to."""
+    """Return a line for each zone of the settings, and one for unknown zones if they were used."""
     lines = [
         _zone_line(counters.traffic(route, zone), name, zone == gateway.local_zone)
         for zone, name in enumerate(gateway.zone_names)
@@ -247,5 +250,5 @@
 
 
 def read_report(data: bytes) -> Report:
-    """Return the report; raises `msgspec.MsgspecError` for what is none."""
+    """Parse a report; raise `msgspec.MsgspecError` if `data` is not a valid one."""
     return msgspec.json.decode(data, type=Report)
--- a/quillroad/zones/report_writer.py
+++ b/quillroad/zones/report_writer.py
@@ -1,6 +1,6 @@
-"""Writes the report of cross-zone traffic to its file, again and again, without a stop of the loop.
+"""Periodically writes the cross-zone report to its file without blocking the event loop.
 
-One `ReportWriter` owns the task that writes, and the knowledge of whether the file can be written.
+`ReportWriter` owns the writing task and remembers whether the last write failed.
 """
 
 from __future__ import annotations
@@ -18,8 +18,9 @@
 class ReportWriter:
     """Writes what `encode` returns to `path()` every `interval_s()` seconds.
 
-    Both are asked each time, since a reload changes them; with no path nothing is written, nor
-    while `is_serving()` is false: of two processes of one gateway only one may write the file.
+    Both are called before each write because a reload can change them. Nothing is written while
+    `path()` is None or `is_serving()` is false: during an upgrade two processes of a gateway share
+    the file, and only the serving one may write it.
     """
 
     def __init__(
@@ -41,15 +42,19 @@
 
     @property
     def is_started(self) -> bool:
-        """Whether `start` was called, and `stop` was not."""
+        """Whether `start` was called and `stop` has not been called since."""
         return self._task is not None
 
     def start(self) -> None:
-        """Write now, and then again and again."""
+        """Start the task that writes a report now and then at each interval."""
         self._task = self._loop.create_task(self._run())
 
     def stop(self) -> None:
-        """Write the last report, unless a write is still under way: the disk may hang."""
+        """Stop the task and write a final report, blocking the event loop.
+
+        Skips the final report while another write is in progress: the disk may be hanging, and the
+        final write would then block the stop.
+        """
         if self._task is None:
             return
         self._task.cancel()
@@ -60,7 +65,7 @@
         try:
             replace_file(path, self._encode())
         except OSError as error:
-            log.error("the report cannot be written: %s", error)
+            log.error("the cross-zone report cannot be written: %s", error)
 
     async def _run(self) -> None:
         while True:
@@ -71,10 +76,10 @@
             await asyncio.sleep(interval_s)
 
     async def _write(self, path: Path) -> None:
-        """Write one report in a thread.
+        """Write one report in a thread and wait for it.
 
-        On the event loop a disk that hangs would stop every request. One write at a time: else a
-        disk that hangs would take one thread after the other.
+        Written on the event loop, a hanging disk would block every request. Without the wait, a
+        hanging disk would occupy one more thread of the pool with each interval.
         """
         data = self._encode()
         self._is_writing = True
@@ -83,12 +88,12 @@
         await asyncio.wait({write})
 
     def _on_written(self, write: asyncio.Future[None]) -> None:
-        """Say in the log when writes begin to fail and when they succeed again, each once."""
+        """Log the first failed write and the first successful one after it."""
         self._is_writing = False
         error = None if write.cancelled() else write.exception()
         was_failing = self._is_failing
         self._is_failing = error is not None
         if error is not None and not was_failing:
-            log.error("the report cannot be written: %s", error)
+            log.error("the cross-zone report cannot be written: %s", error)
         if error is None and was_failing:
-            log.info("the report is written again")
+            log.info("the cross-zone report can be written again")
--- a/quillroad/zones/settings.py
+++ b/quillroad/zones/settings.py
@@ -1,7 +1,7 @@
-"""The file that turns the cross-zone budget on: `deploy/zones.toml` explains each field.
+"""Reads the zones file, which enables the cross-zone budget; `deploy/zones.toml` documents it.
 
-Needs `msgspec`. The classes with a leading underscore have the form of the file, with the file's
-names; `load_zones` maps it to what the balancer takes.
+Requires `msgspec`. The classes with a leading underscore mirror the structure of the file;
+`load_zones` converts them to the limits that the balancer uses.
 """
 
 from __future__ import annotations
@@ -17,52 +17,52 @@
 from quillroad.config import Config, ConfigError
 from quillroad.config.file import Duration, output_file, read_toml, within
 
-MICROSECONDS = 1e6
-"""In a second: the file's times are read in seconds, the balancer counts microseconds."""
+MICROSECONDS_PER_SECOND = 1e6
+"""Times of the file are parsed to seconds; the balancer's clock counts microseconds."""
 WINDOW_BOUNDS_S = (1.0, 3600.0)
-"""Below a second a window holds too few requests for a share; above an hour it outlives outages."""
+"""A window below 1 s holds too few requests to compute a share; one above 1 h outlasts outages."""
 HOLD_BOUNDS_S = (0.0, 600.0)
-"""A zone held lost for over ten minutes would send its traffic away long after it is back."""
+"""Above 10 min, traffic would keep leaving the zone long after its hosts have recovered."""
 REPORT_INTERVAL_BOUNDS_S = (0.05, 3600.0)
-"""More often than 20 times a second the writing of reports would cost requests their time."""
+"""Writing more than 20 reports per second would delay requests."""
 
-Part = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 Rate = Annotated[float, Meta(ge=0, le=1e12)]
 
 
 class _Budget(Struct, forbid_unknown_fields=True):
-    """`[budget]`: what may leave the zone, by all gateways together."""
+    """`[budget]`: limits of cross-zone traffic; the rates are totals of all gateways."""
 
-    remote_fraction: Part = msgspec.field(name="share")
+    remote_fraction: Fraction = msgspec.field(name="share")
     window: Duration = "60 s"
     per_second: Rate = 0.0
     bytes_per_second: Rate = 0.0
 
 
 class _LocalZone(Struct, forbid_unknown_fields=True):
-    """`[home]`: when the local zone counts as lost."""
+    """`[home]`: when the local zone is lost, and how long it stays lost after that."""
 
-    lost_below: Part = 0.5
+    lost_below: Fraction = 0.5
     hold: Duration = "5 s"
 
 
 class _Route(Struct, forbid_unknown_fields=True):
-    """`[[classes]]`: what one route may do."""
+    """`[[classes]]`: how one route may use the budget."""
 
     name: Annotated[str, Meta(min_length=1)]
     when_lost: Literal["spend", "refuse"] = "spend"
-    keep: Part = 0.0
+    keep: Fraction = 0.0
 
 
 class _Report(Struct, forbid_unknown_fields=True):
-    """`[report]`: where the report is written, and how often."""
+    """`[report]`: the file and the interval of the report; an empty `file` disables it."""
 
     file: str = ""
     every: Duration = "1 s"
 
 
 class _File(Struct, forbid_unknown_fields=True):
-    """The whole file."""
+    """The root of the zones file."""
 
     budget: _Budget
     local_zone: _LocalZone = msgspec.field(name="home", default_factory=_LocalZone)
@@ -72,10 +72,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneSettings:
-    """The limits of one gateway, and its report.
+    """Cross-zone limits of one gateway, and the file and interval of its report.
 
-    The report goes to the file `report_file` (None: there is none) every `report_interval_s`
-    seconds.
+    `report_file` is None if no report is written.
     """
 
     limits: CrossZoneLimits
@@ -84,10 +83,10 @@
 
 
 def load_zones(path: Path, config: Config) -> ZoneSettings:
-    """Return what the file says for a gateway.
+    """Return the settings of one gateway from the zones file.
 
-    Rates in the file are for all gateways together; each has an even part. Raises `ConfigError`
-    that names the field.
+    The rates of the file are totals of all gateways and are divided evenly among them. Raises
+    `ConfigError`, which names the field, if the file is invalid.
     """
     file = read_toml(path, _File)
     names = [route.name for route in config.settings.routes]
@@ -108,7 +107,7 @@
 
 
 def _routes_by_name(routes: list[_Route], names: list[str]) -> dict[str, _Route]:
-    """Return the file's routes by name; raises `ConfigError` for an unknown or repeated one."""
+    """Return the file's routes by name; raise `ConfigError` for an unknown or duplicate name."""
     by_name: dict[str, _Route] = {}
     for index, route in enumerate(routes):
         field = f"classes[{index}].name"
@@ -126,9 +125,9 @@
     return CrossZoneLimits(
         share=file.budget.remote_fraction,
         classes=tuple(RouteAllowance(route.when_lost == "spend", route.keep) for route in routes),
-        window_us=round(MICROSECONDS * window_s),
+        window_us=round(MICROSECONDS_PER_SECOND * window_s),
         per_s=file.budget.per_second / gateway_count,
         bytes_per_s=file.budget.bytes_per_second / gateway_count,
         lost_below=file.local_zone.lost_below,
-        hold_us=round(MICROSECONDS * hold_s),
+        hold_us=round(MICROSECONDS_PER_SECOND * hold_s),
     )
--- a/quillroad/zones/traffic.py
+++ b/quillroad/zones/traffic.py
@@ -1,10 +1,10 @@
-"""What went over the sockets, by route and zone: attempts, how they ended, bytes. No I/O.
+"""Counts attempts, their results and bytes by route and zone. No I/O.
 
-An attempt counts as sent once it was started. It ends as `NOT_SENT` where it is certain that the
-host never saw it: no connection came up, or the connection ended before the first byte. So the
-attempts that were sent less those that ended as `NOT_SENT` are what hosts received, except for
-attempts in flight and those whose host died with the request in its kernel (at most the count of
-`LOST`).
+An attempt counts as sent as soon as it starts. It ends as `NOT_SENT` if the host certainly did not
+receive it: the connection could not be established, or closed before the first byte was sent. Sent
+attempts minus those that ended as `NOT_SENT` are therefore the attempts that hosts received, except
+for attempts in flight and those whose host died before its process read the request from the
+kernel's socket buffer (at most the count of `LOST`).
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 
 class AttemptEnd(Enum):
-    """How an attempt ended, as the report counts it."""
+    """Result of an attempt, as counted in the report."""
 
     ANSWERED = auto()
-    """With 200."""
+    """The host answered with status 200."""
     REJECTED = auto()
-    """The host answered that it has not started the request."""
+    """The host answered that it did not start processing the request."""
     CANCELLED = auto()
-    """Here: another attempt was quicker, or the client gave up."""
+    """The gateway cancelled it: another attempt was faster, or the client gave up."""
     LOST = auto()
-    """The connection broke, or no answer came in time."""
+    """The connection was reset, or the attempt timed out."""
     FAILED = auto()
-    """Answered with an error."""
+    """The host answered with an error."""
     NOT_SENT = auto()
-    """No byte of it reached the host."""
+    """No byte of the request reached the host."""
 
 
 END_BY_OUTCOME = {
@@ -46,10 +46,11 @@
 
 @dataclass(slots=True)
 class ZoneTraffic:
-    """One route's attempts at the hosts of one zone, since the start.
+    """Counts of one route's attempts at the hosts of one zone since the start of the process.
 
-    `sent` attempts were started, `ended` counts them by their end. `bytes_out` are of whole
-    requests, `bytes_in` of the bodies of answers that were served.
+    `sent`: attempts started. `ended`: finished attempts by result. `bytes_out`: bytes of whole
+    requests, except those that ended as `NOT_SENT`. `bytes_in`: bytes of the bodies of forwarded
+    responses.
     """
 
     sent: int = 0
@@ -59,34 +60,34 @@
 
     @property
     def in_flight(self) -> int:
-        """Attempts that have not ended."""
+        """Attempts that have started and not ended."""
         return self.sent - sum(self.ended.values())
 
     @property
     def received(self) -> int:
-        """Attempts that hosts have seen, with those that are lost or in flight."""
+        """Attempts that hosts received, including those that are lost or in flight."""
         return self.sent - self.ended[AttemptEnd.NOT_SENT]
 
 
 class TrafficCounters:
-    """The traffic of each route to each zone.
+    """Traffic counters of each route and zone.
 
-    A route and a zone are given as their index in the settings; zone -1 stands for hosts of a zone
-    that the settings do not name.
+    Routes and zones are given by their index in the settings; zone -1 is for hosts in a zone that
+    is not in the settings.
     """
 
     def __init__(self, route_count: int, zone_count: int) -> None:
-        # One entry more than there are zones: the last, at index -1, is the unknown zone's.
+        # One more entry than zones: index -1, the last, is the unknown zone.
         self._by_route = [
             [ZoneTraffic() for _ in range(zone_count + 1)] for _ in range(route_count)
         ]
 
     def traffic(self, route: int, zone: int) -> ZoneTraffic:
-        """Return the counts of one route at one zone."""
+        """Return the counts of one route for one zone."""
         return self._by_route[route][zone]
 
     def count_sent(self, route: int, zone: int, request_bytes: int) -> None:
-        """Count an attempt that was started."""
+        """Count the start of an attempt and the bytes of its request."""
         traffic = self._by_route[route][zone]
         traffic.sent += 1
         traffic.bytes_out += request_bytes
@@ -94,7 +95,10 @@
     def count_ended(
         self, route: int, zone: int, outcome: Outcome, request_bytes: int, answer_bytes: int
     ) -> int:
-        """Count the end of an attempt; return the bytes that it carried both ways."""
+        """Count the end of an attempt; return its bytes in both directions.
+
+        For an attempt that was not sent, takes back its request bytes and returns 0.
+        """
         traffic = self._by_route[route][zone]
         end = END_BY_OUTCOME[outcome]
         traffic.ended[end] += 1
--- a/quillroad/zones/zones.py
+++ b/quillroad/zones/zones.py
@@ -1,7 +1,7 @@
-"""The cross-zone budget of one gateway: its parts, and how they are fed.
+"""Connects the cross-zone budget, traffic counters and report with the gateway.
 
-Watches the engine's attempts, tells the balancer the bytes that crossed, and reads the file again
-on a reload.
+Observes the engine's attempts, reports the bytes of cross-zone attempts to the balancer, and reads
+the zones file again on a reload.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 
 class Zones:
-    """Counts, budget and report of one gateway.
+    """The cross-zone budget, traffic counters and report of one gateway.
 
-    `crossing` is the budget that the balancer takes. `serves` says whether this process is the one
-    that serves: with two processes of one gateway only that one writes reports. Raises
-    `ConfigError` with the file's name where the file cannot work.
+    `cross_zone_budget` is the budget to pass to the balancer. `is_serving` returns whether this
+    process serves requests; during an upgrade a gateway has two processes, and only the serving one
+    writes reports. Raises `ConfigError`, which names the file, if the zones file is invalid.
     """
 
     def __init__(self, path: Path, config: Config, loop: asyncio.AbstractEventLoop) -> None:
@@ -62,17 +62,16 @@
         )
 
     def _is_serving(self) -> bool:
-        return (
-            self.is_serving()
-        )  # asked each time: the worker process sets `serves` after the start
+        # Looked up at each call: the worker process replaces `is_serving` after the start.
+        return self.is_serving()
 
     def attach(self, engine: Engine) -> None:
-        """Watch an engine's attempts."""
+        """Observe the attempts of `engine`."""
         self._engine = engine
         engine.attempt_observer = self._on_sent
 
     def _on_sent(self, route: int, host: Host, request_bytes: int, done: Done) -> Done:
-        """Count an attempt; returns what the engine calls at its end in place of `done`."""
+        """Count the start of an attempt; return the callback for its end, which calls `done`."""
         self._counters.count_sent(route, host.zone, request_bytes)
         return partial(self._on_ended, route, host.zone, request_bytes, done)
 
@@ -93,7 +92,7 @@
         done(outcome, answer, at)
 
     def report(self) -> Report:
-        """Return the report as things are now; needs `attach` before."""
+        """Return the current report; `attach` must have been called before."""
         assert self._engine is not None
         now = time.time()
         self._minutes.update(now, self.cross_zone_budget.counts)
@@ -107,20 +106,25 @@
         )
 
     def reload(self) -> None:
-        """Read the file again; what was counted stays. Raises `ConfigError` and changes nothing."""
+        """Read the zones file again and apply its settings; keep all counts.
+
+        Raises `ConfigError` and keeps the current settings if the file is invalid.
+        """
         settings = _load(self._path, self._config)
         limits = settings.limits
         if limits != self._settings.limits:
-            log.info("zone budget: share=%g per_second=%g", limits.share, limits.per_s)
+            log.info(
+                "cross-zone budget reloaded: share=%g per_second=%g", limits.share, limits.per_s
+            )
         self._settings = settings
         self.cross_zone_budget.budget = limits
 
     def start(self) -> None:
-        """Write reports from now on."""
+        """Start to write reports."""
         self._writer.start()
 
     def stop(self) -> None:
-        """Say the counts in the log and write the last report."""
+        """Log the counts of each route and write a final report."""
         if not self._writer.is_started:
             return
         for name, counts in zip(
--- a/tests/recordings/rejections.py
+++ b/tests/recordings/rejections.py
@@ -110,7 +110,7 @@
     lanes = told_settings()["lanes"][:2]
     config = make_config(1, settings=told_settings(lanes=lanes))
     outside = make_config(1, settings=told_settings(zones=[], lanes=lanes))
-    cases = parameters(test_zones.test_a_file_that_cannot_work_is_one_line)
+    cases = parameters(test_zones.test_invalid_zones_file_is_reported_in_one_line)
     told = {
         repr(text): _of_file(lambda path: load_zones(path, config), text)
         for text, _ in (*cases, (NO_FILE, ""))
--- a/tests/zones/test_report_writer.py
+++ b/tests/zones/test_report_writer.py
@@ -1,4 +1,4 @@
-"""The task that writes the report: who writes, when, and what a bad disk costs."""
+"""When the report is written, by which process, and how a failing or hanging disk is handled."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from tests.net import on_loop, until
 
 INTERVAL_S = 0.01
-HANG_S = 5.0  # so that a stop that does write fails the test instead of hanging it
+MAX_HANG_S = 5.0  # a stop that wrongly writes fails the test instead of blocking it forever
 
 
 class CountingReport:
-    """A report that says how often it was made."""
+    """A report that contains how often it was encoded."""
 
     def __init__(self) -> None:
-        self.made = 0
+        self.encode_count = 0
 
     def encode(self) -> bytes:
-        self.made += 1
-        return str(self.made).encode()
+        self.encode_count += 1
+        return str(self.encode_count).encode()
 
 
 def writer_to(
@@ -40,21 +40,21 @@
 
 
 @on_loop
-async def test_the_report_is_written_until_the_stop(tmp_path: Path) -> None:
+async def test_report_is_written_until_the_stop(tmp_path: Path) -> None:
     report = CountingReport()
     writer = writer_to(tmp_path / "report", report)
     writer.start()
-    await until(lambda: report.made > 3)
+    await until(lambda: report.encode_count > 3)
     writer.stop()
-    made = report.made
+    count_at_stop = report.encode_count
     assert not writer.is_started
     await asyncio.sleep(5 * INTERVAL_S)
-    assert report.made == made
+    assert report.encode_count == count_at_stop
 
 
 @on_loop
-async def test_the_stop_writes_the_last_counts(tmp_path: Path) -> None:
-    """A gateway counts until its end; a report of a moment before would miss the last requests."""
+async def test_stop_writes_a_final_report(tmp_path: Path) -> None:
+    """Without a final report, the file would miss the requests since the last interval."""
     file = tmp_path / "report"
     report = CountingReport()
     writer = writer_to(file, report, interval_s=60.0)
@@ -66,21 +66,21 @@
 
 
 @on_loop
-async def test_without_a_file_no_report_is_made() -> None:
+async def test_no_report_is_encoded_without_a_file() -> None:
     report = CountingReport()
     writer = writer_to(None, report)
     writer.start()
     await asyncio.sleep(5 * INTERVAL_S)
     writer.stop()
-    assert report.made == 0
+    assert report.encode_count == 0
 
 
 @on_loop
-async def test_a_process_that_does_not_serve_writes_nothing(tmp_path: Path) -> None:
-    """During an upgrade two processes of one gateway run with the same file.
+async def test_process_that_does_not_serve_writes_no_report(tmp_path: Path) -> None:
+    """During an upgrade two processes of one gateway are configured with the same file.
 
-    If both wrote it, an operator would see the counts jump between the two. So the one that does
-    not serve writes nothing, not even as it stops, and begins to write once it serves.
+    If both wrote it, its counts would alternate between those of the two processes. The process
+    that does not serve must write nothing, not even when it stops, until it serves.
     """
     file = tmp_path / "report"
     report = CountingReport()
@@ -88,7 +88,7 @@
     writer = writer_to(file, report, lambda: serving[0])
     writer.start()
     await asyncio.sleep(5 * INTERVAL_S)
-    assert (report.made, file.exists()) == (0, False)
+    assert (report.encode_count, file.exists()) == (0, False)
     serving[0] = True
     await until(file.exists)
     serving[0] = False
@@ -100,22 +100,22 @@
 
 
 @on_loop
-async def test_a_disk_that_hangs_takes_one_thread_and_does_not_delay_the_stop(
+async def test_hanging_disk_occupies_one_thread_and_does_not_delay_the_stop(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A write to the disk hangs, as on a lost network volume, and then the gateway stops.
+    """A write hangs, as on a disconnected network volume, and then the gateway stops.
 
-    The event loop goes on, no second write is begun beside the first, and the stop does not try a
-    last write: that one would hang in the event loop's own thread.
+    The event loop keeps running and no second write starts meanwhile. The stop must not write a
+    final report: that write would block the event loop's thread.
     """
     released = threading.Event()
     writes: list[Path] = []
 
-    def hanging_put(path: Path, data: bytes) -> None:
+    def hanging_replace_file(path: Path, data: bytes) -> None:
         writes.append(path)
-        released.wait(HANG_S)
+        released.wait(MAX_HANG_S)
 
-    monkeypatch.setattr(report_writer, "replace_file", hanging_put)
+    monkeypatch.setattr(report_writer, "replace_file", hanging_replace_file)
     report = CountingReport()
     writer = writer_to(tmp_path / "report", report)
     writer.start()
@@ -124,30 +124,30 @@
         await asyncio.sleep(5 * INTERVAL_S)
         writer.stop()
         assert len(writes) == 1
-        assert report.made == 1
+        assert report.encode_count == 1
     finally:
         released.set()
 
 
 @on_loop
-async def test_a_folder_that_is_gone_is_logged_once_and_its_return_once(
+async def test_missing_folder_and_its_return_are_each_logged_once(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The folder of the report is renamed under a running gateway, and comes back.
+    """The report's folder is renamed while the gateway runs, and created again later.
 
-    Writes fail many times meanwhile. Each would fill the log with the same line, so only the first
-    failure and the first success after it are logged.
+    Writes fail at every interval meanwhile and would fill the log with the same line. Only the
+    first failure and the first success after it must be logged.
     """
     folder = tmp_path / "folder"
     report = CountingReport()
     writer = writer_to(folder / "report", report)
     with caplog.at_level(logging.INFO, "quillroad.zones"):
         writer.start()
-        await until(lambda: report.made > 3)
+        await until(lambda: report.encode_count > 3)
         folder.mkdir()
         await until((folder / "report").exists)
         await until(lambda: len(caplog.messages) > 1)
         writer.stop()
     failure, success = caplog.messages
-    assert failure.startswith("the report cannot be written: ")
-    assert success == "the report is written again"
+    assert failure.startswith("the cross-zone report cannot be written: ")
+    assert success == "the cross-zone report can be written again"
--- a/tests/zones/test_traffic.py
+++ b/tests/zones/test_traffic.py
@@ -1,4 +1,4 @@
-"""Counts of what went over the sockets."""
+"""Traffic counters by route and zone."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 REMOTE = 1
 
 
-def test_every_outcome_is_counted_and_bytes_only_of_what_was_sent() -> None:
+def test_every_outcome_is_counted_and_bytes_only_for_sent_attempts() -> None:
     counters = TrafficCounters(1, 2)
     assert set(END_BY_OUTCOME) == set(Outcome)
     for outcome in Outcome:
@@ -23,7 +23,7 @@
     assert (traffic.bytes_out, traffic.bytes_in) == (600, 7)
 
 
-def test_an_attempt_is_in_flight_until_it_ends() -> None:
+def test_attempt_is_in_flight_until_it_ends() -> None:
     counters = TrafficCounters(1, 2)
     counters.count_sent(0, REMOTE, 100)
     counters.count_sent(0, REMOTE, 100)
@@ -32,7 +32,7 @@
     assert counters.traffic(0, REMOTE).in_flight == 1
 
 
-def test_an_unknown_zone_is_counted_apart_from_all_known_ones() -> None:
+def test_unknown_zone_is_counted_separately() -> None:
     counters = TrafficCounters(1, 2)
     counters.count_sent(0, -1, 100)
     assert [counters.traffic(0, zone).sent for zone in (0, 1, -1)] == [0, 0, 1]
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -1,4 +1,4 @@
-"""A gateway with hosts in two zones: what crosses as one fails, what is rejected, the totals."""
+"""A gateway with hosts in two zones: cross-zone traffic, rejects and report when a zone fails."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     RequestClass("status-check", 0.58, 1.4, 2.0),
     RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
-FILE = """
+ZONES_FILE = """
 [budget]
 share = 0.05
 window = "2 s"
@@ -43,9 +43,9 @@
 
 
 class TwoZones:
-    """A gateway in `east`, with as many hosts there as in `west`."""
+    """A gateway in zone `east`, with the same number of hosts in `east` and `west`."""
 
-    def __init__(self, folder: Path, upgrades: str = "", text: str = FILE) -> None:
+    def __init__(self, folder: Path, upgrades: str = "", text: str = ZONES_FILE) -> None:
         self.file = folder / "report.json"
         self.budget = folder / "0" / "zones.toml"
         self.text = text.format(report=self.file)
@@ -66,7 +66,7 @@
         return sum(len(host.receipts) for host in self.hosts(zone))
 
     async def report(self) -> Report:
-        """One that was made from now on."""
+        """Wait for a report that is built after this call, and return it."""
         now = time.time()
         await until(lambda: self.file.exists() and read_report(self.file.read_bytes()).at > now)
         return read_report(self.file.read_bytes())
@@ -79,71 +79,82 @@
         return count_outcomes(load.records[before:], REQUEST_CLASSES)
 
 
-def check_totals(zones: TwoZones, told: Report) -> None:
-    """The report's totals are what the stand-ins counted, and what was decided is what was sent."""
+def check_totals(zones: TwoZones, current_report: Report) -> None:
+    """Check that the report matches the requests that the hosts received.
+
+    Its cross-zone counts must also match the attempts sent to remote zones and the minutes.
+    """
     for zone in ("east", "west"):
-        cells = [line for one in told.classes for line in one.zones if line.zone == zone]
-        assert sum(cell.received for cell in cells) == zones.received(zone)
-        assert sum(cell.in_flight for cell in cells) == 0
-    for one in told.classes:
+        zone_lines = [
+            line
+            for route_line in current_report.classes
+            for line in route_line.zones
+            if line.zone == zone
+        ]
+        assert sum(zone_line.received for zone_line in zone_lines) == zones.received(zone)
+        assert sum(zone_line.in_flight for zone_line in zone_lines) == 0
+    for route_line in current_report.classes:
         assert (
-            one.crossed
-            == sum(one.reasons.values())
-            == sum(c.sent for c in one.zones if not c.is_local)
+            route_line.crossed
+            == sum(route_line.reasons.values())
+            == sum(zone_line.sent for zone_line in route_line.zones if not zone_line.is_local)
         )
-    assert sum(sum(minute.crossed) for minute in told.minutes) == sum(
-        one.crossed for one in told.classes
+    assert sum(sum(minute.crossed) for minute in current_report.minutes) == sum(
+        route_line.crossed for route_line in current_report.classes
     )
 
 
 def check_accounted(zones: TwoZones, load: Load) -> None:
-    whole = total(count_outcomes(load.records, REQUEST_CLASSES).values())
+    totals = total(count_outcomes(load.records, REQUEST_CLASSES).values())
     assert (
-        whole.sent == whole.within_objective + whole.after_objective + whole.rejected + whole.failed
+        totals.sent
+        == totals.within_objective + totals.after_objective + totals.rejected + totals.failed
     )
-    assert (whole.late, whole.unanswered) == (0, 0) and zones.environment.violations(load) == []
+    assert (totals.late, totals.unanswered) == (0, 0) and zones.environment.violations(load) == []
 
 
 @pytest.mark.parametrize("how", ["hangs", "refuses connects", "drains"])
 @on_loop
-async def test_routes_that_may_cross_leave_a_failing_zone_and_come_back(
+async def test_routes_that_may_spend_leave_a_failing_zone_and_return(
     tmp_path: Path, how: str
 ) -> None:
-    """All hosts of the gateway's zone hang, refuse connections or drain, and later come back.
+    """All hosts of the gateway's zone hang, refuse connections or drain, and later recover.
 
-    Checkouts may go past the budget and succeed in the other zone; status checks are held to it and
-    rejected. Once the zone is back, traffic stays in it again, and the report's totals are those of
-    the hosts.
+    Checkouts may exceed the budget and succeed in the other zone; status checks may not and are
+    rejected. After the recovery traffic must stay in the zone again, and the report must match the
+    requests that the hosts received.
     """
     zones = TwoZones(tmp_path)
     async with zones.environment as environment:
         load = environment.load(weights=(3, 1))
-        west = -1
-        while zones.received("west") != west:  # a well zone with room is not left
-            west = zones.received("west")
+        received_in_west = -1
+        # Wait until no more attempts leave the zone: healthy, with free capacity, it keeps them.
+        while zones.received("west") != received_in_west:
+            received_in_west = zones.received("west")
             await zones.send(load, 1.0)
-        cut = 0.0
+        drained_at = 0.0
         for host in zones.hosts("east"):
             if how == "hangs":
                 host.hangs = True
             elif how == "drains":
-                cut = environment.tell(host, lifecycle="draining")
+                drained_at = environment.tell(host, lifecycle="draining")
             else:
                 host.stop()
-        rows = await zones.send(load, 3.0)
-        told = await zones.report()
-        status, checkout = told.classes
-        assert told.local_zone_lost and told.local_zone == "east"
-        # Most of the checkouts went past the budget; the others were held to it and refused.
+        counts_by_class = await zones.send(load, 3.0)
+        current_report = await zones.report()
+        status, checkout = current_report.classes
+        assert current_report.local_zone_lost and current_report.local_zone == "east"
+        # Most checkouts succeeded, beyond the budget; status checks were held to it and rejected.
         assert (
-            rows["seat-checkout"].within_objective > 0.8 * rows["seat-checkout"].sent
+            counts_by_class["seat-checkout"].within_objective
+            > 0.8 * counts_by_class["seat-checkout"].sent
             and checkout.past > 0
         )
-        assert status.past == 0 and 0 < status.refused <= rows["status-check"].rejected
-        assert rows["status-check"].rejected > 0.5 * rows["status-check"].sent
+        assert status.past == 0 and 0 < status.refused <= counts_by_class["status-check"].rejected
+        assert counts_by_class["status-check"].rejected > 0.5 * counts_by_class["status-check"].sent
         if how == "drains":
             assert not [
-                r for host in zones.hosts("east") for r in host.receipts if r.at > cut + 0.5
+                r for host in zones.hosts("east") for r in host.receipts if r.at > drained_at + 0.5
             ]
             for host in zones.hosts("east"):
                 environment.tell(host, lifecycle="up")
@@ -153,10 +164,15 @@
                 await host.start(host.port)
         while (await zones.report()).local_zone_lost:
             await zones.send(load, 0.3)
-        west = zones.received("west")
-        rows = await zones.send(load, 1.0)
-        assert rows["status-check"].within_objective > 0.9 * rows["status-check"].sent
-        assert zones.received("west") - west <= 0.2 * total(rows.values()).sent
+        received_in_west = zones.received("west")
+        counts_by_class = await zones.send(load, 1.0)
+        assert (
+            counts_by_class["status-check"].within_objective
+            > 0.9 * counts_by_class["status-check"].sent
+        )
+        assert (
+            zones.received("west") - received_in_west <= 0.2 * total(counts_by_class.values()).sent
+        )
         check_accounted(zones, load)
         check_totals(zones, await zones.report())
     for line in ("zone lost", "zone budget passed", "zone regained"):
@@ -164,20 +180,20 @@
 
 
 @on_loop
-async def test_a_reload_raises_the_budget_in_an_outage_and_a_bad_file_changes_nothing(
+async def test_reload_raises_the_budget_during_an_outage_and_an_invalid_file_changes_nothing(
     tmp_path: Path,
 ) -> None:
-    """In an outage of the zone an operator raises the budget, at first with a typing error.
+    """During an outage of the zone an operator raises the budget, at first with an invalid file.
 
-    The bad file changes nothing and is said in the log. After the good one no request is rejected.
+    The invalid file must change nothing and be logged. After the valid one no request is rejected.
     """
     zones = TwoZones(tmp_path)
     async with zones.environment as environment:
         for host in zones.hosts("east"):
             environment.tell(host, lifecycle="draining")
         load = environment.load(weights=(1, 0))
-        rows = await zones.send(load, 0.5)
-        assert rows["status-check"].rejected > 0
+        counts_by_class = await zones.send(load, 0.5)
+        assert counts_by_class["status-check"].rejected > 0
         zones.budget.write_text("[budget]\nshare = 2.0")
         os.kill(environment.gateway.pid, signal.SIGHUP)
         for _ in range(2):
@@ -186,39 +202,45 @@
         os.kill(environment.gateway.pid, signal.SIGHUP)
         while (await zones.report()).classes[0].reserve:
             await asyncio.sleep(0)
-        rows = await zones.send(load, 0.5)
-        assert rows["status-check"].within_objective == rows["status-check"].sent
+        counts_by_class = await zones.send(load, 0.5)
+        assert (
+            counts_by_class["status-check"].within_objective == counts_by_class["status-check"].sent
+        )
         check_accounted(zones, load)
     assert "the old configuration stands: zones.toml: budget.share" in environment.log
 
 
 @on_loop
-async def test_a_report_that_cannot_be_written_costs_no_request(tmp_path: Path) -> None:
-    """The folder of the report is renamed under load, and made again: only the log shows it."""
-    zones = TwoZones(tmp_path, text=FILE.replace("{report}", "{report}.d/r"))
+async def test_failing_report_writes_do_not_affect_requests(tmp_path: Path) -> None:
+    """The report's folder is renamed under load and created again; only the log may show it."""
+    zones = TwoZones(tmp_path, text=ZONES_FILE.replace("{report}", "{report}.d/r"))
     folder = Path(f"{zones.file}.d")
     folder.mkdir()
     async with zones.environment as environment:
         load = environment.load(weights=(1, 0))
         await zones.send(load, 0.3)
         folder.rename(tmp_path / "away")
-        rows = await zones.send(load, 0.6)
-        assert rows["status-check"].within_objective == rows["status-check"].sent
+        counts_by_class = await zones.send(load, 0.6)
+        assert (
+            counts_by_class["status-check"].within_objective == counts_by_class["status-check"].sent
+        )
         folder.mkdir()
         await until((folder / "r").exists)
     assert (
-        environment.log.count("cannot be written") == environment.log.count("is written again") == 1
+        environment.log.count("cannot be written")
+        == environment.log.count("can be written again")
+        == 1
     )
 
 
 @on_loop
-async def test_an_upgrade_hands_over_the_used_budget(tmp_path: Path) -> None:
-    """A gateway is upgraded in an outage, with much of its budget used.
+async def test_upgrade_hands_over_the_used_budget(tmp_path: Path) -> None:
+    """A gateway is upgraded during an outage, with most of its budget used.
 
-    A successor that began with an unused budget would send as much once more.
+    A successor that started with an unused budget could send the same cross-zone traffic again.
     """
     upgrades = '[canary]\ntime = "300 ms"\n[times]\nstart = "5 s"'
-    zones = TwoZones(tmp_path, upgrades, FILE.replace("2 s", "600 s", 1))
+    zones = TwoZones(tmp_path, upgrades, ZONES_FILE.replace("2 s", "600 s", 1))
     async with zones.environment as environment:
         for host in zones.hosts("east"):
             environment.tell(host, lifecycle="draining")
@@ -235,23 +257,23 @@
         check_accounted(zones, load)
 
 
-def test_the_command_shows_a_report(
+def test_command_rejects_a_missing_and_an_invalid_report(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     file = tmp_path / "r.json"
 
-    def ask() -> tuple[int, str]:
+    def run_command() -> tuple[int, str]:
         monkeypatch.setattr(sys, "argv", ["quillroad", "zones", str(file)])
-        status, said = main(), capsys.readouterr()
-        return status, said.out + said.err
+        exit_code, output = main(), capsys.readouterr()
+        return exit_code, output.out + output.err
 
-    assert ask() == (1, f"quillroad: cannot read {file}: No such file or directory\n")
+    assert run_command() == (1, f"quillroad: cannot read {file}: No such file or directory\n")
     file.write_text("[]")
-    assert ask()[1].startswith(f"quillroad: {file} is no report: ")
+    assert run_command()[1].startswith(f"quillroad: {file} is no report: ")
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected_error"),
     [
         ("", "budget: missing"),
         ("[budget]", "budget.share: missing"),
@@ -284,7 +306,9 @@
         ),
     ],
 )
-def test_a_file_that_cannot_work_is_one_line(tmp_path: Path, text: str, said: str) -> None:
+def test_invalid_zones_file_is_reported_in_one_line(
+    tmp_path: Path, text: str, expected_error: str
+) -> None:
     (tmp_path / "zones.toml").write_text(text)
     config = (
         (ROOT / "deploy" / "quillroad.toml").read_text().replace("127.0.0.1:8080", "127.0.0.1:0", 1)
@@ -306,10 +330,13 @@
         timeout=20,
         check=False,
     )
-    assert (done.returncode, done.stderr.splitlines()[-1]) == (2, f"quillroad: zones.toml: {said}")
+    assert (done.returncode, done.stderr.splitlines()[-1]) == (
+        2,
+        f"quillroad: zones.toml: {expected_error}",
+    )
 
 
-def test_what_is_off_is_not_imported() -> None:
+def test_modules_of_disabled_features_are_not_imported() -> None:
     code = (
         "import sys, quillroad.__main__, quillroad.start\n"
         "off = ('quillroad.zones', 'quillroad.balancing.zone_routing', 'msgspec')\n"
