--- a/tests/zones/test_cross_zone_budget.py
+++ b/tests/zones/test_cross_zone_budget.py
@@ -189,15 +189,15 @@
     assert cross_zone_budget.counts[0].over_budget == 0
 
 
-@pytest.mark.parametrize("how", ["drained", "gone"])
-def test_lost_local_zone_makes_each_route_spend_or_reject_by_its_settings(how: str) -> None:
+@pytest.mark.parametrize("outage", ["drained", "gone"])
+def test_lost_local_zone_makes_each_route_spend_or_reject_by_its_settings(outage: str) -> None:
     """All local hosts are draining or removed, and only the remote zone is healthy.
 
     Each request of the route that may spend exceeds the budget. Requests of the other route must be
     rejected immediately: queued for a lost zone, they would only run into the client's deadline.
     """
     driver, cross_zone_budget = balancer_with(SPENDS, RouteAllowance(spends=False), share=0.0)
-    status = EndpointStatus.DRAINING if how == "drained" else EndpointStatus.REMOVED
+    status = EndpointStatus.DRAINING if outage == "drained" else EndpointStatus.REMOVED
     driver.feed(
         EndpointUpdate(
             UpdateKind.INCREMENTAL, tuple(Endpoint(100 + i, status) for i in range(0, 8, 2))
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -97,7 +97,7 @@
         assert (
             route_line.crossed
             == sum(route_line.reasons.values())
-            == sum(zone_line.sent for zone_line in route_line.zones if not zone_line.is_local)
+            == sum(zone_counts.sent for zone_counts in route_line.zones if not zone_counts.is_local)
         )
     assert sum(sum(minute.crossed) for minute in current_report.minutes) == sum(
         route_line.crossed for route_line in current_report.classes
@@ -113,10 +113,10 @@
     assert (totals.late, totals.unanswered) == (0, 0) and zones.environment.violations(load) == []
 
 
-@pytest.mark.parametrize("how", ["hangs", "refuses connects", "drains"])
+@pytest.mark.parametrize("failure_mode", ["hangs", "refuses connects", "drains"])
 @on_loop
 async def test_routes_that_may_spend_leave_a_failing_zone_and_return(
-    tmp_path: Path, how: str
+    tmp_path: Path, failure_mode: str
 ) -> None:
     """All hosts of the gateway's zone hang, refuse connections or drain, and later recover.
 
@@ -134,9 +134,9 @@
             await zones.send(load, 1.0)
         drained_at = 0.0
         for host in zones.hosts("east"):
-            if how == "hangs":
+            if failure_mode == "hangs":
                 host.hangs = True
-            elif how == "drains":
+            elif failure_mode == "drains":
                 drained_at = environment.tell(host, lifecycle="draining")
             else:
                 host.stop()
@@ -152,7 +152,7 @@
         )
         assert status.past == 0 and 0 < status.refused <= counts_by_class["status-check"].rejected
         assert counts_by_class["status-check"].rejected > 0.5 * counts_by_class["status-check"].sent
-        if how == "drains":
+        if failure_mode == "drains":
             assert not [
                 r for host in zones.hosts("east") for r in host.receipts if r.at > drained_at + 0.5
             ]
@@ -160,7 +160,7 @@
                 environment.tell(host, lifecycle="up")
         for host in zones.hosts("east"):
             host.hangs = False
-            if how == "refuses connects":
+            if failure_mode == "refuses connects":
                 await host.start(host.port)
         while (await zones.report()).local_zone_lost:
             await zones.send(load, 0.3)
