--- a/quillroad/__main__.py
+++ b/quillroad/__main__.py
@@ -1,6 +1,8 @@
-"""`python -m quillroad`: with no arguments what the platform starts, else the command line.
+"""`python -m quillroad`: the entry point of a gateway process.
 
-The command line (`quillroad.cli`) is also used where QUILLROAD_CONFIG names a configuration file.
+Without arguments the gateway reads its configuration from the environment variables that the
+platform sets. With arguments, or where QUILLROAD_CONFIG names a configuration file, the command
+line (`quillroad.cli`) runs instead.
 """
 
 from __future__ import annotations
@@ -14,9 +16,9 @@
 
 
 def main() -> int:
-    """Run the gateway to its end; returns the status to exit with."""
+    """Run a gateway or a command until it ends; return the exit status."""
     if len(sys.argv) > 1 or os.environ.get("QUILLROAD_CONFIG"):
-        from quillroad.cli import main as command  # noqa: PLC0415 - the platform starts without it
+        from quillroad.cli import main as command  # noqa: PLC0415 - not needed without arguments
 
         return command()
     return start(partial(load, os.environ), partial(reload, os.environ))
--- a/quillroad/cli/__init__.py
+++ b/quillroad/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one file a command, each of which calls the package that it belongs to."""
+"""The command line. Each module defines the commands of one area and calls its package."""
 
 from quillroad.cli.main import main
 
--- a/quillroad/cli/check.py
+++ b/quillroad/cli/check.py
@@ -1,4 +1,4 @@
-"""`quillroad check FILE`: whether a configuration can work."""
+"""`quillroad check FILE`: validates a configuration file without starting a gateway."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def _describe_hosts(config: Config) -> str:
-    """Return where the hosts come from, for people."""
+    """Return a short description of the source of hosts, for the output."""
     hosts = config.hosts
     if isinstance(hosts, StaticHosts):
         return f"{len(hosts.hosts)} hosts"
--- a/quillroad/cli/demo.py
+++ b/quillroad/cli/demo.py
@@ -1,6 +1,6 @@
-"""`quillroad demo`: a gateway between stand-in hosts and clients for some seconds.
+"""`quillroad demo`: runs a gateway between simulated hosts and clients for a few seconds.
 
-Every request is accounted for: what clients sent and got, and what hosts received.
+The requests that clients sent and the answers they got are compared with what hosts received.
 """
 
 from __future__ import annotations
@@ -26,23 +26,24 @@
     RequestClass("status-check", 0.58, 1.4, 2.0),
     RequestClass("seat-checkout", 0.75, 1.9, 8.0, keyed=True, body_bytes=200),
 ]
-ROUTE_SHARES = (3, 1)  # requests of each route, in their proportion
+ROUTE_SHARES = (3, 1)  # relative rate of requests of each route
 HOST_COUNT = 6
 SLOW_HOST = 1
 HANGING_HOST = 2
 DRAINED_HOST = 3
-ANSWER_S = 0.02  # seconds that a host takes for an answer
-SLOW_ANSWER_S = 0.4  # of the slow host: within the objectives, but only just
+HOST_DELAY_S = 0.02  # from the receipt of a request to the answer
+SLOW_HOST_DELAY_S = 0.4  # close to, but within the shorter objective of the routes
 BEHAVIOURS = {
     SLOW_HOST: "answers after 400 ms",
     HANGING_HOST: "answers nothing",
     DRAINED_HOST: "drains half way",
 }
 ORDINARY_BEHAVIOUR = "answers after 20 ms"
-DRAIN_GRACE_S = 0.5  # after a drain was told, for the last request to be received
-PROGRESS_INTERVAL_S = 0.1  # between two steps of the progress bar
-MIN_WIDTH = 100  # columns, so that the tables do not wrap where the output is no terminal
-MAX_BROKEN_LINES = 10  # shown of the rules that were broken
+# Time after discovery reported a drain in which the host may still receive requests.
+DRAIN_GRACE_S = 0.5
+PROGRESS_INTERVAL_S = 0.1  # between updates of the progress bar
+MIN_WIDTH_COLUMNS = 100  # the tables would wrap at the 80 columns assumed without a terminal
+MAX_PRINTED_VIOLATIONS = 10
 ROUTE_COLUMNS = (
     "class",
     "sent",
@@ -64,31 +65,33 @@
 @click.option("--seconds", type=click.FloatRange(1.0, 60.0), default=6.0, show_default=True)
 @click.option("--rate", type=click.FloatRange(10.0, 1000.0), default=150.0, show_default=True)
 def demo(seconds: float, rate: float) -> int:
-    """Send `rate` requests a second for `seconds`, and show what became of them."""
+    """Send `rate` requests per second for `seconds`, and print the outcomes."""
     return uvloop.run(_run(seconds, rate))
 
 
 async def _run(seconds: float, rate: float) -> int:
-    """Play the demo; the status is 1 where a rule was broken."""
-    console = Console(width=max(MIN_WIDTH, Console().width))
+    """Run the demo; return the exit status, 1 if the testbed found a violation."""
+    console = Console(width=max(MIN_WIDTH_COLUMNS, Console().width))
     with tempfile.TemporaryDirectory() as folder:
-        async with Environment(Path(folder), ROUTES, hosts=HOST_COUNT, delay=ANSWER_S) as testbed:
-            testbed.hosts[SLOW_HOST].delay = SLOW_ANSWER_S
+        async with Environment(
+            Path(folder), ROUTES, hosts=HOST_COUNT, delay=HOST_DELAY_S
+        ) as testbed:
+            testbed.hosts[SLOW_HOST].delay = SLOW_HOST_DELAY_S
             testbed.hosts[HANGING_HOST].hangs = True
             load = testbed.load(weights=ROUTE_SHARES)
             drained_at = await _send(console, testbed, load, seconds, rate)
-            broken = testbed.violations(load)
+            violations = testbed.violations(load)
             console.print(
                 _route_table(count_outcomes(load.records, ROUTES)), _host_table(testbed, drained_at)
             )
-            return _conclude(console, broken)
+            return _print_result(console, violations)
 
 
-def _conclude(console: Console, broken: Sequence[str]) -> int:
-    """Show the rules that were broken, if any; return the status to exit with."""
-    for line in broken[:MAX_BROKEN_LINES]:
+def _print_result(console: Console, violations: Sequence[str]) -> int:
+    """Print whether there were violations, and the first ones; return the exit status."""
+    for line in violations[:MAX_PRINTED_VIOLATIONS]:
         console.print(f"broken: {line}")
-    if broken:
+    if violations:
         console.print("a rule was broken")
         return ExitStatus.FAILED
     console.print("every request accounted for, no rule broken")
@@ -98,7 +101,10 @@
 async def _send(
     console: Console, testbed: Environment, load: Load, seconds: float, rate: float
 ) -> float:
-    """Send all requests, and drain a host half way; return when (monotonic clock, seconds)."""
+    """Send all requests, and drain a host once half of them are done.
+
+    Return the time of the drain (monotonic clock, seconds), 0 if there was none.
+    """
     request_count = rate * seconds
     drained_at = 0.0
     sending = asyncio.ensure_future(load.open_loop(steady(rate, seconds)))
@@ -114,7 +120,7 @@
 
 
 def _route_table(rows: Mapping[str, OutcomeCounts]) -> Table:
-    """Return what became of the requests of each route."""
+    """Return a table of the outcomes and latencies of each route's requests."""
     table = Table(*ROUTE_COLUMNS)
     for name, row in rows.items():
         counts = (
@@ -135,7 +141,10 @@
 
 
 def _host_table(testbed: Environment, drained_at: float) -> Table:
-    """Return what each host received, and what the drained one did after its drain."""
+    """Return a table of the requests that each host received.
+
+    For the drained host it also counts those received later than `DRAIN_GRACE_S` after the drain.
+    """
     table = Table(*HOST_COLUMNS)
     for number, host in enumerate(testbed.hosts):
         after_drain = ""
--- a/quillroad/cli/exit_status.py
+++ b/quillroad/cli/exit_status.py
@@ -1,4 +1,4 @@
-"""The statuses that commands exit with, which scripts of operators go by."""
+"""Exit statuses of the commands. Operators' scripts depend on the numbers."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 
 
 class ExitStatus(IntEnum):
-    """What a command's exit status says."""
+    """Exit status of a command."""
 
     OK = 0
     FAILED = 1
-    """A report cannot be read, the gateway refused, or the demo broke a rule."""
+    """A report could not be read, the gateway answered with an error or not at all, or the testbed
+    of the demo found a violation."""
     BAD_INPUT = 2
-    """A configuration or a command line that cannot work."""
+    """Invalid configuration file or command line."""
     DIFFERING = 3
-    """Gateways see each other differently, or one of them is not sound."""
+    """The views of gateways differ, or a gateway reports that it is not healthy."""
     INTERRUPTED = 130
-    """By Ctrl-C, as shells report it (128 + SIGINT)."""
+    """Ended by Ctrl-C: 128 + SIGINT, as shells report it."""
--- a/quillroad/cli/fleet.py
+++ b/quillroad/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`quillroad fleet REPORT...`: who sees whom, from the views that gateways write."""
+"""`quillroad fleet REPORT...`: compares the membership views in the reports of gateways."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from quillroad.membership.member_table import MemberState
 from quillroad.membership.report import Report, read_report
 
-STALE_S = 10.0  # after which a report says nothing of the present
-MIN_WIDTH = 110  # columns, so that the table does not wrap where the output is no terminal
+STALE_AGE_S = 10.0  # age from which a report is shown as outdated
+MIN_WIDTH_COLUMNS = 110  # the table would wrap at the 80 columns assumed without a terminal
 SIGNS = {
     MemberState.ALIVE.reported_name: "+",
     MemberState.SUSPECT.reported_name: "?",
@@ -65,7 +65,7 @@
 
 
 def _read_all(paths: Sequence[Path]) -> list[Report]:
-    """Return the reports that can be read, by number; say of the others why not."""
+    """Return the readable reports, sorted by member number; print an error for each other one."""
     views: list[Report] = []
     for path in paths:
         try:
@@ -78,19 +78,20 @@
 
 
 def _print_tables(views: list[Report], differences: dict[int, dict[str, list[int]]]) -> None:
-    console = Console(width=max(MIN_WIDTH, Console().width))
+    console = Console(width=max(MIN_WIDTH_COLUMNS, Console().width))
     console.print(view_table(views, time.time()))
     for number, by_state in differences.items():
-        said = "; ".join(
+        states = "; ".join(
             f"{', '.join(map(str, observers))}: {state}" for state, observers in by_state.items()
         )
-        console.print(f"gateway {number} by what each holds of it: {said}")
+        console.print(f"gateway {number} by what each holds of it: {states}")
 
 
 def differing(views: list[Report]) -> dict[int, dict[str, list[int]]]:
-    """Return each member on which two views differ: by state, the numbers of who sees it so.
+    """Return the members on whose state the views differ.
 
-    A gateway sees itself as alive.
+    Maps the number of each such member to its states, and each state to the numbers of the gateways
+    that report it. A gateway counts as reporting itself alive.
     """
     observers: dict[int, dict[str, list[int]]] = {}
     alive = MemberState.ALIVE.reported_name
@@ -103,7 +104,11 @@
 
 
 def view_table(views: list[Report], now: float) -> Table:
-    """Return a line for each gateway, with a sign for each other one by number."""
+    """Return a table with a row for each gateway.
+
+    One column has a sign for each member, in the order of their numbers (see `CAPTION`).
+    `now` is in seconds since 1970.
+    """
     table = Table(*COLUMNS, caption=CAPTION)
     for view in views:
         table.add_row(*_row(view, now))
@@ -114,7 +119,7 @@
     signs = {line.number: SIGNS[line.standing] for line in view.members}
     signs[view.number] = OWN_SIGN
     alive = MemberState.ALIVE.reported_name
-    silent_s = [
+    heard_ago_s = [
         line.heard_s for line in view.members if line.standing == alive and line.heard_s >= 0
     ]
     index, count = view.part
@@ -127,7 +132,7 @@
         f"{count} (place {index})" if view.used else "the told number",
         f"{view.settled_s:.1f} s" if view.settled_s >= 0 else "no",
         "".join(signs[number] for number in sorted(signs)),
-        f"{max(silent_s):.1f} s" if silent_s else "",
+        f"{max(heard_ago_s):.1f} s" if heard_ago_s else "",
         str(sum(view.dropped.values())),
-        f"{age_s:.0f} s old" if age_s > STALE_S else "now",
+        f"{age_s:.0f} s old" if age_s > STALE_AGE_S else "now",
     ]
--- a/quillroad/cli/main.py
+++ b/quillroad/cli/main.py
@@ -1,4 +1,4 @@
-"""`python -m quillroad [--config FILE] [COMMAND]`."""
+"""The command group: `python -m quillroad [--config FILE] [COMMAND]`."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def _file_option(option: str, variable: str, help_text: str) -> Callable[[Command], Command]:
-    """Return an option that names a file, and the environment variable that stands in for it."""
+    """Return an option for a file path that defaults to the environment variable `variable`."""
     return click.option(option, type=click.Path(path_type=Path), envvar=variable, help=help_text)
 
 
@@ -47,7 +47,7 @@
     zones: Path | None,
     fleet: Path | None,
 ) -> None:
-    """Run a gateway where no command is given; a command runs in place of it."""
+    """Run a gateway if no command is given; otherwise click runs the command."""
     if context.invoked_subcommand is None:
         if config is None:
             raise click.UsageError("--config or a command is needed")
@@ -59,9 +59,9 @@
 
 
 def main() -> int:
-    """Run the command line; return the status to exit with.
+    """Run the command line; return the exit status.
 
-    It is 2 for a configuration or a command line that cannot work.
+    The status is 2 for an invalid configuration file or command line.
     """
     try:
         result = commands.main(prog_name="quillroad", standalone_mode=False)
--- a/quillroad/cli/run.py
+++ b/quillroad/cli/run.py
@@ -1,4 +1,4 @@
-"""Runs a gateway by a file."""
+"""Runs a gateway that is configured by a file."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 def run_file(
     path: Path, upgrades: Path | None = None, zones: Path | None = None, fleet: Path | None = None
 ) -> int:
-    """Run one gateway from its start to its end; return the status to exit with.
+    """Run a gateway until it ends; return the exit status.
 
-    SIGHUP reads the file again. `upgrades`, `zones` and `fleet` are the files that turn on upgrades
-    without loss, the cross-zone budget and the membership of gateways (None: off).
+    SIGHUP reloads the file. `upgrades`, `zones` and `fleet` are the settings files that turn on
+    upgrades without loss of requests, the cross-zone budget and the membership of gateways. Where
+    one is None, its environment variable counts (see `quillroad.start`).
     """
-    read = partial(load_file, path)
-    return start(read, read, upgrades, zones, fleet, ["--config", str(path)])
+    load_config = partial(load_file, path)
+    return start(load_config, load_config, upgrades, zones, fleet, ["--config", str(path)])
--- a/quillroad/cli/upgrade.py
+++ b/quillroad/cli/upgrade.py
@@ -1,7 +1,7 @@
-"""`quillroad upgrade`, `rollback` and `status`: one command line to the gateway's control socket.
+"""`quillroad upgrade`, `rollback` and `status`: send a command to the gateway's control socket.
 
-The file that turns upgrades on names the socket. A command is one line of text; the gateway answers
-with lines, and closes the connection after the last.
+The upgrades file has the path of the socket. A command is one line of text. The gateway answers
+with lines of text and closes the connection after the last one.
 """
 
 from __future__ import annotations
@@ -17,18 +17,19 @@
 from quillroad.upgrade.settings import load_upgrades
 
 ANSWER_TIMEOUT_S = 4200.0
-"""Seconds between two parts of the answer: above the longest time that a file can set for one step
-of an upgrade (an hour, `canary.time`)."""
-CHUNK_BYTES = 4096
-"""Of the answer, read at once: some lines."""
+"""Timeout of each receive. It exceeds the longest step of an upgrade that a file can set: one hour,
+for `canary.time`."""
+RECEIVE_BYTES = 4096
+"""Size of one receive: a few lines of the answer."""
 DESCRIPTOR_LIMIT = 1 << 20
-"""Above any process's limit of descriptors: the file is read for its socket, not to serve by."""
+"""Stands in for the gateway's limit of descriptors and is above that of any process: only the path
+of the socket is needed here, so `limits.first_descriptors` must not be rejected."""
 
 
-def say(control: Path, command: str) -> int:
-    """Send a command to the socket `control` and print the answer; return the status to exit with.
+def send_command(control: Path, command: str) -> int:
+    """Send a command to the socket `control` and print the answer; return the exit status.
 
-    It is 0 only where the last line of the answer is no error.
+    The status is 0 only if there is an answer and its last line does not start with "error".
     """
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(ANSWER_TIMEOUT_S)
@@ -46,22 +47,22 @@
 
 
 def _print_answer(sock: socket.socket) -> str:
-    """Print what comes as it comes, until the gateway closes; return all of it."""
+    """Print the answer while it arrives, until the gateway closes the connection; return it."""
     answer = ""
-    while data := sock.recv(CHUNK_BYTES):
+    while data := sock.recv(RECEIVE_BYTES):
         print(data.decode(), end="", flush=True)
         answer += data.decode()
     return answer
 
 
-def _say_by_file(upgrades: Path, name: str, command: str) -> int:
-    """Send a command to the gateway `name` whose socket the file `upgrades` names."""
+def _send_command_by_file(upgrades: Path, name: str, command: str) -> int:
+    """Send a command to the gateway `name`; the file `upgrades` has the path of its socket."""
     try:
         settings = load_upgrades(upgrades, DESCRIPTOR_LIMIT, name)
     except ConfigError as error:
         print(f"quillroad: {error}", file=sys.stderr)
         return ExitStatus.BAD_INPUT
-    return say(settings.control, command)
+    return send_command(settings.control, command)
 
 
 _upgrades_option = click.option(
@@ -83,7 +84,7 @@
 @click.option("--check", is_flag=True, help="only start it, let it prove itself, and end it again")
 def upgrade(upgrades: Path, name: str, check: bool) -> int:
     """Start the build that is on the disk now and let it take over; wait until it holds."""
-    return _say_by_file(upgrades, name, "check" if check else "upgrade")
+    return _send_command_by_file(upgrades, name, "check" if check else "upgrade")
 
 
 @click.command()
@@ -91,7 +92,7 @@
 @_name_option
 def rollback(upgrades: Path, name: str) -> int:
     """Give up an upgrade on its way, or go back while the process before stands by."""
-    return _say_by_file(upgrades, name, "rollback")
+    return _send_command_by_file(upgrades, name, "rollback")
 
 
 @click.command()
@@ -99,4 +100,4 @@
 @_name_option
 def status(upgrades: Path, name: str) -> int:
     """Who serves, who stands by, and what became of the last upgrade."""
-    return _say_by_file(upgrades, name, "status")
+    return _send_command_by_file(upgrades, name, "status")
--- a/quillroad/cli/zones.py
+++ b/quillroad/cli/zones.py
@@ -1,4 +1,4 @@
-"""`quillroad zones REPORT`: what crosses zones, from the report that a gateway writes."""
+"""`quillroad zones REPORT`: shows the cross-zone traffic in a gateway's report."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from quillroad.cli.exit_status import ExitStatus
 from quillroad.zones.report import MINUTES, Report, RouteLine, ZoneLine, read_report
 
-STALE_S = 10.0
-"""Age in seconds from which a report says nothing of the present: ten times the usual interval."""
-MIN_WIDTH = 110
-"""Columns, so that the tables do not wrap where the output is no terminal."""
+STALE_AGE_S = 10.0
+"""Age from which a report is shown as outdated: ten times the default interval of writing it."""
+MIN_WIDTH_COLUMNS = 110
+"""The tables would wrap at the 80 columns assumed without a terminal."""
 WATCH_INTERVAL_S = 1.0
-"""Between two looks at the file: as often as it is written by default."""
+"""Interval of reading the file: the default interval at which the gateway writes it."""
 REASONS = ("spill", "lost", "copy", "bound")
 ROUTE_COLUMNS = (
     "class",
@@ -55,7 +55,7 @@
 )
 def zones(report: Path, watch: bool, minutes: int) -> int:
     """What left the zone by class, and why, from the REPORT file of a gateway."""
-    console = Console(width=max(MIN_WIDTH, Console().width))
+    console = Console(width=max(MIN_WIDTH_COLUMNS, Console().width))
     try:
         if watch:
             _watch(console, report, minutes)
@@ -72,7 +72,7 @@
 
 
 def _watch(console: Console, file: Path, minutes: int) -> None:
-    """Show the report again and again; ends by an exception only."""
+    """Show the report every `WATCH_INTERVAL_S` until an exception ends the loop."""
     with Live(console=console) as live:
         while True:
             report = read_report(file.read_bytes())
@@ -81,18 +81,19 @@
 
 
 def render(report: Report, minutes: int, now: float) -> list[Table | str]:
-    """Return the report as tables, its state first, as of `now` (seconds since 1970).
+    """Return the state of the budget in one line, then the report as tables.
 
-    With `minutes` there is a table of so many of the last minutes, too.
+    `now` is in seconds since 1970. If `minutes` is not 0, the last table has the last `minutes`
+    minutes.
     """
-    parts: list[Table | str] = [
+    output: list[Table | str] = [
         _state_line(report, now),
         _route_table(report),
         _zone_table(report),
     ]
     if minutes:
-        parts.append(_minute_table(report, minutes))
-    return parts
+        output.append(_minute_table(report, minutes))
+    return output
 
 
 def _state_line(report: Report, now: float) -> str:
@@ -104,13 +105,13 @@
     if report.is_over_budget:
         line += ", crossings go PAST it"
     age_s = now - report.at
-    if age_s > STALE_S:
+    if age_s > STALE_AGE_S:
         line += f"; this is {age_s:.0f} s old"
     return line
 
 
 def _route_table(report: Report) -> Table:
-    """Return what each route sent to other zones, and why."""
+    """Return a table of the attempts that each route sent to other zones, by reason."""
     table = Table(*ROUTE_COLUMNS)
     for route, allowed_in_s in zip(report.classes, report.allowed_in_s, strict=True):
         table.add_row(*_route_row(route, allowed_in_s))
@@ -130,14 +131,14 @@
 
 
 def _duration(seconds: float) -> str:
-    """Return a time to come for people; the report has a negative one for never."""
+    """Return a time until an event as text; the report has a negative number for never."""
     if seconds < 0:
         return "never"
     return f"{seconds:.1f} s" if seconds else "now"
 
 
 def _zone_table(report: Report) -> Table:
-    """Return what became of the attempts of each route at each zone."""
+    """Return a table of the outcomes of the attempts of each route at each zone."""
     table = Table(*ZONE_COLUMNS)
     for route in report.classes:
         for zone in route.zones:
@@ -162,7 +163,7 @@
 
 
 def _minute_table(report: Report, minutes: int) -> Table:
-    """Return the last `minutes` minutes, a line each, in local time."""
+    """Return a table with a row for each of the last `minutes` minutes, in local time."""
     table = Table(
         "minute", *(f"{route.name}: crossed / past / refused" for route in report.classes)
     )
--- a/quillroad/start.py
+++ b/quillroad/start.py
@@ -1,4 +1,4 @@
-"""Which kind of process this is: a gateway, a supervisor of upgrades, or one of its workers."""
+"""Starts the process in its role: gateway, supervisor of upgrades, or worker of a supervisor."""
 
 from __future__ import annotations
 
@@ -11,64 +11,67 @@
 from quillroad.config import Config, ConfigError
 from quillroad.run import EXIT_BAD_CONFIGURATION, run
 
-# Environment variables that name the files of optional parts; workers inherit them.
+# Environment variables with the paths of the optional parts' settings files. A supervisor's workers
+# inherit them.
 ZONES_VARIABLE = "QUILLROAD_ZONES"
 FLEET_VARIABLE = "QUILLROAD_FLEET"
 UPGRADES_VARIABLE = "QUILLROAD_UPGRADES"
-# Set by a supervisor for its workers: the descriptor of the socket between them.
-WORKER_VARIABLE = "QUILLROAD_SEAT"
+# Number of the file descriptor of the socket to the supervisor, which sets it for its workers.
+SUPERVISOR_SOCKET_VARIABLE = "QUILLROAD_SEAT"
 
 
 def start(
-    first: Callable[[], Config],
-    again: Callable[[], Config],
+    load_config: Callable[[], Config],
+    reload_config: Callable[[], Config],
     upgrades: Path | None = None,
     zones: Path | None = None,
     fleet: Path | None = None,
     arguments: Sequence[str] = (),
 ) -> int:
-    """Run to the end; returns the status to exit with.
+    """Run the process in its role until it ends; return the exit status.
 
-    `first` reads the configuration for the start, `again` for a reload. Upgrades are on where
-    `upgrades` or QUILLROAD_UPGRADES names their file, the budget for other zones where `zones` or
-    QUILLROAD_ZONES does, the membership of gateways where `fleet` or QUILLROAD_FLEET does; only
-    then is any of it imported. `arguments` are those with which workers are started.
+    `load_config` reads the configuration at the start, `reload_config` at each reload. Three
+    optional parts are off unless a parameter or an environment variable names their settings file:
+    upgrades (`upgrades`, QUILLROAD_UPGRADES), the cross-zone budget (`zones`, QUILLROAD_ZONES) and
+    the membership of gateways (`fleet`, QUILLROAD_FLEET). Their code is imported only if they are
+    on.
+    `arguments` is the command line with which a supervisor starts its workers.
     """
     if zones is not None:
         os.environ[ZONES_VARIABLE] = str(zones)
     if fleet is not None:
         os.environ[FLEET_VARIABLE] = str(fleet)
-    named_zones = os.environ.get(ZONES_VARIABLE)
-    zones_file = Path(named_zones) if named_zones else None
-    if os.environ.get(WORKER_VARIABLE):
-        from quillroad.upgrade.worker import run as run_worker  # noqa: PLC0415 - off: not imported
+    zones_path = os.environ.get(ZONES_VARIABLE)
+    zones_file = Path(zones_path) if zones_path else None
+    if os.environ.get(SUPERVISOR_SOCKET_VARIABLE):
+        from quillroad.upgrade.worker import run as run_worker  # noqa: PLC0415 - imported by workers only
 
-        return run_worker(first, again, zones_file)
+        return run_worker(load_config, reload_config, zones_file)
     upgrades_file = upgrades or os.environ.get(UPGRADES_VARIABLE)
     if upgrades_file:
-        from quillroad.upgrade.process import (  # noqa: PLC0415 - off: not imported
+        from quillroad.upgrade.process import (  # noqa: PLC0415 - only if upgrades are on
             run as run_supervisor,
         )
 
-        return run_supervisor(first, Path(upgrades_file), arguments)
-    return _run_gateway(first, again, zones_file)
+        return run_supervisor(load_config, Path(upgrades_file), arguments)
+    return _run_gateway(load_config, reload_config, zones_file)
 
 
 def _run_gateway(
-    first: Callable[[], Config], again: Callable[[], Config], zones_file: Path | None
+    load_config: Callable[[], Config], reload_config: Callable[[], Config], zones_file: Path | None
 ) -> int:
-    """Run a gateway that no supervisor watches; returns the status to exit with."""
-    # Until there is a gateway that can reload, SIGHUP would end the process.
+    """Run a gateway without a supervisor; return the exit status."""
+    # The default action of SIGHUP would end the process before the gateway handles it as a reload.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        config = first()
+        config = load_config()
     except ConfigError as error:
         print(f"quillroad: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
-    if config.admin is not None:  # operators may start the next process beside this one
-        from quillroad.upgrade.sibling_process import (  # noqa: PLC0415 - off: not imported
+    if config.admin is not None:  # operators can start a sibling process to replace this one
+        from quillroad.upgrade.sibling_process import (  # noqa: PLC0415 - only with an admin listener
             run as run_sibling,
         )
 
-        return run_sibling(config, again, zones_file)
-    return run(config, again, zones_file)
+        return run_sibling(config, reload_config, zones_file)
+    return run(config, reload_config, zones_file)
--- a/tests/cli/test_upgrade.py
+++ b/tests/cli/test_upgrade.py
@@ -1,4 +1,4 @@
-"""`quillroad upgrade`, `rollback` and `status`: what an answer means for the exit status."""
+"""Tests of `quillroad upgrade`, `rollback` and `status`: the exit status for each answer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from quillroad.cli.exit_status import ExitStatus
-from quillroad.cli.upgrade import say
+from quillroad.cli.upgrade import send_command
 
 
 @pytest.mark.parametrize(
@@ -21,10 +21,10 @@
         (b"", ExitStatus.FAILED),
     ],
 )
-def test_the_last_line_of_the_answer_decides(
+def test_exit_status_follows_the_last_line_of_the_answer(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], answer: bytes, status: ExitStatus
 ) -> None:
-    """A gateway may end in the middle of an upgrade: no answer at all is a failure, too."""
+    """A gateway can end during an upgrade, so an empty answer must count as a failure, too."""
     control = tmp_path / "control"
     received: list[bytes] = []
     with socket.socket(socket.AF_UNIX) as listener:
@@ -39,16 +39,16 @@
 
         gateway = threading.Thread(target=serve)
         gateway.start()
-        assert say(control, "upgrade") == status
+        assert send_command(control, "upgrade") == status
         gateway.join()
     assert received == [b"upgrade\n"]
     assert capsys.readouterr().out == answer.decode()
 
 
-def test_no_gateway_at_the_socket_is_one_line(
+def test_missing_socket_prints_one_error_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     control = tmp_path / "control"
-    assert say(control, "status") == ExitStatus.FAILED
-    said = capsys.readouterr().err
-    assert said == f"quillroad: no gateway at {control}: No such file or directory\n"
+    assert send_command(control, "status") == ExitStatus.FAILED
+    error_output = capsys.readouterr().err
+    assert error_output == f"quillroad: no gateway at {control}: No such file or directory\n"
