--- a/quillroad/cli/demo.py
+++ b/quillroad/cli/demo.py
@@ -80,18 +80,18 @@
             testbed.hosts[HANGING_HOST].hangs = True
             load = testbed.load(weights=ROUTE_SHARES)
             drained_at = await _send(console, testbed, load, seconds, rate)
-            violations = testbed.violations(load)
+            violation_lines = testbed.violations(load)
             console.print(
                 _route_table(count_outcomes(load.records, ROUTES)), _host_table(testbed, drained_at)
             )
-            return _print_result(console, violations)
+            return _print_result(console, violation_lines)
 
 
-def _print_result(console: Console, violations: Sequence[str]) -> int:
+def _print_result(console: Console, violation_lines: Sequence[str]) -> int:
     """Print whether there were violations, and the first ones; return the exit status."""
-    for line in violations[:MAX_PRINTED_VIOLATIONS]:
+    for line in violation_lines[:MAX_PRINTED_VIOLATIONS]:
         console.print(f"broken: {line}")
-    if violations:
+    if violation_lines:
         console.print("a rule was broken")
         return ExitStatus.FAILED
     console.print("every request accounted for, no rule broken")
