--- a/quillroad/config/__init__.py
+++ b/quillroad/config/__init__.py
@@ -1,7 +1,8 @@
-"""What a gateway is told, as typed values.
+"""A gateway's configuration as typed values.
 
-`model` has the values, `platform` the platform's form, `file` the form that people write, which
-needs more libraries and is imported only where a file is read.
+`model` defines the values, `platform` reads the platform's environment variables and JSON file,
+`file` reads the TOML file that operators write. `file` needs `msgspec`, which the other two do not,
+and is therefore imported only where a TOML file is read.
 """
 
 from quillroad.config.model import (
--- a/quillroad/config/duration.py
+++ b/quillroad/config/duration.py
@@ -1,4 +1,4 @@
-"""Durations as people write them, such as `580 ms` or `1.4 s`."""
+"""Parse durations of configuration files, such as `580 ms` or `1.4 s`."""
 
 from __future__ import annotations
 
@@ -6,21 +6,24 @@
 
 from quillroad.config.model import ConfigError
 
-MICROSECONDS = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000}  # in one of each unit
+MICROSECONDS_BY_UNIT = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000}
 DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?) ?(us|ms|s|min)")
 
 
 def microseconds(text: str, field: str) -> int:
-    """A duration in whole microseconds. Raises `ConfigError` that names the field."""
-    found = DURATION.fullmatch(text)
-    if found is None:
+    """Return a duration in whole microseconds. Raises `ConfigError` with the field's name."""
+    match = DURATION.fullmatch(text)
+    if match is None:
         raise ConfigError(f"{field}: needs a duration such as '580 ms', not {text!r}")
-    return round(float(found[1]) * MICROSECONDS[found[2]])
+    return round(float(match[1]) * MICROSECONDS_BY_UNIT[match[2]])
 
 
-def within(text: str, field: str, least_s: float, most_s: float) -> float:
-    """A duration in seconds, within bounds. Raises `ConfigError` that names the field."""
+def within(text: str, field: str, min_s: float, max_s: float) -> float:
+    """Return a duration in seconds, which must lie from `min_s` to `max_s`.
+
+    Raises `ConfigError` with the field's name if it does not, or if the text is no duration.
+    """
     seconds = microseconds(text, field) / 1e6
-    if not least_s <= seconds <= most_s:
-        raise ConfigError(f"{field}: needs a time from {least_s:g} s to {most_s:g} s, not {text!r}")
+    if not min_s <= seconds <= max_s:
+        raise ConfigError(f"{field}: needs a time from {min_s:g} s to {max_s:g} s, not {text!r}")
     return seconds
--- a/quillroad/config/file.py
+++ b/quillroad/config/file.py
@@ -1,8 +1,8 @@
-"""The configuration that people write: one TOML file, checked whole, as the same typed values.
+"""Read the TOML configuration file that operators write and check all of it.
 
-Needs `msgspec`, which the platform's own form does not: imported only where a file is read. Every
-error is one line that names the field, the value and what was wanted. `file_schema` has the fields,
-`deploy/quillroad.toml` explains each.
+Needs `msgspec`, which the platform's JSON form does not: imported only where a file is read. Every
+error is one line that names the field, the value found and the expected form. `file_schema` defines
+the fields, `deploy/quillroad.toml` explains each.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
     ConfigurationFile,
     ConsulSection,
     Duration,
-    GatewaysSection,
     HostSection,
     HostsSection,
+    PeersSection,
     RegisterSection,
     SlowStartSection,
 )
@@ -41,16 +41,15 @@
 
 
 def load_file(path: Path) -> Config:
-    """The configuration in a file. Raises `ConfigError` where it cannot work."""
+    """Return the configuration in a file. Raises `ConfigError` if it is invalid."""
     return _config(read_toml(path, ConfigurationFile))
 
 
 def output_file(text: str, field: str, name: str) -> Path | None:
-    """Where a gateway of this name writes what `text` says, with {name} for its name; None.
+    """Return the path of an output file: `text` with `{name}` replaced by the gateway's name.
 
-    Nowhere.
-
-    Raises `ConfigError` where there is no such folder.
+    Returns None for an empty text: no file is written. Raises `ConfigError` if the folder does not
+    exist, or if the name contains a slash and would lead to another folder.
     """
     if not text:
         return None
@@ -61,12 +60,12 @@
 
 
 def _config(file: ConfigurationFile) -> Config:
-    _require_distinct([one.name for one in file.classes], "classes")
-    _require_distinct([one.name for one in file.tenants], "tenants")
+    _require_unique([class_section.name for class_section in file.classes], "classes")
+    _require_unique([tenant_section.name for tenant_section in file.tenants], "tenants")
     zones = _zones(file)
     _check_peers(file.peers)
     window_us = _overload_window_us(file.starts)
-    connect_s, idle_s = _connection_times(file)
+    connect_s, idle_s = _connection_timeouts(file)
     settings = _settings(file, zones, window_us)
     gateway = file.gateway
     return Config(
@@ -83,15 +82,15 @@
         zones=zones,
         connect_timeout_s=connect_s,
         idle_s=idle_s,
-        hosts=_source(file.hosts),
-        register=_register(file.register),
-        admin=_address(gateway.admin, "gateway.admin") if gateway.admin else None,
+        hosts=_host_source(file.hosts),
+        register=_registration(file.register),
+        admin=_address_with_port(gateway.admin, "gateway.admin") if gateway.admin else None,
         longest_body=LONG_BODY if gateway.admin else SHORT_BODY,
     )
 
 
 def _zones(file: ConfigurationFile) -> tuple[str, ...]:
-    """All zones that the file names, each once, in their order."""
+    """Return all zones that the file names, each once, in order of first occurrence."""
     hosts = file.hosts
     of_hosts = (host.zone for host in hosts.static if host.zone)
     zones = tuple(dict.fromkeys([*hosts.zones, *of_hosts]))
@@ -105,7 +104,7 @@
     return tuple(dict.fromkeys([*hosts.machine_types, *of_hosts]))
 
 
-def _check_peers(peers: GatewaysSection) -> None:
+def _check_peers(peers: PeersSection) -> None:
     if peers.number >= peers.gateways:
         raise ConfigError(f"peers.number: needs a number below peers.gateways, not {peers.number}")
 
@@ -121,7 +120,9 @@
     peers, attempts, starts = file.peers, file.tries, file.starts
     retry_after_us = microseconds(attempts.retry_after, "tries.retry_after")
     return Settings(
-        routes=tuple(_route(one, f"classes[{i}]") for i, one in enumerate(file.classes)),
+        routes=tuple(
+            _route(class_section, f"classes[{i}]") for i, class_section in enumerate(file.classes)
+        ),
         gateway_count=peers.gateways,
         gateway_index=peers.number,
         zone=zones.index(file.gateway.zone) if file.gateway.zone else 0,
@@ -140,8 +141,8 @@
     )
 
 
-def _connection_times(file: ConfigurationFile) -> tuple[float, float]:
-    """For a connect and idle, in seconds."""
+def _connection_timeouts(file: ConfigurationFile) -> tuple[float, float]:
+    """Return the connect timeout and the idle timeout, in seconds."""
     connect_s = microseconds(file.connections.connect, "connections.connect") / 1e6
     idle_s = microseconds(file.connections.idle, "connections.idle") / 1e6
     if not connect_s or not idle_s:
@@ -175,11 +176,11 @@
     )
 
 
-def _source(hosts: HostsSection) -> StaticHosts | ConsulHosts:
+def _host_source(hosts: HostsSection) -> StaticHosts | ConsulHosts:
     if hosts.source == "static":
         if not hosts.static:
             raise ConfigError("hosts.static: needs at least one host")
-        _require_distinct([host.id for host in hosts.static], "hosts.static")
+        _require_unique([host.id for host in hosts.static], "hosts.static")
         return StaticHosts(
             tuple(_static_host(host, f"hosts.static[{i}]") for i, host in enumerate(hosts.static))
         )
@@ -191,7 +192,7 @@
 def _static_host(host: HostSection, field: str) -> StaticHost:
     return StaticHost(
         host.id,
-        _address(host.address, f"{field}.address"),
+        _address_with_port(host.address, f"{field}.address"),
         host.zone,
         host.machine_type,
         host.cell,
@@ -201,11 +202,12 @@
 
 
 def _consul_hosts(consul: ConsulSection) -> ConsulHosts:
-    _require_distinct(consul.agents, "hosts.consul.agents")
+    _require_unique(consul.agents, "hosts.consul.agents")
     meta = consul.meta
     return ConsulHosts(
         agents=tuple(
-            _address(agent, f"hosts.consul.agents[{i}]") for i, agent in enumerate(consul.agents)
+            _address_with_port(agent, f"hosts.consul.agents[{i}]")
+            for i, agent in enumerate(consul.agents)
         ),
         service=consul.service,
         tag=consul.tag,
@@ -221,11 +223,11 @@
     )
 
 
-def _register(register: RegisterSection | None) -> Register | None:
+def _registration(register: RegisterSection | None) -> Register | None:
     if register is None:
         return None
     return Register(
-        _address(register.agent, "register.agent"),
+        _address_with_port(register.agent, "register.agent"),
         register.service,
         register.id,
         within(register.ttl, "register.ttl", 0.5, 3600.0),
@@ -233,14 +235,14 @@
     )
 
 
-def _address(text: str, field: str) -> Address:
+def _address_with_port(text: str, field: str) -> Address:
     host, port = read_address(text, field)
     if port == 0:
         raise ConfigError(f"{field}: needs a port above 0, not {text!r}")
     return host, port
 
 
-def _require_distinct(names: Sequence[str], field: str) -> None:
+def _require_unique(names: Sequence[str], field: str) -> None:
     for name in names:
         if names.count(name) > 1:
             raise ConfigError(f"{field}: {name!r} is there twice")
--- a/quillroad/config/file_schema.py
+++ b/quillroad/config/file_schema.py
@@ -1,6 +1,6 @@
-"""The fields of the configuration file that people write, with their forms and defaults.
+"""Fields of the configuration file that operators write, with their types and defaults.
 
-`deploy/quillroad.toml` explains each field; the names here are those of the file. Needs `msgspec`.
+Field names are those of the file; `deploy/quillroad.toml` explains each field. Needs `msgspec`.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 Duration = Annotated[str, Meta(pattern=f"^{DURATION.pattern}$")]
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
 Fraction = Annotated[float, Meta(gt=0, le=1)]
-Amount = Annotated[float, Meta(ge=0)]
+NonNegative = Annotated[float, Meta(ge=0)]
 
 
 class GatewaySection(Struct, forbid_unknown_fields=True):
-    """`[gateway]`: who this gateway is."""
+    """`[gateway]`: name, addresses, zone and seed of this gateway."""
 
     listen: Name
     name: Name = "gateway"
@@ -30,20 +30,20 @@
 
 
 class LimitsSection(Struct, forbid_unknown_fields=True):
-    """`[limits]`: what the process may use."""
+    """`[limits]`: CPU and sockets that the process may use."""
 
     cores: Fraction = 1.0
     sockets: Annotated[int, Meta(ge=64, le=1_000_000)] = 1024
 
 
 class ClassSection(Struct, forbid_unknown_fields=True):
-    """`[[classes]]`: one class of requests."""
+    """`[[classes]]`: one class of requests, a route in the balancer's terms."""
 
     name: Name
     repeat: Literal["safe", "keyed", "unsafe"]
     deadline: Duration
     aim: Duration | None = None
-    worth: Amount = 1.0
+    worth: NonNegative = 1.0
     late_worth: Annotated[float, Meta(ge=0, le=1)] = 0.0
     remembers: Duration = "0 s"
     remembered_by: Literal["all", "zone", "cell"] = "all"
@@ -53,11 +53,11 @@
     """`[[tenants]]`: one tenant and its quota."""
 
     name: Name
-    per_second: Amount
+    per_second: NonNegative
 
 
 class AttemptsSection(Struct, forbid_unknown_fields=True):
-    """`[tries]`: retries, hedges and what rejected clients are told."""
+    """`[tries]`: retries, hedges and the Retry-After of rejected requests."""
 
     attempts: Annotated[int, Meta(ge=1, le=10)] = 3
     second_copies: bool = True
@@ -67,14 +67,14 @@
 
 
 class ConnectionsSection(Struct, forbid_unknown_fields=True):
-    """`[connections]`: connections to hosts."""
+    """`[connections]`: connect timeout and idle timeout of connections to hosts."""
 
     connect: Duration = "1 s"
     idle: Duration = "15 s"
 
 
 class SlowStartSection(Struct, forbid_unknown_fields=True):
-    """`[starts]`: how hosts warm up."""
+    """`[starts]`: slow start of hosts and overload detection."""
 
     cold: Duration = "0 s"
     cold_from: Fraction = 1.0
@@ -82,8 +82,8 @@
     fall_window: Duration = "1 s"
 
 
-class GatewaysSection(Struct, forbid_unknown_fields=True):
-    """`[peers]`: how many gateways there are, and which this is."""
+class PeersSection(Struct, forbid_unknown_fields=True):
+    """`[peers]`: number of gateways, and the index of this one."""
 
     gateways: Count = 1
     number: Annotated[int, Meta(ge=0)] = 0
@@ -102,7 +102,7 @@
 
 
 class ConsulMetadataSection(Struct, forbid_unknown_fields=True):
-    """`[hosts.consul.meta]`: keys of the service's metadata."""
+    """`[hosts.consul.meta]`: metadata keys of a host's zone, machine type, cell and start."""
 
     zone: str = "zone"
     machine_type: str = "machine-type"
@@ -111,7 +111,7 @@
 
 
 class ConsulSection(Struct, forbid_unknown_fields=True):
-    """`[hosts.consul]`: which service to watch at which agents."""
+    """`[hosts.consul]`: the service to watch and the Consul agents to query."""
 
     agents: Annotated[list[Name], Meta(min_length=1, max_length=16)]
     service: Name
@@ -128,7 +128,7 @@
 
 
 class HostsSection(Struct, forbid_unknown_fields=True):
-    """`[hosts]`: where the list of hosts comes from."""
+    """`[hosts]`: source of the list of hosts."""
 
     source: Literal["static", "consul"]
     static: list[HostSection] = []
@@ -138,7 +138,7 @@
 
 
 class RegisterSection(Struct, forbid_unknown_fields=True):
-    """`[register]`: the gateway's own entry in Consul."""
+    """`[register]`: registration of the gateway itself in Consul."""
 
     agent: Name
     service: Name
@@ -148,7 +148,7 @@
 
 
 class ConfigurationFile(Struct, forbid_unknown_fields=True):
-    """The whole file."""
+    """All sections of the configuration file."""
 
     gateway: GatewaySection
     classes: Annotated[list[ClassSection], Meta(min_length=1)]
@@ -158,5 +158,5 @@
     tries: AttemptsSection = msgspec.field(default_factory=AttemptsSection)
     connections: ConnectionsSection = msgspec.field(default_factory=ConnectionsSection)
     starts: SlowStartSection = msgspec.field(default_factory=SlowStartSection)
-    peers: GatewaysSection = msgspec.field(default_factory=GatewaysSection)
+    peers: PeersSection = msgspec.field(default_factory=PeersSection)
     register: RegisterSection | None = None
--- a/quillroad/config/model.py
+++ b/quillroad/config/model.py
@@ -1,4 +1,4 @@
-"""A gateway's configuration as typed values, whatever it was read from."""
+"""A gateway's configuration as typed values, independent of the form it was read from."""
 
 from __future__ import annotations
 
@@ -11,26 +11,31 @@
 
 Address = tuple[str, int]
 
-SHORT_BODY = 64 * 1024  # bytes of a body that is kept whole; longer ones are streamed if allowed
-LONG_BODY = 32 * 1024 * 1024  # bytes that the operators allow where they have an address
-BUFFERS = 24 * 1024 * 1024  # of long bodies, where nothing tells of memory
-# Descriptors for what is no connection. Counted: 15 of one process (standard streams, event loop
-# and its signals, listener, watch), besides those it was started with (`inherited_descriptors`);
-# the server's few beyond its places and an accept at hand fit in the rest. In an upgrade two
-# batches of connections are set apart, too.
+# Bodies of up to this many bytes are kept whole; longer ones are streamed if they are allowed.
+SHORT_BODY = 64 * 1024
+# Maximum size of a body in bytes where an admin address is configured; otherwise SHORT_BODY.
+LONG_BODY = 32 * 1024 * 1024
+# Memory for all long bodies at once: the maximum, and the default without a memory limit.
+MAX_BODY_BUDGET_BYTES = 24 * 1024 * 1024
+# Descriptors reserved for other purposes than connections. One process uses 15 (standard streams,
+# event loop and its signals, listener, watch of discovery), besides those that it inherited at its
+# start (`inherited_descriptors`). The rest is for the few connections that the server accepts
+# beyond its limit and for an accept in progress. During an upgrade, descriptors for two batches
+# of connections are reserved in addition.
 RESERVED = 24
 
 
 class ConfigError(Exception):
-    """The configuration cannot work; the text is one plain line that names the field."""
+    """The configuration is invalid; the message is one line that names the field."""
 
 
 class Descriptors:
-    """Counts the open sockets of both sides, of `limit` descriptors that the process may hold.
+    """Count of open sockets, to clients and to hosts, against the process's descriptor limit.
 
-    Without this the process runs into its limit, and an accept or a connect fails at a place that
-    can no longer answer anyone. A socket that is being closed counts until that is done, an
-    iteration of the event loop later.
+    `limit` is the number of descriptors that the process may have open. Without this count the
+    process would reach that limit, and an accept or a connect would fail where the gateway can no
+    longer answer the client. A socket that is being closed counts until the next iteration of the
+    event loop, which closes it.
     """
 
     def __init__(self, limit: int) -> None:
@@ -38,13 +43,13 @@
         self.used = 0
 
     def spare(self) -> int:
-        """How many more may be opened; below 0 after the limit was lowered."""
+        """Return how many more sockets may be opened; negative after the limit was lowered."""
         return self.limit - self.used
 
 
 @dataclass(frozen=True, slots=True)
 class StaticHost:
-    """One host that stands in a file."""
+    """One host of a static list; `kind` is its machine type."""
 
     id: str
     address: Address
@@ -57,16 +62,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StaticHosts:
-    """Hosts that stand in a file."""
+    """A static list of hosts, from the configuration file."""
 
     hosts: tuple[StaticHost, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ConsulHosts:
-    """Hosts that Consul knows; empty texts leave a parameter out.
+    """Hosts that are discovered with Consul.
 
-    `meta` are the keys of Service.Meta for zone, machine type, cell and start.
+    Parameters of the query that are empty strings are not sent. `meta` holds the keys of
+    Service.Meta for zone, machine type, cell and start time, in this order.
     """
 
     agents: tuple[Address, ...]
@@ -85,9 +91,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Register:
-    """How the gateway registers itself with Consul, at the agent that it runs beside.
+    """How the gateway registers itself with the Consul agent of its machine.
 
-    An empty `id` follows from the service's name and the gateway's.
+    An empty `id` is replaced by one that is made from the names of the service and the gateway.
     """
 
     agent: Address
@@ -99,9 +105,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Peers:
-    """Where this gateway hears others, and the address of each by its number, its own among them.
+    """Addresses for messages between gateways.
 
-    `everyone` is the one at which a datagram reaches all, if there is one.
+    `listen` is where this gateway receives them. `addresses` holds the address of each gateway by
+    its number, including this one. A datagram to `everyone` reaches all gateways; None: there is no
+    such address.
     """
 
     listen: Address
@@ -113,16 +121,17 @@
 class Config:
     """One gateway's configuration.
 
-    `tenants`, `machine_types` and `zones` are the names that the wire uses, in the order of the
-    settings; `known_hosts` is an endpoint list in the platform's form, empty where it gave none.
+    `tenants`, `machine_types` and `zones` are the names used on the wire, in the order of the
+    settings. `known_hosts` is an endpoint list in the platform's format, empty if the platform
+    gave none.
     """
 
     name: str
     listen: Address
-    discovery: Address | None  # the platform's; None where `hosts` says where they stand
+    discovery: Address | None  # of the platform; None: hosts come from `hosts`
     seed: int
     sockets: int
-    cores: float  # of CPU time a second that the platform allows
+    cores: float  # CPU limit of the process: CPU seconds per second, at most 1
     known_hosts: Mapping[str, Any]
     settings: Settings
     tenants: tuple[str, ...]
@@ -132,19 +141,22 @@
     idle_s: float
     hosts: StaticHosts | ConsulHosts | None = None
     register: Register | None = None
-    admin: Address | None = None  # where operators call; None: nowhere
-    longest_body: int = SHORT_BODY  # of requests and answers, in bytes, from SHORT_BODY on
-    body_budget_bytes: int = BUFFERS  # of long bodies that are in memory at once
-    peers: Peers | None = None  # None: the platform allows no talk between gateways
+    admin: Address | None = None  # listener for operators; None: no listener
+    longest_body: int = SHORT_BODY  # bytes of a request or response body, at least SHORT_BODY
+    body_budget_bytes: int = MAX_BODY_BUDGET_BYTES  # of long bodies in memory at once
+    peers: Peers | None = None  # None: the platform allows no messages between gateways
 
     @property
     def longest_deadline_s(self) -> float:
-        """Seconds for which any client waits at most; 0 without routes."""
+        """Longest deadline of all routes, in seconds; 0 without routes."""
         return max((route.deadline_us for route in self.settings.routes), default=0) / 1e6
 
 
 def read_address(text: Any, field: str) -> Address:
-    """An address such as `10.0.0.4:8000`. Raises `ConfigError` that names the field."""
+    """Return the host and port of an address such as `10.0.0.4:8000`.
+
+    Raises `ConfigError` with the field's name if the text is not of this form.
+    """
     host, colon, port = str(text).rpartition(":")
     if not (colon and host and port.isascii() and port.isdigit() and 0 <= int(port) < 65536):
         raise ConfigError(f"{field}: needs address:port, not {text!r}")
--- a/quillroad/config/platform.py
+++ b/quillroad/config/platform.py
@@ -1,6 +1,7 @@
-"""What the platform tells a gateway at its start and at a reload: `GW_*` and the JSON file.
+"""Read the platform's configuration at start and reload: `GW_*` variables and a JSON file.
 
-Everything is checked here, once, so that a gateway that came up misses no value later.
+All values are checked here, once, so that a gateway that has started cannot fail later because a
+value is missing.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 
 from quillroad.balancing.platform_settings import read_settings
 from quillroad.config.model import (
-    BUFFERS,
     LONG_BODY,
+    MAX_BODY_BUDGET_BYTES,
     SHORT_BODY,
     Config,
     ConfigError,
@@ -24,18 +25,21 @@
     read_address,
 )
 
-PROCESSES_MB = 48  # two processes without any body: 40 MB measured, and a reserve
+RESERVED_MEMORY_MB = 48  # two processes without request bodies use 40 MB; the rest is a margin
 DEFAULT_MEMORY_MB = 192
 DEFAULT_NAME = "gateway"
 DEFAULT_SOCKETS = 1024
 DEFAULT_CONNECT_TIMEOUT_US = 1_000_000
 DEFAULT_IDLE_US = 15_000_000
-# Fields of `Config` whose name in the log is another one, which operators know.
+# Log names of the `Config` fields that operators know under another name.
 LOGGED_NAMES = {"machine_types": "kinds", "body_budget_bytes": "buffers"}
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The configuration that the environment points at. Raises `ConfigError` if it cannot work."""
+    """Read the configuration file that `GW_CONFIG` names; other `GW_*` variables override it.
+
+    Raises `ConfigError` if a value is missing or invalid.
+    """
     data = _read_file(environment)
     service = _value(data, "settings", dict, "settings")
     admin = _setting(environment, "GW_ADMIN_ADDR", data, "admin_addr")
@@ -52,7 +56,7 @@
         listen=read_address(listen, "GW_LISTEN"),
         discovery=read_address(discovery, "GW_DISCOVERY"),
         seed=_seed(data.get("seed", 0)),
-        sockets=_above_zero(_limits(data), "sockets", "limits.sockets", DEFAULT_SOCKETS),
+        sockets=_positive_int(_limits(data), "sockets", "limits.sockets", DEFAULT_SOCKETS),
         cores=_cores(_limits(data)),
         known_hosts=_value(data, "known", dict, "known", {}),
         settings=settings,
@@ -69,20 +73,21 @@
 
 
 def reload(environment: Mapping[str, str]) -> Config:
-    """The file as it is now.
+    """Read the configuration again.
 
-    Its `discovery` counts, not the environment's, which is that of the start.
+    The file's `discovery` is used instead of GW_DISCOVERY, which is the address at the start of the
+    process. Raises `ConfigError` like `load`.
     """
     return load({name: value for name, value in environment.items() if name != "GW_DISCOVERY"})
 
 
 def changed_fields(old: Config, new: Config) -> list[str]:
-    """What differs and a reload does not take over, under the names of the log.
+    """Return the log names of the fields that differ and that a reload does not apply.
 
-    Seed and known list are for a start alone.
+    The seed and the list of known hosts are left out: they are used only at start.
     """
-    not_compared = {"discovery", "hosts", "known_hosts", "seed", "peers", "peers_all"}
-    names = [field.name for field in fields(Config) if field.name not in not_compared]
+    excluded = {"discovery", "hosts", "known_hosts", "seed", "peers", "peers_all"}
+    names = [field.name for field in fields(Config) if field.name not in excluded]
     changed = [name for name in names if getattr(old, name) != getattr(new, name)]
     return [LOGGED_NAMES.get(name, name) for name in changed]
 
@@ -105,30 +110,30 @@
 def _setting(
     environment: Mapping[str, str], variable: str, data: Mapping[str, Any], key: str
 ) -> Any:
-    """A value of the environment, else of the file; an empty one counts as none."""
+    """Return the environment variable, or the file's value if the variable is empty or not set."""
     return environment.get(variable) or data.get(key)
 
 
 def _value(
-    data: Mapping[str, Any], key: str, kind: type[Any], field: str, default: Any = None
+    data: Mapping[str, Any], key: str, expected_type: type[Any], field: str, default: Any = None
 ) -> Any:
     value = data.get(key)
     if value is None:
         value = default
     if value is None:
         raise ConfigError(f"{field}: missing")
-    if not isinstance(value, kind) or isinstance(value, bool):
-        raise ConfigError(f"{field}: needs {kind.__name__}, not {type(value).__name__}")
+    if not isinstance(value, expected_type) or isinstance(value, bool):
+        raise ConfigError(f"{field}: needs {expected_type.__name__}, not {type(value).__name__}")
     return value
 
 
 def _limits(data: Mapping[str, Any]) -> Mapping[str, Any]:
-    """The limits of the process, as against those that the settings have for the service."""
+    """Return the limits of the process, not those of the service (`settings.limits`)."""
     limits: Mapping[str, Any] = _value(data, "limits", dict, "limits", {})
     return limits
 
 
-def _above_zero(data: Mapping[str, Any], key: str, field: str, default: int) -> int:
+def _positive_int(data: Mapping[str, Any], key: str, field: str, default: int) -> int:
     value: int = _value(data, key, int, field, default)
     if value <= 0:
         raise ConfigError(f"{field}: must be above 0")
@@ -136,10 +141,10 @@
 
 
 def _seconds(limits: Mapping[str, Any], key: str, default_us: int) -> float:
-    return _above_zero(limits, key, f"settings.limits.{key}", default_us) / 1e6
+    return _positive_int(limits, key, f"settings.limits.{key}", default_us) / 1e6
 
 
-def _number_above_zero(limits: Mapping[str, Any], key: str, default: float) -> float:
+def _positive_number(limits: Mapping[str, Any], key: str, default: float) -> float:
     value = limits.get(key, default)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not 0 < value < math.inf:
@@ -148,17 +153,19 @@
 
 
 def _cores(limits: Mapping[str, Any]) -> float:
-    return min(1.0, _number_above_zero(limits, "cores", 1.0))  # the event loop is one thread
+    return min(1.0, _positive_number(limits, "cores", 1.0))  # the event loop is one thread
 
 
 def _body_budget_bytes(limits: Mapping[str, Any]) -> int:
-    """Bytes for long bodies, of the memory that the platform allows.
+    """Return the memory for long bodies in bytes, from the memory limit of the platform.
 
-    The process itself, idle connections and a second process during an upgrade take their part
-    first.
+    Memory for the process itself, for idle connections and for a second process during an upgrade
+    is subtracted first.
     """
-    memory_mb = _number_above_zero(limits, "memory_mb", DEFAULT_MEMORY_MB)
-    return max(SHORT_BODY, min(BUFFERS, int((memory_mb - PROCESSES_MB) * 2**20)))
+    memory_mb = _positive_number(limits, "memory_mb", DEFAULT_MEMORY_MB)
+    return max(
+        SHORT_BODY, min(MAX_BODY_BUDGET_BYTES, int((memory_mb - RESERVED_MEMORY_MB) * 2**20))
+    )
 
 
 def _peers(data: Mapping[str, Any]) -> Peers:
@@ -174,7 +181,7 @@
 
 
 def _seed(value: Any) -> int:
-    """The seed is hexadecimal text as a rule; any other text or number seeds as well."""
+    """Return the seed of a hexadecimal text; any other value is hashed to a seed."""
     text = str(value)
     try:
         return int(text, 16)
--- a/tests/config/test_file.py
+++ b/tests/config/test_file.py
@@ -1,6 +1,4 @@
-"""The configuration that people write: the example works, and what is wrong is one line that
-names the field.
-"""
+"""The TOML configuration file: the example is valid, and each error names its field."""
 
 from __future__ import annotations
 
@@ -16,7 +14,7 @@
 from quillroad.config.file import load_file
 
 ROOT = Path(__file__).parent.parent.parent
-GOOD = """
+VALID = """
 [gateway]
 listen = "127.0.0.1:0"
 [[classes]]
@@ -38,8 +36,8 @@
 id = "a"
 address = "127.0.0.1:9001"
 """
-CONSUL = (
-    GOOD[: GOOD.index("[hosts]")]
+VALID_CONSUL = (
+    VALID[: VALID.index("[hosts]")]
     + """
 [hosts]
 source = "consul"
@@ -50,13 +48,14 @@
 )
 
 
-def written(folder: Path, text: str) -> Path:
+def write_config(folder: Path, text: str) -> Path:
     path = folder / "gateway.toml"
     path.write_text(text)
     return path
 
 
-def test_the_example_works_and_says_the_defaults(tmp_path: Path) -> None:
+def test_example_file_is_valid_and_shows_the_defaults(tmp_path: Path) -> None:
+    """Guards against an example file that is invalid or differs from the defaults in the code."""
     config = load_file(ROOT / "deploy" / "quillroad.toml")
     assert [route.idempotency for route in config.settings.routes] == [
         Idempotency.IDEMPOTENT,
@@ -64,7 +63,7 @@
     ]
     assert config.settings.routes[0].latency_objective_us == 580_000
     assert isinstance(config.hosts, StaticHosts)
-    small = load_file(written(tmp_path, GOOD))
+    minimal = load_file(write_config(tmp_path, VALID))
     for name in (
         "max_attempts",
         "hedging_allowed",
@@ -72,20 +71,23 @@
         "warm_up_us",
         "overload_window_us",
     ):
-        assert getattr(small.settings, name) == getattr(config.settings, name), name
-    assert (small.sockets, small.connect_timeout_s, small.idle_s) == (1024, 1.0, 15.0)
+        assert getattr(minimal.settings, name) == getattr(config.settings, name), name
+    assert (minimal.sockets, minimal.connect_timeout_s, minimal.idle_s) == (1024, 1.0, 15.0)
 
 
-def test_consul_is_told_by_its_section(tmp_path: Path) -> None:
+def test_consul_section_sets_the_source_of_hosts(tmp_path: Path) -> None:
+    """Guards against fields of `[hosts.consul]` that are accepted but not used."""
     config = load_file(
-        written(tmp_path, CONSUL + 'wait = "500 ms"\n[hosts.consul.meta]\nzone = "room"\n')
+        write_config(
+            tmp_path, VALID_CONSUL + 'wait = "500 ms"\n[hosts.consul.meta]\nzone = "room"\n'
+        )
     )
     hosts = config.hosts
     assert isinstance(hosts, ConsulHosts)
     assert (hosts.agents[1], hosts.wait_s, hosts.meta[0]) == (("127.0.0.1", 8501), 0.5, "room")
 
 
-WRONG = [  # what is replaced, by what, and the field that the line names
+INVALID_FILE_VALUES = [  # text to replace, its replacement, start of the error message
     ("listen = ", "listens = ", "gateway.listens: no such field"),
     ('listen = "127.0.0.1:0"', "", "gateway.listen: missing"),
     ('listen = "127.0.0.1:0"', "listen = 80", "gateway.listen: "),
@@ -141,7 +143,7 @@
     ('address = "127.0.0.1:9001"', 'address = "h:1"\nweight = 0', "hosts.static[0].weight: "),
     ('id = "a"\n', 'id = "a"\naddress = "h:2"\n[[hosts.static]]\nid = "a"\n', "hosts.static: 'a'"),
 ]
-WRONG_CONSUL = [
+INVALID_CONSUL_VALUES = [
     ('agents = ["127.0.0.1:8500", "127.0.0.1:8501"]', "agents = []", "hosts.consul.agents: "),
     ('agents = ["127.0.0.1:8500", "127.0.0.1:8501"]', 'agents = ["x"]', "hosts.consul.agents[0]: "),
     (
@@ -165,29 +167,32 @@
 
 
 @pytest.mark.parametrize(
-    ("base", "old", "new", "line"),
-    [(GOOD, *case) for case in WRONG] + [(CONSUL, *case) for case in WRONG_CONSUL],
+    ("base", "old", "new", "message_start"),
+    [(VALID, *case) for case in INVALID_FILE_VALUES]
+    + [(VALID_CONSUL, *case) for case in INVALID_CONSUL_VALUES],
 )
-def test_what_is_wrong_is_one_line_that_names_the_field(
-    tmp_path: Path, base: str, old: str, new: str, line: str
+def test_invalid_value_is_rejected_with_one_line_that_names_the_field(
+    tmp_path: Path, base: str, old: str, new: str, message_start: str
 ) -> None:
+    """Guards against invalid values that are accepted, or whose error does not name the field."""
     assert old in base
     with pytest.raises(ConfigError) as caught:
-        load_file(written(tmp_path, base.replace(old, new, 1)))
-    assert str(caught.value).startswith(line)
+        load_file(write_config(tmp_path, base.replace(old, new, 1)))
+    assert str(caught.value).startswith(message_start)
     assert "\n" not in str(caught.value)
 
 
-@pytest.mark.parametrize("text", ["[", "a = ", "\x00", "classes = []\n" + GOOD])
-def test_what_is_no_file_is_told_so(tmp_path: Path, text: str) -> None:
+@pytest.mark.parametrize("text", ["[", "a = ", "\x00", "classes = []\n" + VALID])
+def test_file_that_is_missing_or_not_toml_is_rejected(tmp_path: Path, text: str) -> None:
+    """Guards against errors of the file system or the parser that are no `ConfigError`."""
     with pytest.raises(ConfigError):
-        load_file(written(tmp_path, text))
+        load_file(write_config(tmp_path, text))
     with pytest.raises(ConfigError, match="cannot read"):
         load_file(tmp_path / "none.toml")
 
 
 @pytest.mark.parametrize(
-    ("arguments", "status", "says"),
+    ("arguments", "exit_status", "expected_output"),
     [
         (("check", "good.toml"), 0, "in order: 2 classes, 1 hosts"),
         (("check", "bad.toml"), 2, "classes[0].aim: "),
@@ -196,13 +201,14 @@
         (("--no-such",), 2, "--no-such"),
     ],
 )
-def test_the_command_line(
-    tmp_path: Path, arguments: tuple[str, ...], status: int, says: str
+def test_command_line_reports_configuration_errors_in_one_line_with_status_2(
+    tmp_path: Path, arguments: tuple[str, ...], exit_status: int, expected_output: str
 ) -> None:
-    (tmp_path / "good.toml").write_text(GOOD)
-    (tmp_path / "bad.toml").write_text(GOOD.replace("580 ms", "580"))
+    """Guards against a traceback or a wrong exit status for an invalid configuration file."""
+    (tmp_path / "good.toml").write_text(VALID)
+    (tmp_path / "bad.toml").write_text(VALID.replace("580 ms", "580"))
     environment = {k: v for k, v in os.environ.items() if not k.startswith(("GW_", "QUILLROAD_"))}
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "quillroad", *arguments],
         cwd=tmp_path,
         timeout=20,
@@ -211,7 +217,7 @@
         env=environment | {"PYTHONPATH": str(ROOT)},
         check=False,
     )
-    assert done.returncode == status
-    assert says in done.stdout + done.stderr
-    if status == 2 and arguments[0] != "--no-such":
-        assert done.stderr.count("\n") == 1
+    assert completed.returncode == exit_status
+    assert expected_output in completed.stdout + completed.stderr
+    if exit_status == 2 and arguments[0] != "--no-such":
+        assert completed.stderr.count("\n") == 1
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -1,4 +1,4 @@
-"""Settings that cannot work are named, and settings no known deployment uses do work."""
+"""Invalid settings are rejected by name; valid but unusual settings serve requests."""
 
 from __future__ import annotations
 
@@ -28,7 +28,10 @@
         ("tenant_quotas_per_s", {"tenant_quotas_per_s": (3.0, -1.0)}),
     ],
 )
-def test_bad_settings_name_the_field(field: str, values: dict[str, Any]) -> None:
+def test_invalid_setting_raises_error_that_names_the_field(
+    field: str, values: dict[str, Any]
+) -> None:
+    """Guards against a setting that is out of range and makes the balancer fail later."""
     with pytest.raises(ValueError, match=field):
         Settings(**values)
 
@@ -42,18 +45,20 @@
         {"late_weight": 2.0},
     ],
 )
-def test_bad_routes_name_the_field(values: dict[str, Any]) -> None:
+def test_invalid_route_raises_error_that_names_the_field(values: dict[str, Any]) -> None:
+    """Guards against a route value that is out of range and makes the balancer fail later."""
     with pytest.raises(ValueError, match="route." + next(iter(values))):
         Route(**values)
 
 
-def test_a_class_without_semantics_is_named() -> None:
+def test_platform_route_without_semantics_is_rejected() -> None:
+    """Guards against a route whose idempotency is guessed because the platform left it out."""
     with pytest.raises(ValueError, match="semantics"):
         read_settings({"lanes": [{"deadline": 5}]})
 
 
 @pytest.mark.parametrize(
-    "told",
+    "balancer_settings",
     [
         settings(route(latency_objective_us=None)),
         settings(route(objective_stretch=2.0)),
@@ -64,46 +69,55 @@
         settings(hedging_allowed=True),
     ],
 )
-@pytest.mark.parametrize("servers", [1, 40])
-def test_unusual_settings_serve(told: Settings, servers: int) -> None:
-    stage = BalancerDriver(told, servers)
+@pytest.mark.parametrize("host_count", [1, 40])
+def test_unusual_settings_serve_at_least_90_percent(
+    balancer_settings: Settings, host_count: int
+) -> None:
+    """Guards against valid settings that no known deployment uses and that stop the balancer.
+
+    One in ten first attempts fails; at least 270 of 300 requests must still be sent to a host.
+    """
+    driver = BalancerDriver(balancer_settings, host_count)
     for n in range(300):
-        request = stage.arrive(
+        request = driver.arrive(
             work_estimate_us=12_000 if n % 2 else None, key=f"k{n % 7}", tenant=n % 3
         )
-        stage.pass_time(8_000)
+        driver.pass_time(8_000)
         for _ in range(12):
-            for attempt in range(len(stage.sends.get(request, []))):
+            for attempt in range(len(driver.sends.get(request, []))):
                 failed = n % 10 == 0 and attempt == 0
-                stage.done(request, Outcome.ERROR if failed else Outcome.SUCCESS, 8_000, attempt)
-            stage.pass_time(40_000)
-    assert len(stage.sends) >= 270
+                driver.done(request, Outcome.ERROR if failed else Outcome.SUCCESS, 8_000, attempt)
+            driver.pass_time(40_000)
+    assert len(driver.sends) >= 270
 
 
-def test_a_stream_belongs_to_the_client_once_it_started() -> None:
-    stage = BalancerDriver(settings(route(), hedging_allowed=True), 3)
-    request = stage.arrive()
-    stage.feed(StreamStarted(request, 0, 5_000))
-    assert not any(isinstance(a, SendAttempt) for a in stage.pass_time(2_000_000))
-    stage.done(request, Outcome.SUCCESS, 2_000_000)
-    assert not stage.balancer.requests
+def test_no_further_attempt_after_the_stream_to_the_client_started() -> None:
+    """Guards against a hedge or retry of a request whose response the client already receives."""
+    driver = BalancerDriver(settings(route(), hedging_allowed=True), 3)
+    request = driver.arrive()
+    driver.feed(StreamStarted(request, 0, 5_000))
+    assert not any(isinstance(a, SendAttempt) for a in driver.pass_time(2_000_000))
+    driver.done(request, Outcome.SUCCESS, 2_000_000)
+    assert not driver.balancer.requests
 
 
-def test_departed_servers_and_requests_leave_no_residue() -> None:
-    stage = BalancerDriver(settings(), [Endpoint(i) for i in range(5)])
+def test_finished_requests_leave_no_state() -> None:
+    """Guards against memory growth: requests, timers and samples that are kept after their end."""
+    driver = BalancerDriver(settings(), [Endpoint(i) for i in range(5)])
     for n in range(2000):
-        request = stage.arrive(key=f"key{n}")
-        stage.pass_time(3_000)
-        if request in stage.sends:
-            stage.done(request, Outcome.SUCCESS, 3_000)
-    stage.pass_time(5_000_000)
-    stage.done(stage.arrive(), Outcome.SUCCESS)
-    balancer = stage.balancer
+        request = driver.arrive(key=f"key{n}")
+        driver.pass_time(3_000)
+        if request in driver.sends:
+            driver.done(request, Outcome.SUCCESS, 3_000)
+    driver.pass_time(5_000_000)
+    driver.done(driver.arrive(), Outcome.SUCCESS)
+    balancer = driver.balancer
     assert len(balancer.hosts) == 5 and len(balancer.requests) == len(balancer.timers) == 0
     assert all(len(r.latency) <= 128 for r in balancer.routes)
 
 
-def test_the_log_names_changed_fields_as_it_always_did() -> None:
+def test_changed_fields_keep_their_log_names() -> None:
+    """Guards against a renamed `Config` field that changes the names which operators see."""
     before = make_config(1)
     after = dataclasses.replace(
         before,
--- a/tests/recordings/command_line.py
+++ b/tests/recordings/command_line.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from quillroad.membership.report import write_report
-from tests.config.test_file import CONSUL, GOOD
+from tests.config.test_file import VALID, VALID_CONSUL
 from tests.recordings import fleet, zones
 from tests.recordings.kinds import Documents
 
@@ -21,9 +21,9 @@
 NAME = re.compile(r"\b(?:GW|QUILLROAD)_[A-Z][A-Z_]*\b")
 BOUND_S = 60
 FILES = {
-    "good.toml": GOOD,
-    "consul.toml": CONSUL,
-    "bad.toml": GOOD.replace("580 ms", "580"),
+    "good.toml": VALID,
+    "consul.toml": VALID_CONSUL,
+    "bad.toml": VALID.replace("580 ms", "580"),
     "broken.toml": "[",
     "upgrades.toml": 'control = "no-such-socket"',
     "junk.json": "[]",
--- a/tests/recordings/rejections.py
+++ b/tests/recordings/rejections.py
@@ -84,15 +84,23 @@
 
 def gateway_files() -> Documents:
     told = {}
-    cases = [("static", test_config_file.GOOD, *case) for case in test_config_file.WRONG]
-    cases += [("Consul", test_config_file.CONSUL, *case) for case in test_config_file.WRONG_CONSUL]
+    cases = [
+        ("static", test_config_file.VALID, *case) for case in test_config_file.INVALID_FILE_VALUES
+    ]
+    cases += [
+        ("Consul", test_config_file.VALID_CONSUL, *case)
+        for case in test_config_file.INVALID_CONSUL_VALUES
+    ]
     for name, base, old, new, _ in cases:
         told[f"{name}: {old!r} is {new!r}"] = _of_file(load_file, base.replace(old, new, 1))
-    for text in (*parameters(test_config_file.test_what_is_no_file_is_told_so), NO_FILE):
+    for text in (
+        *parameters(test_config_file.test_file_that_is_missing_or_not_toml_is_rejected),
+        NO_FILE,
+    ):
         told[repr(text)] = _of_file(load_file, text)
     for section in REGISTER:
         told[f"register: {section!r}"] = _of_file(
-            load_file, f"{test_config_file.GOOD}\n[register]\n{section}"
+            load_file, f"{test_config_file.VALID}\n[register]\n{section}"
         )
     return told
 
@@ -188,9 +196,13 @@
 def module_settings() -> Documents:
     """The decision package's own checks of its settings."""
     told = {}
-    for _, values in parameters(test_platform_config.test_bad_settings_name_the_field):
+    for _, values in parameters(
+        test_platform_config.test_invalid_setting_raises_error_that_names_the_field
+    ):
         told[f"settings {values}"] = _line(partial(Settings, **values), ValueError)
-    for values in parameters(test_platform_config.test_bad_routes_name_the_field):
+    for values in parameters(
+        test_platform_config.test_invalid_route_raises_error_that_names_the_field
+    ):
         told[f"route {values}"] = _line(partial(Route, **values), ValueError)
     told["a class without semantics"] = _line(
         lambda: read_settings({"lanes": [{"deadline": 5}]}), ValueError
