--- a/quillroad/__init__.py
+++ b/quillroad/__init__.py
@@ -1,4 +1,4 @@
-"""An HTTP gateway: sockets in and out round the decisions of `quillroad.balancing`.
+"""An HTTP/1.1 gateway: network I/O around the load-balancing decisions of `quillroad.balancing`.
 
-`quillroad.gateway` wires the parts of one gateway, `quillroad.start` starts its process.
+`quillroad.gateway` connects the components of one gateway; `quillroad.start` starts its process.
 """
--- a/quillroad/files.py
+++ b/quillroad/files.py
@@ -1,4 +1,4 @@
-"""Files that a gateway writes for people, without holding up the event loop."""
+"""Writing report files in a background thread, so that the event loop is not blocked."""
 
 from __future__ import annotations
 
@@ -10,95 +10,96 @@
 
 log = logging.getLogger("quillroad.files")
 
-# Lines that may wait for a disk that stands still, some MB; what comes then is left out and
+# Lines that may be pending while the disk is stalled (a few MB); further lines are dropped and
 # counted.
-MAX_WAITING_LINES = 10_000
+MAX_PENDING_LINES = 10_000
 
 
 class FileWriter:
-    """Writes files in a thread of its own.
+    """Writes files in a dedicated thread.
 
-    Written by the event loop, reports hold up all requests for as long as the disk takes. Of a file
-    that is replaced faster than the disk takes it, only the newest state is written. What could not
-    be written is said in the log.
+    Writing reports in the event loop would delay all requests until the disk is done. If a file is
+    replaced faster than the disk can write it, only the newest content is written. Failed writes
+    are logged.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._pool = ThreadPoolExecutor(1, "files")
+        self._executor = ThreadPoolExecutor(1, "files")
         self._replacements: dict[Path, bytes] = {}
         self._lines: dict[Path, list[str]] = {}
-        self._waiting = 0  # lines that have not been given to the thread
-        self.left_out = 0  # lines that came while too many waited
-        self._busy = False  # the thread writes
+        self._pending_lines = 0  # lines not yet handed to the thread
+        self.dropped_lines = 0  # lines appended while too many were pending
+        self._writing = False  # whether the thread is writing
 
     def replace(self, path: Path, data: bytes) -> None:
-        """Write a file anew, so that a reader sees the old one or the new one, never half of it."""
+        """Replace the content of a file atomically: a reader sees the old or the new content."""
         self._replacements[path] = data
-        self._begin()
+        self._start_write()
 
     def append(self, path: Path, line: str) -> None:
-        """Add a line to a file; it is left out where too many wait for the disk."""
-        if self._waiting >= MAX_WAITING_LINES:
-            self.left_out += 1
+        """Append a line to a file, or drop it if `MAX_PENDING_LINES` are pending."""
+        if self._pending_lines >= MAX_PENDING_LINES:
+            self.dropped_lines += 1
             return
-        self._waiting += 1
+        self._pending_lines += 1
         self._lines.setdefault(path, []).append(line)
-        self._begin()
+        self._start_write()
 
     def close(self) -> None:
-        """Write what was given so far, and end the thread; nothing may be given after this."""
+        """Write what is pending, then end the thread. The writer cannot be used afterwards."""
         if self._replacements or self._lines:
-            # Behind what is being written.
-            self._pool.submit(_write, self._replacements, self._lines)
+            # Runs after the write in progress.
+            self._executor.submit(_write, self._replacements, self._lines)
             self._replacements = {}
             self._lines = {}
-        self._pool.shutdown(wait=False)
+        self._executor.shutdown(wait=False)
 
-    def _begin(self) -> None:
-        """Give the thread what waits, if it is free."""
-        if self._busy or not (self._replacements or self._lines):
+    def _start_write(self) -> None:
+        """Hand the pending content to the thread, unless it is writing."""
+        if self._writing or not (self._replacements or self._lines):
             return
-        self._busy = True
+        self._writing = True
         replacements, lines = self._replacements, self._lines
         self._replacements = {}
         self._lines = {}
-        self._waiting = 0
-        write = self._loop.run_in_executor(self._pool, _write, replacements, lines)
-        write.add_done_callback(self._done)
+        self._pending_lines = 0
+        write = self._loop.run_in_executor(self._executor, _write, replacements, lines)
+        write.add_done_callback(self._on_written)
 
-    def _done(self, write: asyncio.Future[str | None]) -> None:
-        self._busy = False
+    def _on_written(self, write: asyncio.Future[str | None]) -> None:
+        self._writing = False
         if not write.cancelled() and (error := write.result()) is not None:
             log.error("%s", error)
-        self._begin()
+        self._start_write()
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Replace a file as a whole, so that a reader never finds half of one (rename(2)).
+    """Replace a file atomically with rename(2), so that a reader never sees a partial file.
 
-    Raises OSError where that cannot be done; the file before stays then.
+    Raises OSError if the file cannot be written; the previous file is then unchanged.
     """
-    part = path.with_name(f".{path.name}.{os.getpid()}")
+    temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
-        part.write_bytes(data)
-        part.replace(path)
+        temporary.write_bytes(data)
+        temporary.replace(path)
     except OSError:
-        part.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise
 
 
 def _write(replacements: dict[Path, bytes], lines: dict[Path, list[str]]) -> str | None:
-    """Write lines first, so that a reader of a state finds what led to it.
+    """Append the lines, then replace files.
 
-    Returns which file could not be written and why, and leaves out what comes after it; None where
-    all was written.
+    The lines come first, so that a reader of a replaced file already finds the lines that led to
+    its content. Stops at the first file that cannot be written and returns an error message that
+    names it; returns None if everything was written.
     """
     path = Path()
     try:
-        for path, added in lines.items():
+        for path, new_lines in lines.items():
             with path.open("a", encoding="utf-8") as file:
-                file.write("".join(f"{line}\n" for line in added))
+                file.write("".join(f"{line}\n" for line in new_lines))
         for path, data in replacements.items():
             replace_file(path, data)
     except OSError as error:
--- a/quillroad/gateway.py
+++ b/quillroad/gateway.py
@@ -1,4 +1,4 @@
-"""The composition root of one gateway: wires its parts, and carries out reload, drain and end."""
+"""The composition root of one gateway: connects its components; reload, drain and stop."""
 
 from __future__ import annotations
 
@@ -33,29 +33,29 @@
 
 log = logging.getLogger("quillroad")
 
-# Between two looks at the connections for those that have waited for too long.
+# Interval of the check that closes connections whose time limit has passed.
 CHECK_INTERVAL_S = 0.25
-# A look that comes later than this shows that the process stood still: it is left out, since what
-# came meanwhile has to be read before anyone is judged to be late.
+# A check that is later than this shows that the event loop was stalled. It is skipped: data that
+# arrived during the stall must be read before a connection is judged to have timed out.
 MAX_CHECK_DELAY_S = 0.15
-# After SIGTERM: the front sends new connections for up to 0.4 s more.
+# After SIGTERM, the load balancer in front still sends new connections for up to 0.4 s.
 FRONT_DELAY_S = 0.55
-# For the last answers to leave.
+# Time for the last responses to be sent.
 ANSWERS_FLUSH_S = 0.1
-# After SIGTERM and the longest deadline; SIGKILL comes 0.7 s after these at the earliest, and the
-# process needs some of that to end.
+# A drain ends this long after SIGTERM plus the longest deadline. SIGKILL follows 0.7 s after that
+# deadline at the earliest, and the process needs some of that time to exit.
 DRAIN_MARGIN_S = 0.6
-# Between two looks at what a drain still waits for.
+# Interval at which a drain checks for open connections.
 DRAIN_POLL_S = 0.02
 
 
 class Gateway:
-    """The parts of one gateway, wired.
+    """The connected components of one gateway.
 
-    `engine` and `server` are the kinds of these parts; `zones` names the file that holds traffic to
-    other zones to a budget, if there is one. `inherited_count` descriptors of the process's limit
-    are somebody else's (0 or more). Raises ConfigError where a file of an optional part cannot
-    work.
+    `engine` and `server` are the classes to instantiate; `zones` names the file of the cross-zone
+    budget, or is None. `inherited_count` descriptors (0 or more) of the process's limit were
+    inherited and are not available. Raises ConfigError if the file of an optional component is
+    invalid.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self.config = config
         self.loop = loop
         self.serving_state = ServingState()
-        self.port = 0  # that clients connect to; 0 until the gateway listens
+        self.port = 0  # the listening port; 0 until the gateway listens
         self._connection_checks: asyncio.Task[None] | None = None
         self._idle_closing: asyncio.Task[None] | None = None
         self.admin = make_admin(self, config)
@@ -81,8 +81,8 @@
         self.zones = make_zones(zones, config, loop)
         self.engine = self._make_engine(engine)
         self.server = self._make_server(server, loop_monitor)
-        # Where sources of endpoints tell of them: operators' overrides are laid over what they
-        # tell.
+        # Discovery reports endpoint updates here. With an admin listener, it applies operators'
+        # overrides to them.
         self.update_endpoints: Update = (
             self.engine.update_endpoints if self.admin is None else self.admin.update_endpoints
         )
@@ -93,12 +93,12 @@
         self.membership = make_membership(config, loop)
         if self.membership is not None:
             self.membership.attach(self.engine, lambda: self.source)
-        # In the order in which they start and stop.
+        # In the order in which they are started and stopped.
         optional: list[Part | None] = [self.zones, self.registrar, self.counts, self.membership]
         self._optional_parts = [part for part in optional if part is not None]
 
     def _make_upstream(self, loop_monitor: EventLoopMonitor) -> Upstream:
-        """The hosts' side."""
+        """Return the upstream connection pool."""
         return Upstream(
             self.loop,
             self.descriptors,
@@ -109,17 +109,20 @@
         )
 
     def _make_engine(self, engine: type[Engine]) -> Engine:
-        """The engine round a balancer of its own, under the cross-zone budget if there is one."""
+        """Return an engine with its own balancer, under the cross-zone budget if there is one."""
         budget = None if self.zones is None else self.zones.cross_zone_budget
         balancer = Balancer(self.config.settings, self.config.seed, budget)
-        made = engine(self.loop, balancer, self.upstream)
+        created = engine(self.loop, balancer, self.upstream)
         if self.zones is not None:
-            self.zones.attach(made)
-        return made
+            self.zones.attach(created)
+        return created
 
     def _make_server(self, server: type[Server], loop_monitor: EventLoopMonitor) -> Server:
-        """The clients' side; each side frees a descriptor for the other one where it is short."""
-        made = server(
+        """Return the downstream server.
+
+        When descriptors run short, server and upstream pool close connections for each other.
+        """
+        created = server(
             self.loop,
             self.config,
             self.engine,
@@ -127,13 +130,13 @@
             self.upstream.drop_oldest_idle,
             loop_monitor,
         )
-        self.upstream.close_silent_client = made.end_silent_connection
+        self.upstream.close_silent_client = created.end_silent_connection
         if self.admin is not None:
-            made.on_end = self.admin.figures.ended
-        return made
+            created.on_end = self.admin.figures.ended
+        return created
 
     async def start(self) -> None:
-        """Serve by the known list at once. Raises OSError where an address cannot be used."""
+        """Start serving with the known hosts. Raises OSError if an address cannot be bound."""
         self.source.load_known_hosts(self.config)
         if self.admin is not None:
             self.admin.start()
@@ -141,23 +144,23 @@
         self.start_parts()
 
     def listen(self, listener: socket.socket) -> None:
-        """Accept from a listening socket."""
+        """Accept connections from a listening socket."""
         self.server.listen(listener)
         self.port = listener.getsockname()[1]
         log.info("%s listens on %s:%d", self.config.name, self.config.listen[0], self.port)
 
     def start_parts(self) -> None:
-        """Hear of endpoints, and look after connections, from now on."""
+        """Start discovery, the optional components and the connection checks."""
         self.source.start()
         for part in self._optional_parts:
             part.start()
         self._connection_checks = self.loop.create_task(self._check_connections())
 
     def reload(self, read: Callable[[], Config]) -> None:
-        """Go by what a new configuration changes: where endpoints are told of.
+        """Apply the reloadable settings of a new configuration: discovery, zones and membership.
 
-        List, connections and open requests stay as they are, also while draining. A configuration
-        that cannot work changes nothing and is said in the log.
+        The endpoint list, connections and requests in flight are kept, also while draining. An
+        invalid configuration changes nothing and is logged.
         """
         try:
             config = read()
@@ -171,16 +174,16 @@
         self._count_reload(True)
         if self.membership is not None:
             self.membership.apply_settings(members)
-        if left := changed_fields(self.config, config):
-            log.warning("these fields change with a restart only: %s", ", ".join(left))
-        self._follow_discovery(config)
+        if restart_only := changed_fields(self.config, config):
+            log.warning("these fields change with a restart only: %s", ", ".join(restart_only))
+        self._apply_discovery(config)
 
-    def _follow_discovery(self, config: Config) -> None:
-        """Hear of endpoints where this configuration says, if that is elsewhere than so far."""
+    def _apply_discovery(self, config: Config) -> None:
+        """Switch to the discovery source of this configuration if it has changed."""
         discovery = (config.discovery, config.hosts)
         if discovery == self._discovery:
             return
-        log.info("hosts are now told by %s", config.hosts or config.discovery)
+        log.info("discovery source changed to %s", config.hosts or config.discovery)
         if type(config.hosts) is type(self._discovery[1]):
             self.source.switch_to(config)
         else:
@@ -194,20 +197,20 @@
         if self.admin is not None:
             self.admin.reloads[ok] += 1
 
-    # What operators see and do (`ManagedGateway`).
+    # Methods for operators (the `ManagedGateway` protocol).
 
     @property
     def route_names(self) -> Sequence[str]:
-        """The names of the routes, by their number."""
+        """The names of the routes, indexed by route number."""
         return [route.name for route in self.config.settings.routes]
 
     @property
     def ready(self) -> bool:
-        """Whether it can serve, and is to."""
+        """Whether the engine is ready and the gateway is not draining."""
         return self.engine.ready and not self.serving_state.draining
 
     def figures(self) -> GatewayFigures:
-        """The present figures, for operators."""
+        """Return the current figures for operators."""
         return GatewayFigures(
             attempts_sent=self.upstream.requests_written,
             requests_open=self.server.in_flight,
@@ -218,26 +221,28 @@
     def apply_endpoints(
         self, update: EndpointUpdate, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
-        """Go by these endpoints, operators' overrides included; maps are by endpoint number."""
+        """Apply an update with operators' overrides included; maps are by endpoint number."""
         self.engine.update_endpoints(update, names, addresses)
 
     def set_drained(self, on: bool) -> None:
-        """Serve no new connection and keep none, until an operator takes it back.
+        """Start or cancel a drain by an operator.
 
-        The process runs on meanwhile. Without effect once the process is ending.
+        While drained, the gateway is not ready and closes idle client connections; the process
+        keeps running. Has no effect once the process is shutting down.
         """
         if not (self.serving_state.drain() if on else self.serving_state.resume()):
             return
-        log.info("drained by hand" if on else "back to work")
+        log.info("drained by operator" if on else "drain cancelled by operator")
         self.server.draining = self.serving_state.draining
         if self._idle_closing is not None:
             self._idle_closing.cancel()
-        self._idle_closing = self.loop.create_task(self._close_idle()) if on else None
+        self._idle_closing = self.loop.create_task(self._close_idle_connections()) if on else None
 
-    async def _close_idle(self) -> None:
-        """While drained by an operator: end connections between two requests.
+    async def _close_idle_connections(self) -> None:
+        """Close idle client connections while the gateway is drained by an operator.
 
-        Not before the front has learned of the drain: what crosses the close would be lost.
+        Waits until the load balancer in front has noticed the drain: a request sent while the
+        gateway closes the connection would be lost.
         """
         await asyncio.sleep(FRONT_DELAY_S)
         while self.serving_state.drained_by_operator:
@@ -245,45 +250,48 @@
             await asyncio.sleep(DRAIN_POLL_S)
 
     async def _check_connections(self) -> None:
-        """Look for connections that have waited for too long, again and again."""
+        """Close connections whose time limit has passed, every `CHECK_INTERVAL_S`."""
         while True:
-            due = monotonic() + CHECK_INTERVAL_S
+            expected_at = monotonic() + CHECK_INTERVAL_S
             await asyncio.sleep(CHECK_INTERVAL_S)
-            if monotonic() > due + MAX_CHECK_DELAY_S:
+            if monotonic() > expected_at + MAX_CHECK_DELAY_S:
                 continue
             try:
                 self.server.enforce_time_limits()
                 self.upstream.close_expired()
-            except Exception:  # one connection's fault must not end the checks of all others
-                log.exception("a sweep failed")
+            except Exception:  # an error in one connection must not end the checks of all others
+                log.exception("closing expired connections failed")
 
     async def drain(self) -> None:
-        """Answer what was taken, and end.
+        """Answer the accepted requests, then close all client connections.
 
-        Answers say `Connection: close` at once. The listener and idle connections stay while the
-        front may still send: ending them first would lose what crosses the close.
+        Responses carry `Connection: close` from the start. The listener and idle connections stay
+        open while the load balancer in front may still send: closing them earlier would lose
+        requests already on their way.
         """
-        began = monotonic()
-        end = began + self.config.longest_deadline_s + DRAIN_MARGIN_S
+        started_at = monotonic()
+        end = started_at + self.config.longest_deadline_s + DRAIN_MARGIN_S
         self.serving_state.end()
         self.server.draining = True
-        # A request that was taken late, half of it before the drain, has no longer than the
-        # process.
+        # A request that completes late, half of it received before the drain, must be answered
+        # before the process ends.
         self.server.latest_deadline_at = end - ANSWERS_FLUSH_S
         if self.membership is not None:
             self.membership.leave()
-        leaving = None if self.registrar is None else self.loop.create_task(self.registrar.leave())
+        deregistration = (
+            None if self.registrar is None else self.loop.create_task(self.registrar.leave())
+        )
         await asyncio.sleep(FRONT_DELAY_S)
         self.server.stop_listening()
         while len(self.server.connection_limit) and monotonic() < end:
             await asyncio.sleep(DRAIN_POLL_S)
             self.server.close_idle()
         self.server.reset_streams()
-        if leaving is not None:
-            await leaving
+        if deregistration is not None:
+            await deregistration
 
     def stop(self) -> None:
-        """End at once: no new connection, no news of endpoints, no part running."""
+        """Stop immediately: the listener, discovery and the optional components."""
         self.server.stop_listening()
         self.source.stop()
         for part in self._optional_parts:
--- a/quillroad/logs.py
+++ b/quillroad/logs.py
@@ -1,39 +1,42 @@
-"""The process's log: lines on standard error, a bounded number of them a second."""
+"""The log of the process: rate-limited lines on standard error."""
 
 from __future__ import annotations
 
 import logging
 import sys
 
-# Lines that pass in one stretch of time. One error a request would otherwise become thousands of
-# lines a second, and writing them takes the core from the requests.
-MAX_LINES = 50
-STRETCH_S = 1.0
+# Log lines written per window. Without this limit, one error per request would become thousands of
+# lines a second, and writing them would take CPU time from the requests.
+MAX_LINES_PER_WINDOW = 50
+WINDOW_S = 1.0
 
 
 class RateLimit(logging.Filter):
-    """Passes `MAX_LINES` lines in `STRETCH_S` seconds, and says how many it left out before."""
+    """Passes `MAX_LINES_PER_WINDOW` records per `WINDOW_S` seconds, counts those it suppresses."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._stretch_start = 0.0
+        self._window_start = 0.0
         self._lines = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the line passes; adds the number left out to the first line of a stretch."""
-        if record.created - self._stretch_start >= STRETCH_S:
-            left_out = self._lines - MAX_LINES
-            if left_out > 0:
-                record.msg = f"{record.getMessage()} ({left_out} left out)"
+        """Return whether the record is logged.
+
+        The first record of a window reports how many were suppressed in the window before.
+        """
+        if record.created - self._window_start >= WINDOW_S:
+            suppressed = self._lines - MAX_LINES_PER_WINDOW
+            if suppressed > 0:
+                record.msg = f"{record.getMessage()} ({suppressed} lines suppressed)"
                 record.args = ()
-            self._stretch_start = record.created
+            self._window_start = record.created
             self._lines = 0
         self._lines += 1
-        return self._lines <= MAX_LINES
+        return self._lines <= MAX_LINES_PER_WINDOW
 
 
 def start_log() -> None:
-    """Write the log to standard error from now on."""
+    """Configure the root logger: rate-limited lines on standard error, level INFO."""
     handler = logging.StreamHandler(sys.stderr)
     handler.addFilter(RateLimit())
     handler.setFormatter(
--- a/quillroad/optional_parts.py
+++ b/quillroad/optional_parts.py
@@ -1,6 +1,6 @@
-"""Parts of a gateway that only some configurations have; each is imported only where it is used.
+"""Optional components of a gateway; each is imported only if the configuration enables it.
 
-The platform starts gateways with none of them, and without the packages that they need.
+The platform starts gateways with none of them, and without the packages that they require.
 """
 
 from __future__ import annotations
@@ -23,53 +23,56 @@
     from quillroad.membership.service import MembershipService
     from quillroad.zones.zones import Zones
 
-# Environment variables that turn a part on.
+# Environment variables that enable a component.
 COUNTS_VARIABLE = "QUILLROAD_COUNTS"
 FLEET_VARIABLE = "QUILLROAD_FLEET"
 
 
 class Part(Protocol):
-    """A part that runs beside the requests."""
+    """A component that runs in the background, independently of requests."""
 
     def start(self) -> None:
-        """Begin."""
+        """Start the background work."""
 
     def stop(self) -> None:
-        """End, and let go of what it holds."""
+        """Stop the background work and release its resources."""
 
 
 def make_admin(gateway: ManagedGateway, config: Config) -> Admin | None:
-    """The operators' address, where the configuration tells one."""
+    """Return the admin listener, or None if the configuration has no admin address."""
     if config.admin is None:
         return None
-    from quillroad.admin import Admin  # noqa: PLC0415 - off: not imported
+    from quillroad.admin import Admin  # noqa: PLC0415 - imported only if enabled
 
     return Admin(gateway, config.admin)
 
 
 def admin_descriptors(admin: Admin | None) -> int:
-    """How many descriptors the operators' address holds back from clients and hosts."""
+    """Return how many descriptors are reserved for the admin listener."""
     if admin is None:
         return 0
-    from quillroad.admin import RESERVED  # noqa: PLC0415 - off: not imported
+    from quillroad.admin import RESERVED  # noqa: PLC0415 - imported only if enabled
 
     return RESERVED
 
 
 def make_zones(path: Path | None, config: Config, loop: asyncio.AbstractEventLoop) -> Zones | None:
-    """The cross-zone budget, where a file tells one; ConfigError for a file that cannot work."""
+    """Return the cross-zone budget, or None without a file.
+
+    Raises ConfigError if the file is invalid.
+    """
     if path is None:
         return None
-    from quillroad.zones import Zones  # noqa: PLC0415 - off: not imported
+    from quillroad.zones import Zones  # noqa: PLC0415 - imported only if enabled
 
     return Zones(path, config, loop)
 
 
 def make_registrar(config: Config, ready: Callable[[], bool]) -> Registrar | None:
-    """The gateway's own entry in Consul, where the configuration asks for one."""
+    """Return the component that registers the gateway in Consul, or None if not configured."""
     if config.register is None:
         return None
-    from quillroad.discovery.consul.registrar import Registrar  # noqa: PLC0415 - off: not imported
+    from quillroad.discovery.consul.registrar import Registrar  # noqa: PLC0415 - imported only if enabled
 
     return Registrar(config.register, config, ready)
 
@@ -77,19 +80,19 @@
 def make_counts(
     loop: asyncio.AbstractEventLoop, engine: Engine, upstream: Upstream
 ) -> Counts | None:
-    """The row of counts in the log, where the environment asks for it."""
+    """Return the component that logs counts, or None unless `QUILLROAD_COUNTS` is set."""
     if not os.environ.get(COUNTS_VARIABLE):
         return None
-    from quillroad.counts import Counts  # noqa: PLC0415 - off: not imported
+    from quillroad.counts import Counts  # noqa: PLC0415 - imported only if enabled
 
     return Counts(loop, engine, upstream)
 
 
 def make_membership(config: Config, loop: asyncio.AbstractEventLoop) -> MembershipService | None:
-    """The membership of gateways, where the environment names its file."""
+    """Return the membership service, or None unless `QUILLROAD_FLEET` names its file."""
     path = os.environ.get(FLEET_VARIABLE)
     if not path:
         return None
-    from quillroad.membership.service import MembershipService  # noqa: PLC0415 - off: not imported
+    from quillroad.membership.service import MembershipService  # noqa: PLC0415 - imported only if enabled
 
     return MembershipService(Path(path), config, loop)
--- a/quillroad/run.py
+++ b/quillroad/run.py
@@ -1,4 +1,4 @@
-"""Runs one gateway in this process, from its start to its end: signals, log and exit status."""
+"""Running one gateway in this process: signal handling, log and exit status."""
 
 from __future__ import annotations
 
@@ -26,10 +26,11 @@
 async def serve(
     config: Config, read: Callable[[], Config], zones: Path | None, inherited_count: int
 ) -> None:
-    """Serve until SIGTERM or SIGINT, then answer the requests that were taken.
+    """Serve until SIGTERM or SIGINT, then drain: answer the requests in flight and return.
 
-    `read` reads the configuration again, for SIGHUP. `zones` is the file of the cross-zone budget,
-    or None. `inherited_count` descriptors of the process's limit are not the gateway's own.
+    `read` reloads the configuration on SIGHUP. `zones` is the file of the cross-zone budget, or
+    None. `inherited_count` is the number of inherited descriptors, which reduce the limit of the
+    process.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
@@ -39,11 +40,12 @@
     await gateway.start()
     if inherited_count:
         log.info(
-            "%d descriptors were open at the start: so many fewer connections", inherited_count
+            "%d inherited descriptors: the connection limit is lower by this number",
+            inherited_count,
         )
     loop.add_signal_handler(signal.SIGHUP, gateway.reload, read)
     gc.collect()
-    gc.freeze()  # what is here at the start stays; collections need not walk it each time
+    gc.freeze()  # objects created at start-up live on; collections skip them
     await stop.wait()
     log.info("draining")
     await gateway.drain()
@@ -51,15 +53,15 @@
     log.info("drained")
 
 
-def run(config: Config, again: Callable[[], Config], zones: Path | None = None) -> int:
-    """Run one gateway from its start to its end; returns the status to exit with.
+def run(config: Config, reread: Callable[[], Config], zones: Path | None = None) -> int:
+    """Run one gateway until it has drained and return the exit status.
 
-    `again` reads the configuration for a reload; `zones` is the file of the cross-zone budget.
+    `reread` reads the configuration for a reload; `zones` is the file of the cross-zone budget.
     """
     inherited_count = count_inherited_descriptors()
     start_log()
     try:
-        uvloop.run(serve(config, again, zones, inherited_count))
+        uvloop.run(serve(config, reread, zones, inherited_count))
     except ConfigError as error:
         print(f"quillroad: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,6 +1,4 @@
-"""Files for people: written off the event loop, the newest state only, with a bound on what
-waits.
-"""
+"""The file writer: a background thread, newest content only, a bounded number of pending lines."""
 
 from __future__ import annotations
 
@@ -12,51 +10,51 @@
 import pytest
 
 from quillroad import files
-from quillroad.files import MAX_WAITING_LINES, FileWriter
+from quillroad.files import MAX_PENDING_LINES, FileWriter
 from tests.net import on_loop, until
 
 
 @on_loop
-async def test_a_disk_that_stands_still_holds_nothing_up(
+async def test_stalled_disk_does_not_block_the_event_loop(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disk takes nothing for a while; a thousand states and ten thousand lines come meanwhile.
+    """The disk stalls while 1000 replacements and more than 10 000 lines are submitted.
 
-    The loop goes on, memory stays bounded, and the newest state and the lines are there in the end.
+    The event loop must not block, memory must stay bounded, and the newest content and the pending
+    lines must be written once the disk resumes.
     """
-    moves, written = threading.Event(), list[bytes]()
+    disk_resumed, written = threading.Event(), list[bytes]()
 
-    def slow(path: Path, data: bytes) -> None:
-        moves.wait()
+    def replace_when_resumed(path: Path, data: bytes) -> None:
+        disk_resumed.wait()
         written.append(data)
 
-    monkeypatch.setattr(files, "replace_file", slow)
+    monkeypatch.setattr(files, "replace_file", replace_when_resumed)
     writer = FileWriter(asyncio.get_running_loop())
     for number in range(1000):
         writer.replace(tmp_path / "view", b"%d" % number)
-    for number in range(MAX_WAITING_LINES + 5):
+    for number in range(MAX_PENDING_LINES + 5):
         writer.append(tmp_path / "changes", f"line {number}")
-    assert writer.left_out == 5
-    moves.set()
+    assert writer.dropped_lines == 5
+    disk_resumed.set()
     await until(lambda: written[-1:] == [b"999"])
     assert written == [b"0", b"999"]
     await until((tmp_path / "changes").exists)
-    moves.clear()
+    disk_resumed.clear()
     writer.replace(tmp_path / "view", b"slow")
-    writer.append(
-        tmp_path / "changes", "last"
-    )  # given while the disk stands still, and then the end
+    # Submitted while the disk is stalled, just before the writer is closed.
+    writer.append(tmp_path / "changes", "last")
     writer.close()
-    moves.set()
+    disk_resumed.set()
     await until(lambda: (tmp_path / "changes").read_text().endswith("last\n"))
-    assert len((tmp_path / "changes").read_text().splitlines()) == MAX_WAITING_LINES + 1
+    assert len((tmp_path / "changes").read_text().splitlines()) == MAX_PENDING_LINES + 1
 
 
 @on_loop
-async def test_a_missing_folder_is_said_in_the_log(
+async def test_missing_directory_is_logged_and_other_files_are_written(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """A folder goes away while the gateway writes into it: the log says so, other files go on."""
+    """The directory of one file does not exist: the error is logged, other files are written."""
     writer = FileWriter(asyncio.get_running_loop())
     writer.replace(tmp_path / "gone" / "view", b"x")
     await until(lambda: "cannot write" in caplog.text)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,35 +1,40 @@
-"""The log passes a bounded number of lines a second."""
+"""The rate limit of the log."""
 
 from __future__ import annotations
 
 import logging
 
-from quillroad.logs import MAX_LINES, STRETCH_S, RateLimit
+from quillroad.logs import MAX_LINES_PER_WINDOW, WINDOW_S, RateLimit
 
 
-def record(created: float) -> logging.LogRecord:
-    made = logging.LogRecord("quillroad", logging.ERROR, __file__, 1, "%s failed", ("it",), None)
-    made.created = created
-    return made
+def make_record(created: float) -> logging.LogRecord:
+    log_record = logging.LogRecord(
+        "quillroad", logging.ERROR, __file__, 1, "%s failed", ("it",), None
+    )
+    log_record.created = created
+    return log_record
 
 
-def test_lines_beyond_the_limit_are_left_out_and_counted() -> None:
-    """One error a request at thousands of requests a second.
+def test_lines_over_the_limit_are_suppressed_and_counted() -> None:
+    """One error per request at thousands of requests a second.
 
-    Writing a line for each takes the core from the requests: a fault of one kind would become an
+    Writing a line for each error takes CPU time from the requests: a single fault would cause
     overload.
     """
-    limit = RateLimit()
-    passed = [limit.filter(record(100.0 + 0.001 * number)) for number in range(MAX_LINES + 7)]
-    assert passed == [True] * MAX_LINES + [False] * 7
-    first = record(100.0 + STRETCH_S)
-    assert limit.filter(first)
-    assert first.getMessage() == "it failed (7 left out)"
+    rate_limit = RateLimit()
+    passed = [
+        rate_limit.filter(make_record(100.0 + 0.001 * number))
+        for number in range(MAX_LINES_PER_WINDOW + 7)
+    ]
+    assert passed == [True] * MAX_LINES_PER_WINDOW + [False] * 7
+    first = make_record(100.0 + WINDOW_S)
+    assert rate_limit.filter(first)
+    assert first.getMessage() == "it failed (7 lines suppressed)"
 
 
 def test_lines_within_the_limit_pass_unchanged() -> None:
-    limit = RateLimit()
+    rate_limit = RateLimit()
     for second in range(3):
-        lines = [record(100.0 + STRETCH_S * second) for _ in range(MAX_LINES)]
-        assert all(limit.filter(line) for line in lines)
+        lines = [make_record(100.0 + WINDOW_S * second) for _ in range(MAX_LINES_PER_WINDOW)]
+        assert all(rate_limit.filter(line) for line in lines)
         assert {line.getMessage() for line in lines} == {"it failed"}
