--- a/quillroad/run.py
+++ b/quillroad/run.py
@@ -40,7 +40,7 @@
     await gateway.start()
     if inherited_count:
         log.info(
-            "%d inherited descriptors: the connection limit is lower by this number",
+            "%d descriptors were open at the start: connection limit reduced by this number",
             inherited_count,
         )
     loop.add_signal_handler(signal.SIGHUP, gateway.reload, read)
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -1,4 +1,4 @@
-"""The compiled form decides as the plain one, action for action, and the build that makes it."""
+"""The mypyc build: same decisions as plain Python, and a fallback without a C compiler."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
 COMPILED = ROOT / "build" / "compiled"
 
 
-def answers(where: Path, seed: int) -> list[str]:
+def decision_digest(source_tree: Path, seed: int) -> list[str]:
     code = (
         "import quillroad.balancing.balancer, sys; from bench.decisions import digest\n"
         f"print(*digest({seed}, 4000), quillroad.balancing.balancer.__file__)"
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-P", "-c", code],
         capture_output=True,
         text=True,
         timeout=120,
         check=True,
         cwd=ROOT,
-        env=os.environ | {"PYTHONPATH": f"{where}{os.pathsep}{ROOT}"},
+        env=os.environ | {"PYTHONPATH": f"{source_tree}{os.pathsep}{ROOT}"},
     )
-    return done.stdout.split()
+    return completed.stdout.split()
 
 
 @pytest.mark.skipif(not COMPILED.exists(), reason="scripts/build was not run")
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_both_forms_answer_a_stream_of_events_with_the_same_actions(seed: int) -> None:
-    plain, compiled = answers(ROOT, seed), answers(COMPILED, seed)
+def test_compiled_and_plain_code_decide_alike(seed: int) -> None:
+    plain, compiled = decision_digest(ROOT, seed), decision_digest(COMPILED, seed)
     assert plain[:2] == compiled[:2] and int(plain[1]) > 5_000
     assert plain[2].startswith(str(ROOT / "quillroad")) and compiled[2].startswith(str(COMPILED))
 
 
 @pytest.mark.skipif(not COMPILED.exists(), reason="scripts/build was not run")
 @on_loop
-async def test_workers_of_an_upgrade_are_compiled_like_their_keeper(tmp_path: Path) -> None:
+async def test_workers_run_compiled_code_after_an_upgrade(tmp_path: Path) -> None:
     request_classes = [
         RequestClass("status-check", 0.58, 1.4),
         RequestClass("seat-checkout", 0.75, 1.9, keyed=True, body_bytes=200),
@@ -65,22 +65,23 @@
         await until(lambda: len(load.records) > count + 60)
         for pid in environment.gateway.processes():
             if pid != environment.gateway.pid:
-                # One library holds the code of all compiled modules; each module's own file only
-                # leads to it, and is loaded only where plain Python imports that module first.
+                # One shared library holds the code of all compiled modules. The extension file of
+                # a module only refers to it, and is loaded only if plain Python imports that module
+                # first.
                 assert str(library) in Path(f"/proc/{pid}/maps").read_text()
         sending.cancel()
         await load.settle()
-        whole = total(count_outcomes(load.records, request_classes).values())
-        assert whole.sent == whole.within_objective + whole.after_objective + whole.rejected
+        totals = total(count_outcomes(load.records, request_classes).values())
+        assert totals.sent == totals.within_objective + totals.after_objective + totals.rejected
         assert environment.violations(load) == [] and load.refused_connects == 0
 
 
-def test_streams_differ_by_their_seed() -> None:
-    assert answers(ROOT, 1)[0] != answers(ROOT, 2)[0]
+def test_decisions_differ_by_seed() -> None:
+    assert decision_digest(ROOT, 1)[0] != decision_digest(ROOT, 2)[0]
 
 
-def test_without_a_compiler_the_copy_is_plain_python(tmp_path: Path) -> None:
-    """No package index, no C compiler: the platform's build still ends with something that runs."""
+def test_build_without_a_compiler_copies_plain_python(tmp_path: Path) -> None:
+    """Without a package index or C compiler, the build must still produce a runnable copy."""
     for name in ("quillroad", "scripts"):
         shutil.copytree(ROOT / name, tmp_path / name, ignore=shutil.ignore_patterns("__pycache__"))
     shutil.copy(ROOT / "requirements-build.txt", tmp_path)
@@ -94,11 +95,11 @@
 
     assert build().startswith("not compiled, plain Python is run: ")
     code = "import quillroad.balancing.balancer; print(quillroad.balancing.balancer.__file__)"
-    said = subprocess.check_output([python, "-P", "-c", code], cwd=tmp_path, text=True)
-    assert said.strip() == str(
+    output = subprocess.check_output([python, "-P", "-c", code], cwd=tmp_path, text=True)
+    assert output.strip() == str(
         tmp_path / "build" / "compiled" / "quillroad" / "balancing" / "balancer.py"
     )
-    assert build() == ""  # nothing has changed
+    assert build() == ""  # no source file has changed
     (tmp_path / "quillroad" / "gateway.py").write_text("changed = True\n")
     assert build() != ""
     assert (
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as it is started in service: its configuration, its readiness and its end."""
+"""The gateway process: configuration, readiness, reload and shutdown."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-async def program(folder: Path, data: Any, *leaks: int) -> Process:
-    """A gateway by this configuration, started with these descriptors open, too."""
+async def program(folder: Path, data: Any, *inherited_descriptors: int) -> Process:
+    """Start a gateway process with this configuration, which inherits these descriptors."""
     path = folder / "config.json"
     path.write_text(data if isinstance(data, str) else json.dumps(data))
     environment = {k: v for k, v in os.environ.items() if not k.startswith("GW_")} | {
@@ -49,12 +49,12 @@
         env=environment,
         stdout=PIPE,
         stderr=PIPE,
-        pass_fds=leaks,
+        pass_fds=inherited_descriptors,
     )
 
 
 async def started(folder: Path, host: FakeHost) -> tuple[Process, int]:
-    """A gateway that has answered `/up` with 200."""
+    """Start a gateway process, and return it and its port once `/up` answers 200."""
     discovery = await FakeDiscovery(host.entry()).start()
     port = free_port()
     process = await program(folder, config_data(discovery.port, listen=f"127.0.0.1:{port}"))
@@ -76,10 +76,10 @@
 
 @on_loop
 async def test_sigterm_answers_open_requests(tmp_path: Path) -> None:
-    """SIGTERM while one request is open and another connection is idle.
+    """SIGTERM with a request in flight and another connection idle.
 
-    A restart loses nothing that is open, also when its answer comes after all idle connections
-    ended."""
+    The request must be answered even if its answer arrives after all idle connections are closed.
+    """
     host = await FakeHost(behave=hang).start()
     process, port = await started(tmp_path, host)
     async with Client(port) as busy, Client(port) as idle:
@@ -96,8 +96,8 @@
 
 
 @on_loop
-async def test_a_drain_serves_what_the_front_still_sends(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The front learns of the end late: until then it opens and uses connections as before."""
+async def test_drain_serves_new_connections_and_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The load balancer in front sends as before until it notices the drain."""
     monkeypatch.setattr(quillroad.gateway, "FRONT_DELAY_S", 1000.0)
     async with world(serve_ok) as w, w.client() as before:
         assert (await before.ask()).status == 200
@@ -112,8 +112,8 @@
 
 
 @on_loop
-async def test_sigterm_ends_idle_connections_and_the_process(tmp_path: Path) -> None:
-    """SIGTERM with nothing to do: the idle connection ends, and so does the process."""
+async def test_sigterm_closes_idle_connections_and_ends_the_process(tmp_path: Path) -> None:
+    """SIGTERM without requests in flight: the idle connection is closed and the process exits."""
     process, port = await started(tmp_path, await FakeHost().start())
     async with Client(port) as idle:
         assert (await idle.ask()).status == 200
@@ -125,7 +125,7 @@
         await Client(port).__aenter__()
 
 
-BAD: list[tuple[Any, str]] = [
+INVALID_CONFIGURATIONS: list[tuple[Any, str]] = [
     ("{", "GW_CONFIG"),
     ("[]", "GW_CONFIG"),
     (config_data(1, settings=None), "settings"),
@@ -145,8 +145,8 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "field"), BAD)
-def test_a_bad_configuration_names_the_field(tmp_path: Path, data: Any, field: str) -> None:
+@pytest.mark.parametrize(("data", "field"), INVALID_CONFIGURATIONS)
+def test_invalid_configuration_error_names_the_field(tmp_path: Path, data: Any, field: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(data if isinstance(data, str) else json.dumps(data))
     with pytest.raises(ConfigError, match=field) as caught:
@@ -156,10 +156,14 @@
 
 @pytest.mark.parametrize(
     ("data", "field"),
-    [BAD[0], BAD[3], (config_data(1, known={"generation": 1, "instances": [3]}), "known")],
+    [
+        INVALID_CONFIGURATIONS[0],
+        INVALID_CONFIGURATIONS[3],
+        (config_data(1, known={"generation": 1, "instances": [3]}), "known"),
+    ],
 )
 @on_loop
-async def test_a_bad_configuration_ends_the_program_with_one_line(
+async def test_invalid_configuration_exits_with_one_line(
     tmp_path: Path, data: Any, field: str
 ) -> None:
     code, text = await ended(await program(tmp_path, data))
@@ -168,14 +172,14 @@
     assert field in text
 
 
-def test_a_missing_configuration_names_its_variable() -> None:
+def test_missing_configuration_error_names_the_variable() -> None:
     with pytest.raises(ConfigError, match="GW_CONFIG"):
         load({})
     with pytest.raises(ConfigError, match="GW_CONFIG"):
         load({"GW_CONFIG": "/nonexistent/config.json"})
 
 
-def test_the_environment_comes_before_the_file(tmp_path: Path) -> None:
+def test_environment_overrides_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data(1)))
     config = load({"GW_CONFIG": str(path), "GW_NAME": "n7", "GW_LISTEN": "127.0.0.9:80"})
@@ -187,55 +191,57 @@
 
 
 @on_loop
-async def test_sighup_moves_the_watch_and_keeps_all_else(tmp_path: Path) -> None:
-    """The platform's address changes by SIGHUP while a request is open.
+async def test_sighup_switches_discovery_and_keeps_connections(tmp_path: Path) -> None:
+    """SIGHUP changes the discovery address while a request is in flight.
 
-    SIGHUP used to end the process. What is open is answered on the connections that were open."""
+    SIGHUP used to end the process. The request must be answered on its existing connections.
+    """
     host = await FakeHost(behave=hang).start()
     process, port = await started(tmp_path, host)
-    successor = await FakeDiscovery(host.entry()).start()
+    new_discovery = await FakeDiscovery(host.entry()).start()
     async with Client(port) as client:
         client.send()
         await host.came.get()
-        data = config_data(successor.port, listen=f"127.0.0.1:{port}")
+        data = config_data(new_discovery.port, listen=f"127.0.0.1:{port}")
         (tmp_path / "config.json").write_text(json.dumps(data))
         process.send_signal(signal.SIGHUP)
-        assert await successor.asked.get() == "/discovery/hosts"
+        assert await new_discovery.asked.get() == "/discovery/hosts"
         host.writers[0].write(answer(b"still here"))
         assert (await client.receive()).body == b"still here"
         host.behave = serve_ok
         assert (await client.ask()).status == 200
         assert host.closed.empty()
         process.send_signal(signal.SIGTERM)
-        process.send_signal(signal.SIGHUP)  # harmless while draining
+        process.send_signal(signal.SIGHUP)  # has no effect while draining
     assert (await ended(process))[0] == 0
 
 
 @on_loop
-async def test_a_reload_with_a_bad_file_changes_nothing(
+async def test_reload_with_an_invalid_file_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Three bad files, then a good one that moves discovery, then the same again.
+    """Reload three invalid files, then a valid one with a new discovery address, then it again.
 
-    A bad file is said in one line of the log and the gateway goes on; a good one moves the watch
-    without a request lost; the same file again changes nothing."""
+    An invalid file is logged in one line and the gateway continues. The valid one switches
+    discovery without losing a request. Reloading it again changes nothing.
+    """
     path = tmp_path / "config.json"
     async with world(serve_ok) as w, w.client() as client:
         environment = {"GW_CONFIG": str(path), "GW_DISCOVERY": f"127.0.0.1:{w.discovery.port}"}
-        for bad in ("{", json.dumps(config_data(1, discovery="nowhere")), "[" * 200_000):
-            path.write_text(bad)
+        for invalid in ("{", json.dumps(config_data(1, discovery="nowhere")), "[" * 200_000):
+            path.write_text(invalid)
             caplog.clear()
             with caplog.at_level("INFO", "quillroad"):
                 w.gateway.reload(partial(reload, environment))
             assert len(caplog.records) == 1
             assert "old configuration stands" in caplog.text
         assert (await client.ask()).status == 200
-        successor = await FakeDiscovery(w.hosts[0].entry()).start()
-        path.write_text(json.dumps(config_data(successor.port, limits={"sockets": 99})))
+        new_discovery = await FakeDiscovery(w.hosts[0].entry()).start()
+        path.write_text(json.dumps(config_data(new_discovery.port, limits={"sockets": 99})))
         with caplog.at_level("INFO", "quillroad"):
             w.gateway.reload(partial(reload, environment))
         assert "with a restart only: sockets" in caplog.text
-        await until(lambda: len(successor.watches) == 1)
-        w.gateway.reload(partial(reload, environment))  # nothing new: the watch goes on
+        await until(lambda: len(new_discovery.watches) == 1)
+        w.gateway.reload(partial(reload, environment))  # unchanged: the watch continues
         assert (await client.ask()).status == 200
-        assert len(successor.watches) == 1
+        assert len(new_discovery.watches) == 1
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as it stands there."""
+"""The README: its example runs, and its test command is the one of CI."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def test_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
-    blocks = re.findall(r"```python\n(.*?)```", README.read_text(), re.DOTALL)
-    assert len(blocks) == 1
-    exec(compile(blocks[0], "README.md", "exec"), {})
+    examples = re.findall(r"```python\n(.*?)```", README.read_text(), re.DOTALL)
+    assert len(examples) == 1
+    exec(compile(examples[0], "README.md", "exec"), {})
     assert "send request 1" in capsys.readouterr().out
 
 
@@ -24,8 +24,8 @@
     assert "scripts/test" in (README.parent / ".ci" / "run").read_text()
 
 
-def test_the_demo_accounts_for_every_request() -> None:
-    done = subprocess.run(
+def test_demo_accounts_for_every_request() -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "quillroad", "demo", "--seconds", "1.5"],
         cwd=README.parent,
         timeout=30,
@@ -33,6 +33,6 @@
         text=True,
         check=False,
     )
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert "every request accounted for, no rule broken" in done.stdout
-    assert "drains half way" in done.stdout
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    assert "every request accounted for, no rule broken" in completed.stdout
+    assert "drains half way" in completed.stdout
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,6 +1,4 @@
-"""The end of a process under everything that can be under way, and the end of one connection with
-its answer still leaving.
-"""
+"""Shutdown: of a process with requests in every state, and of connections with pending output."""
 
 from __future__ import annotations
 
@@ -44,14 +42,15 @@
 )
 
 
-async def not_reading(client: Client, connection: ClientConnection) -> int:
-    """Ask until a part of an answer can't leave the process; returns how many answers were asked
-    for.
+async def send_until_output_blocks(client: Client, connection: ClientConnection) -> int:
+    """Send requests until output is pending in the process; return the number of requests.
+
+    The client does not read meanwhile.
     """
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-    asked = 0
+    sent_requests = 0
     while not connection.output_pending:
-        asked += 1
+        sent_requests += 1
         seen = connection.requests_served
         client.send()
         await until(
@@ -59,11 +58,11 @@
                 connection.requests_served > before and connection._answering in NOT_BEGUN
             )
         )
-    return asked
+    return sent_requests
 
 
-async def narrow(w: World) -> tuple[socket.socket, ClientConnection]:
-    """The one client, and its connection: between them the kernel holds little of an answer."""
+async def connect_with_small_buffers(w: World) -> tuple[socket.socket, ClientConnection]:
+    """Connect a client; small socket buffers let the kernel hold only a little of an answer."""
     raw = socket.socket()
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     raw.setblocking(False)
@@ -74,8 +73,8 @@
     return raw, connection
 
 
-async def to_the_end(raw: socket.socket) -> bytes:
-    """All that comes, until the gateway has closed."""
+async def read_until_closed(raw: socket.socket) -> bytes:
+    """Return all data received until the gateway closes the connection."""
     got = b""
     while data := await asyncio.get_running_loop().sock_recv(raw, 65536):
         got += data
@@ -84,18 +83,16 @@
 
 
 @on_loop
-async def test_an_answer_that_its_client_reads_slowly_outlives_the_end_of_idle_connections() -> (
-    None
-):
-    """Between two requests, and yet its answer has not left: ended then, it was cut short."""
+async def test_close_idle_keeps_connections_with_pending_output() -> None:
+    """A connection between requests still has output pending: closing it truncated the answer."""
     async with world(say(answer(BODY))) as w, w.client() as client:
         assert (await client.ask()).status == 200
         (connection,) = w.gateway.server.connection_limit.connections()
-        asked = await not_reading(client, connection)
+        sent_requests = await send_until_output_blocks(client, connection)
         w.gateway.server.draining = True
         w.gateway.server.close_idle()
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-        for _ in range(asked):
+        for _ in range(sent_requests):
             assert (await client.receive()).body == BODY
         await until(connection.may_close)
         w.gateway.server.close_idle()
@@ -103,14 +100,15 @@
 
 
 @on_loop
-async def test_a_last_answer_is_not_cut_short(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With its last answer half in this process a connection is not yet one to end for another, and
-    the time in which a client may read why it ends has not begun.
+async def test_last_answer_is_not_truncated(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A connection whose last answer is partly in the process must not be closed for another one.
+
+    The linger time, in which the client may read the answer, must not start before it is sent.
     """
     monkeypatch.setattr(connection_output, "LINGER_S", 0.005)
     host = say(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + BODY)
     async with world(host) as w:
-        loop, (raw, connection) = asyncio.get_running_loop(), await narrow(w)
+        loop, (raw, connection) = asyncio.get_running_loop(), await connect_with_small_buffers(w)
         await loop.sock_sendall(
             raw, (HEAD.format(9000, "z1") + "Connection: close\r\n\r\n").encode()
         )
@@ -118,34 +116,34 @@
             lambda: connection._parser.state is ReadState.ENDED and connection.output_pending
         )
         for _ in range(5):
-            await asyncio.sleep(0.01)  # the time to linger, several times over
+            await asyncio.sleep(0.01)  # several times the linger time
         assert (
             w.gateway.server.connection_limit.connection_to_end(time.monotonic() + 1000.0)
             is not connection
         )
-        got = await to_the_end(raw)
+        got = await read_until_closed(raw)
         assert got.endswith(BODY)
 
 
 @on_loop
-async def test_an_error_behind_an_answer_that_is_read_slowly_is_answered() -> None:
-    """What can't be read ends the connection once it is answered, not with the answer before it."""
+async def test_malformed_request_after_a_slowly_read_answer_is_answered() -> None:
+    """A malformed request closes the connection after its own 400, not after the answer before."""
     async with world(say(answer(BODY))) as w:
-        loop, (raw, connection) = asyncio.get_running_loop(), await narrow(w)
+        loop, (raw, connection) = asyncio.get_running_loop(), await connect_with_small_buffers(w)
         await loop.sock_sendall(
             raw, (HEAD.format(9000, "y1") + "\r\nwhat is this\r\n\r\n").encode()
         )
         await until(
             lambda: connection._parser.state is ReadState.ENDED and connection.output_pending
         )
-        got = await to_the_end(raw)
+        got = await read_until_closed(raw)
         first, _, second = got.partition(BODY)
         assert first.startswith(b"HTTP/1.1 200") and second.startswith(b"HTTP/1.1 400")
 
 
 @on_loop
-async def test_a_connection_that_has_just_come_is_not_ended_with_the_idle_ones() -> None:
-    """Its first request is on its way: it would be a new connection closed with no answer."""
+async def test_close_idle_keeps_new_connections() -> None:
+    """Its first request is on its way, and would be lost without an answer."""
     async with world(serve_ok) as w, w.client() as client, w.client() as old:
         assert (await old.ask()).status == 200
         await until(lambda: len(w.gateway.server.connection_limit) == 2)
@@ -155,8 +153,8 @@
 
 
 @on_loop
-async def test_whoever_waits_in_the_kernel_is_taken_when_the_listener_closes() -> None:
-    """Also with no room: closing the listener would reset them, with what they have sent."""
+async def test_closing_the_listener_accepts_connections_in_its_backlog() -> None:
+    """Also at the connection limit: closing the listener would reset them with their requests."""
     loop, taken = asyncio.get_running_loop(), list[socket.socket]()
 
     def take(sock: socket.socket) -> None:
@@ -176,21 +174,19 @@
 
 
 @on_loop
-async def test_what_is_taken_late_has_no_longer_than_the_process() -> None:
+async def test_late_request_is_answered_before_the_process_ends() -> None:
     async with world(hang) as w, w.client() as client:
         w.gateway.server.draining = True
         w.gateway.server.latest_deadline_at = time.monotonic() + 0.3
-        asked = time.monotonic()
+        sent_at = time.monotonic()
         got = await client.ask(Request_Timeout_Ms="9000")
-        assert got.status in (503, 504) and time.monotonic() - asked < 0.5
+        assert got.status in (503, 504) and time.monotonic() - sent_at < 0.5
         assert got.headers["connection"] == "close"
 
 
 @on_loop
-async def test_answers_and_the_process_end_before_sigkill_by_a_margin() -> None:
-    """Counted from SIGTERM, whatever the longest deadline: what is left to the process covers its
-    own end.
-    """
+async def test_drain_ends_with_a_margin_before_sigkill() -> None:
+    """From SIGTERM, for any longest deadline: the time left before SIGKILL covers the exit."""
     async with world(serve_ok) as w:
         longest_s = max(route.deadline_us for route in w.gateway.config.settings.routes) / 1e6
         before = time.monotonic()
@@ -208,13 +204,13 @@
 
 
 DEADLINE_S = 1.2
-KILL_S = DEADLINE_S + 0.7  # SIGKILL comes no sooner
-# Of processes that wait for a core, on a machine whose cores are all busy; the bound itself has a
-# test above
-LAG_S = 2.0
+MIN_SIGKILL_DELAY_S = DEADLINE_S + 0.7  # SIGKILL comes no earlier
+# Delay of processes that wait for a core on a machine whose cores are all busy. A test above checks
+# the bound itself.
+SCHEDULING_MARGIN_S = 2.0
 
 
-def brief_settings() -> dict[str, Any]:
+def short_deadline_settings() -> dict[str, Any]:
     us = int(DEADLINE_S * 1e6)
     lanes = [
         {"name": "status-check", "semantics": "safe", "goal_time": us, "deadline": us},
@@ -223,25 +219,31 @@
     return told_settings(lanes=lanes)
 
 
-async def slowly(message: Message, writer: asyncio.StreamWriter) -> None:
-    """Serves what says so, and hangs otherwise."""
+async def serve_or_hang(message: Message, writer: asyncio.StreamWriter) -> None:
+    """Answer requests whose path contains `serve`; leave the others without an answer."""
     if "serve" in message.first:
         writer.write(answer())
         return
     await asyncio.Event().wait()
 
 
-@pytest.mark.parametrize("then", ["nothing", "SIGTERM again", "SIGHUP"])
+@pytest.mark.parametrize("second_signal", ["nothing", "SIGTERM again", "SIGHUP"])
 @on_loop_within(40.0)
-async def test_a_process_ends_in_time_with_everything_under_way(tmp_path: Path, then: str) -> None:
-    """All hosts hang. In flight, queued, half read, sent ahead, on a connection that has just come,
-    on a resting one right before its close: each gets one whole answer before SIGKILL would come,
-    and the process has ended by then.
+async def test_process_ends_in_time_with_requests_in_every_state(
+    tmp_path: Path, second_signal: str
+) -> None:
+    """SIGTERM while all hosts hang, with requests in every state.
+
+    Requests are in flight, queued, partly read, sent before earlier answers, on a new connection,
+    and on an idle one just before it is closed. Each must get one whole answer, and the process
+    must exit, before SIGKILL would come.
     """
-    hosts = [await FakeHost(f"s-{i}", slowly).start() for i in range(2)]
+    hosts = [await FakeHost(f"s-{i}", serve_or_hang).start() for i in range(2)]
     discovery = await FakeDiscovery(*(host.entry() for host in hosts)).start()
     port = free_port()
-    data = config_data(discovery.port, listen=f"127.0.0.1:{port}", settings=brief_settings())
+    data = config_data(
+        discovery.port, listen=f"127.0.0.1:{port}", settings=short_deadline_settings()
+    )
     process = await program(tmp_path, data)
     wait = str(int(DEADLINE_S * 1000))
 
@@ -255,60 +257,59 @@
     first = await connected()
     while (await first.ask("/up", method="GET")).status != 200:
         await asyncio.sleep(0.02)
-    resting, ahead, half = await connected(), await connected(), await connected()
-    assert (await resting.ask("/status-check/serve")).status == 200
-    busy = [
-        await connected() for _ in range(30)
-    ]  # more than hosts have places: some queue in the module
+    idle, pipelined, partial = await connected(), await connected(), await connected()
+    assert (await idle.ask("/status-check/serve")).status == 200
+    # More than the hosts' concurrency limits allow: some are queued in the gateway.
+    busy = [await connected() for _ in range(30)]
     for i, client in enumerate(busy):
         client.send(("/status-check/k", "/audit/k")[i % 2], Request_Timeout_Ms=wait)
     for n in range(6):
-        ahead.writer.write((HEAD.format(wait, f"ahead{n}") + "\r\n").encode())
+        pipelined.writer.write((HEAD.format(wait, f"ahead{n}") + "\r\n").encode())
     head = HEAD.format(wait, "half") + "\r\n"
-    half.writer.write(head[:40].encode())
+    partial.writer.write(head[:40].encode())
     await until(lambda: sum(len(host.seen) for host in hosts) >= 6)
     loop = asyncio.get_running_loop()
     began = loop.time()
     process.send_signal(signal.SIGTERM)
-    if then != "nothing":
-        process.send_signal(signal.SIGTERM if "again" in then else signal.SIGHUP)
-    late = await connected()
-    late.send(Request_Timeout_Ms=wait)
+    if second_signal != "nothing":
+        process.send_signal(signal.SIGTERM if "again" in second_signal else signal.SIGHUP)
+    late_client = await connected()
+    late_client.send(Request_Timeout_Ms=wait)
 
-    async def ask_resting() -> int:
-        """As clients do: on the connection that stands, for as long as it does."""
+    async def request_on_idle() -> int:
+        """Send requests on the open connection until it closes, as clients do."""
         answers = 0
         while True:
-            resting.send("/status-check/serve", Request_Timeout_Ms=wait)
+            idle.send("/status-check/serve", Request_Timeout_Ms=wait)
             try:
-                got = await resting.receive()
+                got = await idle.receive()
             except (asyncio.IncompleteReadError, ConnectionError):
                 return answers
-            # Hosts that hang may leave no place for it, and a machine with no core for us no time.
+            # Hanging hosts may have no capacity left, and a busy machine may delay the request.
             assert got.status in (200, 503, 504)
             answers += 1
             if got.headers["connection"] == "close":
                 return answers
 
-    async def complete() -> Message:
-        await asyncio.sleep(0.65)  # behind the end of the idle ones
-        half.writer.write(head[40:].encode())
-        return await half.receive()
+    async def complete_partial() -> Message:
+        await asyncio.sleep(0.65)  # after the idle connections are closed
+        partial.writer.write(head[40:].encode())
+        return await partial.receive()
 
     async def received(client: Client, count: int = 1) -> list[Message]:
         return [await client.receive() for _ in range(count)]
 
-    many, sent_ahead, completed, rested = await asyncio.gather(
-        asyncio.gather(*map(received, busy), received(late)),
-        received(ahead, 6),
-        complete(),
-        ask_resting(),
+    answer_lists, pipelined_answers, completed, idle_answers = await asyncio.gather(
+        asyncio.gather(*map(received, busy), received(late_client)),
+        received(pipelined, 6),
+        complete_partial(),
+        request_on_idle(),
     )
-    answers = [completed, *sent_ahead, *(message for got in many for message in got)]
+    answers = [completed, *pipelined_answers, *(message for got in answer_lists for message in got)]
     assert len(answers) == 38 and {message.status for message in answers} <= {502, 503, 504}
-    assert rested == 1
-    assert loop.time() - began < KILL_S + LAG_S
+    assert idle_answers == 1
+    assert loop.time() - began < MIN_SIGKILL_DELAY_S + SCHEDULING_MARGIN_S
     code, log = await ended(process)
-    assert (code, loop.time() - began < KILL_S + LAG_S) == (0, True), log
-    for client in (first, resting, ahead, half, late, *busy):
+    assert (code, loop.time() - began < MIN_SIGKILL_DELAY_S + SCHEDULING_MARGIN_S) == (0, True), log
+    for client in (first, idle, pipelined, partial, late_client, *busy):
         client.writer.close()
--- a/tests/test_stalled.py
+++ b/tests/test_stalled.py
@@ -1,4 +1,4 @@
-"""A loop that stood still finds a list and requests in the kernel at once: the list comes first."""
+"""After a stall of the event loop, the endpoint list is read before requests."""
 
 from __future__ import annotations
 
@@ -14,28 +14,31 @@
 
 @pytest.mark.parametrize("opened", ["before", "meanwhile"])
 @on_loop
-async def test_a_drain_from_a_stall_is_heard_before_requests_are_sent(opened: str) -> None:
-    """With nothing open no beat tells of the stall. The drain was told when it was written: by now
-    the time in which sends to its host may go on is over.
+async def test_drain_read_after_a_stall_precedes_queued_requests(opened: str) -> None:
+    """A drain and 12 requests arrive while the event loop is blocked for 0.6 s.
+
+    Without open connections, the event loop monitor does not detect the stall. The time in which
+    requests may still be sent to the host counts from when discovery wrote the drain, and is over
+    after the stall.
     """
     async with world(serve_ok, serve_ok) as w:
-        leaves, stays = w.hosts
-        while not (leaves.seen and stays.seen):  # there are connections at hand to both
+        draining_host, remaining_host = w.hosts
+        while not (draining_host.seen and remaining_host.seen):  # open a connection to both hosts
             async with Client(w.gateway.port) as client:
                 assert (await client.ask()).status == 200
         await until(lambda: not len(w.gateway.server.connection_limit))
-        address, raws = ("127.0.0.1", w.gateway.port), list[socket.socket]()
+        address, clients = ("127.0.0.1", w.gateway.port), list[socket.socket]()
         if opened == "before":
-            raws = [socket.create_connection(address) for _ in range(12)]
+            clients = [socket.create_connection(address) for _ in range(12)]
             await until(lambda: len(w.gateway.server.connection_limit) == 12)
-        before = len(leaves.seen), len(stays.seen)
+        seen_before = len(draining_host.seen), len(remaining_host.seen)
         if opened == "meanwhile":
-            raws = [socket.create_connection(address) for _ in range(12)]
-        for n, raw in enumerate(raws):
-            raw.send(HEAD + b"s%d\r\n\r\n" % n)
-        w.discovery.tell(leaves.entry(lifecycle="draining"))
+            clients = [socket.create_connection(address) for _ in range(12)]
+        for number, client_socket in enumerate(clients):
+            client_socket.send(HEAD + b"s%d\r\n\r\n" % number)
+        w.discovery.tell(draining_host.entry(lifecycle="draining"))
         time.sleep(0.6)
-        await until(lambda: len(stays.seen) == before[1] + 12)
-        assert len(leaves.seen) == before[0]
-        for raw in raws:
-            raw.close()
+        await until(lambda: len(remaining_host.seen) == seen_before[1] + 12)
+        assert len(draining_host.seen) == seen_before[0]
+        for client_socket in clients:
+            client_socket.close()
